--- a/access/verdict.go
+++ b/access/verdict.go
@@ -5,7 +5,7 @@
 // StateOf is the word for a gate's verdict.
 func StateOf(verdict health.State) string {
 	switch verdict {
-	case health.Aside:
+	case health.Ejected:
 		return StateSetAside
 	case health.Trial:
 		return StateTrial
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -49,7 +49,7 @@
 			now = feed(m, now, tt.sick, tt.every)
 			now = feed(m, now, tt.after, 0)
 			var got []string
-			for _, a := range burn.Judge(objective, m.Windows(now, now, "bacheca")).Alerts {
+			for _, a := range burn.Evaluate(objective, m.Windows(now, now, "bacheca")).Alerts {
 				got = append(got, a.Name)
 			}
 			if !reflect.DeepEqual(got, tt.want) {
@@ -64,7 +64,7 @@
 	for i := range 1000 {
 		m.Add(clock.Millis(i), "bacheca", burn.Sample{Failed: i < 2, Slow: i >= 2 && i < 22, Upstream: "bacheca-4", Reason: "failed"})
 	}
-	v := burn.Judge(objective, m.Windows(clock.Second, clock.Second, "bacheca"))
+	v := burn.Evaluate(objective, m.Windows(clock.Second, clock.Second, "bacheca"))
 	if got, want := v.Rates[0].Availability, 2.0; math.Abs(got-want) > 1e-6 {
 		t.Errorf("got availability burn %v, want %v", got, want)
 	}
--- a/burn/judge.go
+++ b/burn/judge.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// leastAllowed stands for the allowed share of an objective of exactly 1,
+	// minAllowed stands for the allowed share of an objective of exactly 1,
 	// so that its burn is a large number in place of an infinite one.
-	leastAllowed = 1e-9
-	// LeastBad is how many bad requests a window must hold before it can
+	minAllowed = 1e-9
+	// MinBad is how many bad requests a window must hold before it can
 	// alert: on a quiet service two in a minute say little about a rate.
-	LeastBad = 10
+	MinBad = 10
 )
 
 // Severity says how soon an alert wants a person.
@@ -79,22 +79,22 @@
 	Left float64 `json:"left"`
 }
 
-// Verdict is the burn of one service.
-type Verdict struct {
+// Evaluation is the burn of one service.
+type Evaluation struct {
 	Rates   []Rate   `json:"windows"`
 	Alerts  []Alert  `json:"alerts"`
 	Budgets []Budget `json:"budgets"`
 }
 
-// Judge works out the burn of an objective from windows ordered as in Spans.
+// Evaluate works out the burn of an objective from windows ordered as in Spans.
 // An objective without availability or latency is not judged for it.
-func Judge(o table.Objective, windows []Window) Verdict {
-	v := Verdict{Rates: []Rate{}, Alerts: []Alert{}, Budgets: []Budget{}}
+func Evaluate(o table.Objective, windows []Window) Evaluation {
+	v := Evaluation{Rates: []Rate{}, Alerts: []Alert{}, Budgets: []Budget{}}
 	for _, w := range windows {
 		v.Rates = append(v.Rates, Rate{
 			Window:       w,
 			Availability: rate(w.Failed, w.Total, o.Availability),
-			Latency:      rate(w.Slow, w.Good(), within(o)),
+			Latency:      rate(w.Slow, w.Good(), latencyShare(o)),
 		})
 	}
 	for _, kind := range []Kind{Availability, Latency} {
@@ -107,8 +107,8 @@
 	return v
 }
 
-// within returns the share promised to be fast, 0 if none is.
-func within(o table.Objective) float64 {
+// latencyShare returns the share promised to be fast, 0 if none is.
+func latencyShare(o table.Objective) float64 {
 	if o.Latency <= 0 {
 		return 0
 	}
@@ -119,11 +119,11 @@
 	if total == 0 || promised <= 0 {
 		return 0
 	}
-	return float64(bad) / float64(total) / max(1-promised, leastAllowed)
+	return float64(bad) / float64(total) / max(1-promised, minAllowed)
 }
 
-// Of returns the burn rate of one promise and the bad requests behind it.
-func (r *Rate) Of(kind Kind) (burn float64, bad uint64) {
+// BurnRate returns the burn rate of one promise and the bad requests behind it.
+func (r *Rate) BurnRate(kind Kind) (burn float64, bad uint64) {
 	if kind == Latency {
 		return r.Latency, r.Slow
 	}
@@ -133,13 +133,13 @@
 func alerts(rates []Rate, kind Kind) []Alert {
 	var found []Alert
 	for _, r := range rules {
-		short, long := find(rates, r.short), find(rates, r.long)
+		short, long := findRate(rates, r.short), findRate(rates, r.long)
 		if short == nil || long == nil {
 			continue
 		}
-		shortRate, _ := short.Of(kind)
-		longRate, bad := long.Of(kind)
-		if shortRate < r.rate || longRate < r.rate || bad < LeastBad {
+		shortRate, _ := short.BurnRate(kind)
+		longRate, bad := long.BurnRate(kind)
+		if shortRate < r.rate || longRate < r.rate || bad < MinBad {
 			continue
 		}
 		found = append(found, Alert{
@@ -150,7 +150,7 @@
 	return found
 }
 
-func find(rates []Rate, span clock.Millis) *Rate {
+func findRate(rates []Rate, span clock.Millis) *Rate {
 	for i := range rates {
 		if rates[i].Span == span {
 			return &rates[i]
@@ -164,7 +164,7 @@
 	if o.Availability > 0 {
 		found = append(found, budget(Availability, w.Failed, w.Total, o.Availability))
 	}
-	if within(o) > 0 {
+	if latencyShare(o) > 0 {
 		found = append(found, budget(Latency, w.Slow, w.Good(), o.Within))
 	}
 	return found
@@ -173,7 +173,7 @@
 func budget(kind Kind, bad, total uint64, promised float64) Budget {
 	b := Budget{Kind: kind, Allowed: float64(total) * (1 - promised), Spent: bad, Left: 1}
 	if bad > 0 {
-		b.Left = 1 - float64(bad)/max(b.Allowed, leastAllowed)
+		b.Left = 1 - float64(bad)/max(b.Allowed, minAllowed)
 	}
 	return b
 }
--- a/burn/meter.go
+++ b/burn/meter.go
@@ -19,9 +19,9 @@
 var Spans = []clock.Millis{5 * clock.Minute, clock.Hour, 6 * clock.Hour, 3 * clock.Day}
 
 const (
-	// parts is how many buckets a window is cut into. One more is kept, so
+	// bucketsPerWindow is how many buckets a window is cut into. One more is kept, so
 	// that a window spans its length and at most a twelfth more.
-	parts = 12
+	bucketsPerWindow = 12
 	// DefaultServices is above the 4,100 services of the size to design for.
 	// A service takes about 2 KB.
 	DefaultServices = 5000
@@ -62,7 +62,7 @@
 }
 
 // series holds one service's buckets, a row for each of Spans.
-type series [4][parts + 1]bucket
+type series [4][bucketsPerWindow + 1]bucket
 
 // bucket counts the samples of one slice of time.
 type bucket struct {
@@ -103,8 +103,8 @@
 }
 
 // bucketAt returns the bucket of the instant, emptied if it held an older one.
-func (m *Meter) bucketAt(row *[parts + 1]bucket, now, span clock.Millis) *bucket {
-	index := slot(now, span)
+func (m *Meter) bucketAt(row *[bucketsPerWindow + 1]bucket, now, span clock.Millis) *bucket {
+	index := bucketIndex(now, span)
 	b := &row[index%int64(len(row))]
 	if b.index != index {
 		m.causes -= len(b.causes)
@@ -113,8 +113,8 @@
 	return b
 }
 
-func slot(now, span clock.Millis) int64 {
-	return int64(now/(span/parts)) + 1
+func bucketIndex(now, span clock.Millis) int64 {
+	return int64(now/(span/bucketsPerWindow)) + 1
 }
 
 func (m *Meter) count(b *bucket, s Sample) {
@@ -164,11 +164,11 @@
 	for i, span := range Spans {
 		covered := min(span, life)
 		w := newSum(span, covered, covered)
-		last := slot(now, span)
-		for age := range int64(parts + 1) {
-			b := &rows[i][max(last-age, 0)%(parts+1)]
+		last := bucketIndex(now, span)
+		for age := range int64(bucketsPerWindow + 1) {
+			b := &rows[i][max(last-age, 0)%(bucketsPerWindow+1)]
 			if b.index == last-age && b.total > 0 {
-				w.bucket(b, int(age))
+				w.addBucket(b, int(age))
 			}
 		}
 		windows = append(windows, w.window())
--- a/burn/window.go
+++ b/burn/window.go
@@ -23,8 +23,8 @@
 	Reason   string `json:"reason"`
 }
 
-// Spent counts the bad requests of one cause.
-type Spent struct {
+// CauseCount counts the bad requests of one cause.
+type CauseCount struct {
 	Cause
 
 	Count uint64 `json:"count"`
@@ -44,14 +44,14 @@
 	Span clock.Millis `json:"span"`
 	// Covered is the part of Span that the longest-lived node counted, Least
 	// the part that the youngest did.
-	Covered clock.Millis `json:"covered"`
-	Least   clock.Millis `json:"least"`
+	Covered    clock.Millis `json:"covered"`
+	MinCovered clock.Millis `json:"least"`
 	// Total counts requests but for those that failed by a caller's fault.
 	Total  uint64 `json:"total"`
 	Failed uint64 `json:"failed"`
 	Slow   uint64 `json:"slow"`
 	// Causes is sorted, the largest first; what a bound left out is in Other.
-	Causes []Spent `json:"causes"`
+	Causes []CauseCount `json:"causes"`
 	// Series holds the slices that had requests, the newest first.
 	Series []Point `json:"series"`
 }
@@ -61,23 +61,23 @@
 	return w.Total - w.Failed
 }
 
-// sum adds up a window. Slices are kept by number, causes by themselves.
-type sum struct {
+// windowSum adds up a window. Slices are kept by number, causes by themselves.
+type windowSum struct {
 	Window
 
 	causes map[Cause]uint64
-	slices [parts + 1]Point
+	slices [bucketsPerWindow + 1]Point
 }
 
-func newSum(span, covered, least clock.Millis) *sum {
-	return &sum{
-		Window: Window{Span: span, Covered: covered, Least: least},
+func newSum(span, covered, least clock.Millis) *windowSum {
+	return &windowSum{
+		Window: Window{Span: span, Covered: covered, MinCovered: least},
 		causes: make(map[Cause]uint64),
 	}
 }
 
-// point adds the requests of a slice.
-func (s *sum) point(p Point) {
+// addPoint adds the requests of a slice.
+func (s *windowSum) addPoint(p Point) {
 	s.Total += p.Total
 	s.Failed += p.Failed
 	s.Slow += p.Slow
@@ -89,38 +89,38 @@
 	}
 }
 
-// bucket adds a bucket that is so many slices old. What its causes leave out,
+// addBucket adds a bucket that is so many slices old. What its causes leave out,
 // for want of room, is counted as Other.
-func (s *sum) bucket(b *bucket, age int) {
+func (s *windowSum) addBucket(b *bucket, age int) {
 	p := Point{Slice: age, Total: uint64(b.total), Failed: uint64(b.failed), Slow: uint64(b.slow)}
-	s.point(p)
+	s.addPoint(p)
 	failed, slow := p.Failed, p.Slow
 	for c, n := range b.causes {
-		s.spend(c, uint64(n))
+		s.addCause(c, uint64(n))
 		if c.Kind == Availability {
 			failed -= uint64(n)
 		} else {
 			slow -= uint64(n)
 		}
 	}
-	s.spend(Cause{Kind: Availability, Upstream: Other, Reason: Other}, failed)
-	s.spend(Cause{Kind: Latency, Upstream: Other, Reason: Other}, slow)
+	s.addCause(Cause{Kind: Availability, Upstream: Other, Reason: Other}, failed)
+	s.addCause(Cause{Kind: Latency, Upstream: Other, Reason: Other}, slow)
 }
 
-func (s *sum) spend(c Cause, n uint64) {
+func (s *windowSum) addCause(c Cause, n uint64) {
 	if n > 0 {
 		s.causes[c] += n
 	}
 }
 
 // window returns the sum, in order.
-func (s *sum) window() Window {
+func (s *windowSum) window() Window {
 	w := s.Window
-	w.Causes = make([]Spent, 0, len(s.causes))
+	w.Causes = make([]CauseCount, 0, len(s.causes))
 	for c, n := range s.causes {
-		w.Causes = append(w.Causes, Spent{Cause: c, Count: n})
+		w.Causes = append(w.Causes, CauseCount{Cause: c, Count: n})
 	}
-	slices.SortFunc(w.Causes, func(a, b Spent) int {
+	slices.SortFunc(w.Causes, func(a, b CauseCount) int {
 		return cmp.Or(
 			cmp.Compare(b.Count, a.Count),
 			cmp.Compare(a.Upstream, b.Upstream),
@@ -141,13 +141,13 @@
 // Merge adds up the windows that nodes counted for one service. Nodes cut
 // their slices by their own clocks, so that slices match within one slice.
 func Merge(nodes ...[]Window) []Window {
-	var sums []*sum
+	var sums []*windowSum
 	for _, windows := range nodes {
 		for _, w := range windows {
-			at := slices.IndexFunc(sums, func(s *sum) bool { return s.Span == w.Span })
+			at := slices.IndexFunc(sums, func(s *windowSum) bool { return s.Span == w.Span })
 			if at < 0 {
 				at = len(sums)
-				sums = append(sums, newSum(w.Span, w.Covered, w.Least))
+				sums = append(sums, newSum(w.Span, w.Covered, w.MinCovered))
 			}
 			sums[at].merge(w)
 		}
@@ -159,13 +159,13 @@
 	return merged
 }
 
-func (s *sum) merge(from Window) {
+func (s *windowSum) merge(from Window) {
 	s.Covered = max(s.Covered, from.Covered)
-	s.Least = min(s.Least, from.Least)
+	s.MinCovered = min(s.MinCovered, from.MinCovered)
 	for _, c := range from.Causes {
-		s.spend(c.Cause, c.Count)
+		s.addCause(c.Cause, c.Count)
 	}
 	for _, p := range from.Series {
-		s.point(p)
+		s.addPoint(p)
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -51,8 +51,8 @@
 	far
 	// full candidates have no free slot, or are held back by slow start.
 	full
-	// barred candidates may not be picked.
-	barred
+	// excluded candidates may not be picked.
+	excluded
 )
 
 // New makes a Chooser.
@@ -69,7 +69,7 @@
 // grows beyond any seen before.
 func (c *Chooser) Choose(candidates []Candidate, tried func(i int) bool) (int, bool) {
 	best := c.rank(candidates, tried)
-	if best == barred {
+	if best == excluded {
 		return 0, false
 	}
 	total := 0.0
@@ -78,10 +78,10 @@
 			total += c.weights[i]
 		}
 	}
-	first := c.draw(best, total)
-	c.tiers[first] = barred
+	first := c.pickWeighted(best, total)
+	c.tiers[first] = excluded
 	rest := total - c.weights[first]
-	second := c.draw(best, rest)
+	second := c.pickWeighted(best, rest)
 	if second < 0 || load(&candidates[first]) <= load(&candidates[second]) {
 		return first, true
 	}
@@ -92,11 +92,11 @@
 func (c *Chooser) rank(candidates []Candidate, tried func(i int) bool) tier {
 	c.tiers = c.tiers[:0]
 	c.weights = c.weights[:0]
-	best := barred
+	best := excluded
 	for i := range candidates {
 		t := c.tierOf(&candidates[i])
-		if t != barred && tried != nil && tried(i) {
-			t = barred
+		if t != excluded && tried != nil && tried(i) {
+			t = excluded
 		}
 		best = min(best, t)
 		c.tiers = append(c.tiers, t)
@@ -108,8 +108,8 @@
 func (c *Chooser) tierOf(u *Candidate) tier {
 	switch {
 	case !u.Usable || u.Weight <= 0 || u.Slots <= 0:
-		return barred
-	case u.InFlight >= room(u) || !c.started(u):
+		return excluded
+	case u.InFlight >= maxInFlight(u) || !c.passesSlowStart(u):
 		return full
 	case u.Domain == c.domain:
 		return near
@@ -118,16 +118,16 @@
 	}
 }
 
-// started holds back an upstream in slow start from all but its share of the
+// passesSlowStart holds back an upstream in slow start from all but its share of the
 // choices. Load alone would not do: an upstream that is alone in its failure
 // domain would get all of that domain's work.
-func (c *Chooser) started(u *Candidate) bool {
+func (c *Chooser) passesSlowStart(u *Candidate) bool {
 	return u.Share >= 1 || c.random.Float64() < u.Share
 }
 
-// draw returns a candidate of the tier, with a chance in proportion to its
+// pickWeighted returns a candidate of the tier, with a chance in proportion to its
 // weight, or -1 if there is none. Total is the sum of the tier's weights.
-func (c *Chooser) draw(t tier, total float64) int {
+func (c *Chooser) pickWeighted(t tier, total float64) int {
 	point := c.random.Float64() * total
 	last := -1
 	for i, other := range c.tiers {
@@ -143,8 +143,8 @@
 	return last
 }
 
-// room is how many requests the upstream may hold before it counts as full.
-func room(u *Candidate) int {
+// maxInFlight is how many requests the upstream may hold before it counts as full.
+func maxInFlight(u *Candidate) int {
 	return int(math.Ceil(float64(u.Slots) * share(u)))
 }
 
@@ -157,10 +157,10 @@
 	return float64(u.InFlight) / (capacity(u) * share(u))
 }
 
-// leastShare keeps the load of an upstream at the very start of its slow start
+// minShare keeps the load of an upstream at the very start of its slow start
 // finite, so that it can still be told from a more loaded one.
-const leastShare = 0.01
+const minShare = 0.01
 
 func share(u *Candidate) float64 {
-	return min(max(u.Share, leastShare), 1)
+	return min(max(u.Share, minShare), 1)
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -116,7 +116,7 @@
 		age  clock.Millis
 		want int
 	}{{-5, 8}, {0, 8}, {clock.Second, 4}, {2 * clock.Second, 0}, {clock.Hour, 0}} {
-		if got := choice.Fade(8, tt.age); got != tt.want {
+		if got := choice.DecayLoad(8, tt.age); got != tt.want {
 			t.Errorf("age %v: got %d, want %d", tt.age, got, tt.want)
 		}
 	}
--- a/choice/rank.go
+++ b/choice/rank.go
@@ -19,10 +19,10 @@
 
 // Costs in parts of a request's worth.
 const (
-	// equalRisk is the risk below which upstreams are held for equally sound:
+	// negligibleRisk is the risk below which upstreams are held for equally sound:
 	// with some hundred outcomes a difference below it is chance, and to follow
 	// it would send all work to one upstream.
-	equalRisk = 0.05
+	negligibleRisk = 0.05
 	// busyCost is that of the last free slot: some upstreams slow down when
 	// they are nearly full.
 	busyCost = 0.08
@@ -31,20 +31,20 @@
 	waitCost = 0.5
 	// farCost is that of bytes between failure domains, and of 1 ms each way.
 	farCost = 0.1
-	// scatter spreads the choices of entries that see the same.
-	scatter = 0.04
+	// costJitter spreads the choices of entries that see the same.
+	costJitter = 0.04
 )
 
-// surveyFarCost is farCost where gates were asked and their figures are new.
-const surveyFarCost = 0.04
+// probedFarCost is farCost where gates were asked and their figures are new.
+const probedFarCost = 0.04
 
-// Cost is that of sending to an upstream whose gate has just told its risk and
+// ProbedCost is that of sending to an upstream whose gate has just told its risk and
 // keeps a slot.
-func Cost(risk float64, near bool) float64 {
+func ProbedCost(risk float64, near bool) float64 {
 	if near {
 		return risk
 	}
-	return risk + surveyFarCost
+	return risk + probedFarCost
 }
 
 // Ranker chooses the option that costs least. It is not safe for concurrent use.
@@ -66,7 +66,7 @@
 		if !options[i].Usable {
 			continue
 		}
-		cost := costOf(&options[i], weight) + scatter*r.random.Float64()
+		cost := costOf(&options[i], weight) + costJitter*r.random.Float64()
 		if best < 0 || cost < lowest {
 			best, lowest = i, cost
 		}
@@ -75,7 +75,7 @@
 }
 
 func costOf(o *Option, weight float64) float64 {
-	cost := weight * max(o.Risk-equalRisk, 0)
+	cost := weight * max(o.Risk-negligibleRisk, 0)
 	if !o.Near {
 		cost += farCost
 	}
--- a/embedding/example_balancer_test.go
+++ b/embedding/example_balancer_test.go
@@ -42,7 +42,7 @@
 // server is one upstream with its verdict.
 type server struct {
 	name     string
-	judge    *health.Judge
+	judge    *health.Detector
 	state    health.State
 	inFlight int
 }
@@ -50,8 +50,8 @@
 const (
 	weight = 100
 	slots  = 3
-	// learnEvery is how many outcomes pass between two looks at what is usual.
-	learnEvery = 20
+	// baselineInterval is how many outcomes pass between two looks at what is usual.
+	baselineInterval = 20
 )
 
 // newBalancer takes a seed, which a program draws anew for each process: two
@@ -93,10 +93,10 @@
 		}
 		began := b.clock.Now()
 		result := b.send(s.name, budget) // without the lock
-		if b.ended(s, r, result, b.clock.Now()-began) {
+		if b.recordResult(s, r, result, b.clock.Now()-began) {
 			return true
 		}
-		if !b.again(r, result, attempts, until) {
+		if !b.shouldRetry(r, result, attempts, until) {
 			return false
 		}
 	}
@@ -106,7 +106,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	b.budget.Request(now)
+	b.budget.RecordRequest(now)
 	return b.rates.Allow(now, "conferme", 0, r.caller, b.quota).OK
 }
 
@@ -139,7 +139,7 @@
 		status := s.judge.Status(now)
 		members[i] = floor.Member{
 			Capacity: weight * slots,
-			Aside:    status.State == health.Aside || status.State == health.Trial,
+			Ejected:  status.State == health.Ejected || status.State == health.Trial,
 			Severity: status.Severity,
 		}
 	}
@@ -155,8 +155,8 @@
 	return uses, candidates
 }
 
-// ended tells the judge what became of an attempt.
-func (b *balancer) ended(s *server, r request, result health.Result, took clock.Millis) bool {
+// recordResult tells the judge what became of an attempt.
+func (b *balancer) recordResult(s *server, r request, result health.Result, took clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
@@ -166,15 +166,15 @@
 		s.state = status.State
 		b.journal(s.name, status)
 	}
-	if b.outcomes++; b.outcomes%learnEvery == 0 {
-		b.learn()
+	if b.outcomes++; b.outcomes%baselineInterval == 0 {
+		b.updateBaselines()
 	}
 	return result == health.Good
 }
 
-// learn tells each judge what is usual, so that a fault common to all servers
+// updateBaselines tells each judge what is usual, so that a fault common to all servers
 // sets none of them aside.
-func (b *balancer) learn() {
+func (b *balancer) updateBaselines() {
 	own := make([]health.Baseline, 0, len(b.servers))
 	for _, s := range b.servers {
 		own = append(own, s.judge.Own())
@@ -185,23 +185,23 @@
 	}
 }
 
-// again asks the budget whether a failed request is sent once more.
-func (b *balancer) again(r request, result health.Result, attempts int, until clock.Millis) bool {
+// shouldRetry asks the budget whether a failed request is sent once more.
+func (b *balancer) shouldRetry(r request, result health.Result, attempts int, until clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	b.budget.Refused(now, result == health.Shed)
+	b.budget.RecordReply(now, result == health.Shed)
 	kind := retry.Failed
 	switch result {
 	case health.Shed:
 		kind = retry.NotRun
 	case health.Overdue:
-		kind = retry.Silent
+		kind = retry.NoResponse
 	default:
 	}
 	d := b.budget.Decide(now, retry.Attempt{
-		Result: kind, ForLoad: result == health.Shed, Repeatable: r.repeatable,
-		Tried: attempts, Remaining: until - now, Untried: len(b.servers) - attempts,
+		Result: kind, RefusedForLoad: result == health.Shed, Repeatable: r.repeatable,
+		Attempts: attempts, Remaining: until - now, Untried: len(b.servers) - attempts,
 	})
 	if d.Retry {
 		b.retries++
@@ -224,7 +224,7 @@
 	}
 	aside := map[string]bool{}
 	b.journal = func(server string, s health.Status) {
-		if s.State == health.Aside && !aside[server] {
+		if s.State == health.Ejected && !aside[server] {
 			aside[server] = true
 			fmt.Println("set aside:", server)
 		}
--- a/embedding/example_edition_test.go
+++ b/embedding/example_edition_test.go
@@ -20,9 +20,9 @@
 	text  string
 }
 
-// hear takes in an edition that was read whole and checked. A version that is
+// receiveUpdate takes in an edition that was read whole and checked. A version that is
 // merely heard of must not be offered: see edition.Offer.
-func (m *member) hear(p published) edition.Verdict {
+func (m *member) receiveUpdate(p published) edition.Verdict {
 	offer := edition.Offer{Version: p.version, Digest: table.Digest([]byte(p.text)), Source: p.source}
 	verdict := m.fence.Offer(offer)
 	if verdict == edition.Accept {
@@ -43,17 +43,17 @@
 	}
 	one, other := member{fence: edition.New()}, member{fence: edition.New()}
 	for _, p := range editions {
-		one.hear(p)
+		one.receiveUpdate(p)
 	}
 	for i := len(editions) - 1; i >= 0; i-- {
 		editions[i].source = edition.Peer
-		other.hear(editions[i])
+		other.receiveUpdate(editions[i])
 	}
 	fmt.Println("same text:", one.text == other.text)
 	fmt.Println("version:", one.fence.Current().Version, other.fence.Current().Version)
 	_, contested := one.fence.Rival()
 	fmt.Println("tell the operators of a lost edit:", contested)
-	fmt.Println("stale replica:", one.hear(editions[0]))
+	fmt.Println("stale replica:", one.receiveUpdate(editions[0]))
 	// Output:
 	// same text: true
 	// version: 2 2
--- a/embedding/example_floor_test.go
+++ b/embedding/example_floor_test.go
@@ -12,9 +12,9 @@
 	severities := []float64{0, 0.9, 0.4, 0.7, 0, 0.8}
 	members := make([]floor.Member, 0, len(severities))
 	for _, s := range severities {
-		members = append(members, floor.Member{Capacity: 300, Aside: s > 0, Severity: s})
+		members = append(members, floor.Member{Capacity: 300, Ejected: s > 0, Severity: s})
 	}
-	names := map[floor.Use]string{floor.Normal: "normal", floor.Forced: "forced", floor.Aside: "aside"}
+	names := map[floor.Use]string{floor.Normal: "normal", floor.Forced: "forced", floor.Ejected: "aside"}
 	for i, use := range floor.Decide(nil, 0.5, members) {
 		fmt.Println(i+1, names[use])
 	}
--- a/embedding/example_lease_test.go
+++ b/embedding/example_lease_test.go
@@ -56,8 +56,8 @@
 	return "run"
 }
 
-// settle says what became of a dispatch, and voids it if it hasn't begun.
-func (w *worker) settle(d dispatch) string {
+// resolve says what became of a dispatch, and voids it if it hasn't begun.
+func (w *worker) resolve(d dispatch) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	what, result := w.fence.Settle(w.clock.Now(), d.key, d.incarnation, d.lease)
@@ -101,10 +101,10 @@
 	first := s.dispatch()
 	fmt.Println("arrives:", w.receive(first))
 	fmt.Println("arrives twice:", w.receive(first))
-	fmt.Println("its answer is lost:", w.settle(first))
+	fmt.Println("its answer is lost:", w.resolve(first))
 
 	second := s.dispatch()
-	fmt.Println("no answer:", w.settle(second))
+	fmt.Println("no answer:", w.resolve(second))
 	fmt.Println("arrives after all:", w.receive(second))
 
 	third := s.dispatch()
@@ -113,7 +113,7 @@
 
 	fourth := s.dispatch()
 	replaced := newWorker(8, 0)
-	fmt.Println("the worker was replaced:", replaced.settle(fourth))
+	fmt.Println("the worker was replaced:", replaced.resolve(fourth))
 	fmt.Println("runs:", w.ran+replaced.ran)
 	// Output:
 	// arrives: run
--- a/embedding/example_path_test.go
+++ b/embedding/example_path_test.go
@@ -7,24 +7,24 @@
 	"fuchsiapick.example/fuchsiapick/path"
 )
 
-const beat = clock.Second / 2
+const heartbeatInterval = clock.Second / 2
 
 // A one-way partition: this process goes on hearing a peer that no longer hears
 // it. The peer's beats say when it last heard from here, which gives it away.
 // The program sends the beats, and opens a new connection when Redial says so.
 func Example_path() {
 	var now clock.Manual
-	j := path.New(path.Config{Beat: beat, Seed: 1})
+	j := path.New(path.Config{Beat: heartbeatInterval, Seed: 1})
 	names := map[path.State]string{path.Good: "good", path.Doubted: "doubted", path.Lost: "lost"}
 	last := ""
 	j.Redial(now.Now())
 	j.Opened(now.Now())
 	for now.Now() < 20*clock.Second {
-		now.Advance(beat)
+		now.Advance(heartbeatInterval)
 		open := now.Now() < 5*clock.Second || now.Now() > 10*clock.Second
 		heard := now.Now() // when the peer last heard from here
 		if !open {
-			heard = 5*clock.Second - beat
+			heard = 5*clock.Second - heartbeatInterval
 		}
 		j.Heard(now.Now())
 		j.Echoed(now.Now(), heard)
--- a/embedding/example_slots_test.go
+++ b/embedding/example_slots_test.go
@@ -14,10 +14,10 @@
 	s := limit.NewSlots(limit.SlotsConfig{Slots: 1, Queue: 1, Seed: 1})
 	deadline := now.Now() + clock.Second
 
-	fmt.Println("first runs:", s.Offer(now.Now(), 1, deadline).Answer == limit.Run)
-	fmt.Println("second waits:", s.Offer(now.Now(), 2, deadline).Answer == limit.Wait)
-	third := s.Offer(now.Now(), 3, deadline)
-	fmt.Println("third is not run:", third.Answer == limit.Full)
+	fmt.Println("first runs:", s.AcquireUntil(now.Now(), 1, deadline).Result == limit.Run)
+	fmt.Println("second waits:", s.AcquireUntil(now.Now(), 2, deadline).Result == limit.Wait)
+	third := s.AcquireUntil(now.Now(), 3, deadline)
+	fmt.Println("third is not run:", third.Result == limit.Full)
 	fmt.Println("and is told when to come back:", third.RetryAfter > 0)
 
 	now.Advance(20)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -45,7 +45,7 @@
 		return unsent
 	}
 	outcome := r.await(d, &a, w, untried)
-	if r.hasLeft() || (outcome.kind == retry.Silent && r.repeatable) || outcome.reason == string(wire.ReasonStalled) {
+	if r.hasLeft() || (outcome.kind == retry.NoResponse && r.repeatable) || outcome.reason == string(wire.ReasonStalled) {
 		a.member.target.Abandon(d.ID, d.Attempt) // frees its slot, or its place in a queue
 	} else {
 		a.member.target.Forget(d.ID, d.Attempt)
@@ -85,7 +85,7 @@
 		Bounded:    a.bounded,
 		Usual:      usual.Median,
 		Spread:     wire.Short(usual.Spread),
-		Hanging:    uint8(usual.Hanging),
+		Hanging:    uint8(usual.HangShare),
 		Baseline:   r.baseline,
 	}
 	r.stamp(now, d)
@@ -156,7 +156,7 @@
 func (r *request) told(e event) (result, bool) {
 	switch {
 	case e.kind == abandoned:
-		return result{kind: retry.Silent, reason: string(wire.ReasonLeft)}, true
+		return result{kind: retry.NoResponse, reason: string(wire.ReasonLeft)}, true
 	case e.kind == replied:
 		return resultOf(e.reply), true
 	case e.kind == voided:
@@ -164,9 +164,9 @@
 	case e.kind == unsent:
 		return result{kind: retry.NotRun, reason: access.ReasonUnreachable}, true
 	case e.kind == forgotten:
-		return result{kind: retry.Silent, reason: reasonReplaced}, true
+		return result{kind: retry.NoResponse, reason: reasonReplaced}, true
 	case e.kind == lost && r.repeatable:
-		return result{kind: retry.Silent, reason: access.ReasonUnreachable}, true
+		return result{kind: retry.NoResponse, reason: access.ReasonUnreachable}, true
 	default:
 		return result{}, false
 	}
@@ -175,7 +175,7 @@
 // overtime acts at the end of a wait, and returns false if another begins.
 func (r *request) overtime(v *waiting) (result, bool) {
 	d := v.dispatch
-	silent := result{kind: retry.Silent, reason: reasonSilent}
+	silent := result{kind: retry.NoResponse, reason: reasonSilent}
 	switch {
 	case v.linking && v.target.Withdraw(d.ID, d.Attempt):
 		return result{kind: retry.NotRun, reason: access.ReasonUnreachable}, true
--- a/entry/brief.go
+++ b/entry/brief.go
@@ -160,7 +160,7 @@
 // No upstream has seen the request, so that neither the retry budget nor the
 // route's bound on upstreams is touched.
 func (r *request) asksOn(o *result) bool {
-	if r.config.Caution != table.Brief || o.kind != retry.NotRun || o.arrived || r.refused >= retry.MostRefused {
+	if r.config.Caution != table.Brief || o.kind != retry.NotRun || o.arrived || r.refused >= retry.MaxRefused {
 		return false
 	}
 	if o.full {
@@ -192,7 +192,7 @@
 	for i, m := range s.members {
 		usable := s.uses[i] == floor.Normal || s.uses[i] == floor.Forced
 		if look.aside {
-			usable = s.uses[i] == floor.Aside
+			usable = s.uses[i] == floor.Ejected
 		}
 		risk := m.severity(now, true)
 		usable = usable && !slices.Contains(look.tried, m)
@@ -201,7 +201,7 @@
 		}
 		s.options = append(s.options, choice.Option{
 			Risk:   risk,
-			Load:   max(m.sent, choice.Fade(m.state.InFlight+m.state.Waiting, now-m.heard)),
+			Load:   max(m.sent, choice.DecayLoad(m.state.InFlight+m.state.Waiting, now-m.heard)),
 			Slots:  m.upstream.Slots,
 			Near:   m.upstream.Domain == s.domain,
 			Usable: usable,
@@ -209,7 +209,7 @@
 	}
 	again := look.again && untried > 0
 	if again {
-		s.keepInView(now, s.reach.Asked(now))
+		s.keepInView(now, s.reach.RecordRequest(now))
 		if i, wanted := s.invitation(now, look.tried); wanted {
 			return s.send(now, i), untried, true
 		}
@@ -255,7 +255,7 @@
 // held.
 func (s *service) invitation(now clock.Millis, tried []*member) (int, bool) {
 	for i, m := range s.members {
-		if m.invited > 0 && m.invited >= now && s.uses[i] != floor.Gone && !slices.Contains(tried, m) {
+		if m.invited > 0 && m.invited >= now && s.uses[i] != floor.Unavailable && !slices.Contains(tried, m) {
 			m.invited = 0
 			return i, true
 		}
--- a/entry/enquire.go
+++ b/entry/enquire.go
@@ -118,7 +118,7 @@
 		return false
 	}
 	near := s.places[a.place].upstream.Domain == s.request.entry.config.Domain
-	if cost := choice.Cost(a.hold.Upstream.Severity, near); s.held < 0 || cost < s.cost {
+	if cost := choice.ProbedCost(a.hold.Upstream.Severity, near); s.held < 0 || cost < s.cost {
 		s.held, s.cost = a.place, cost
 	}
 	return true
--- a/entry/member.go
+++ b/entry/member.go
@@ -29,7 +29,7 @@
 // heartbeat says so.
 func (m *member) verdict(now clock.Millis) health.State {
 	state := health.State(m.state.State)
-	if state == health.Aside && now >= m.heard+m.state.Until {
+	if state == health.Ejected && now >= m.heard+m.state.Until {
 		return health.Trial
 	}
 	return state
@@ -38,13 +38,13 @@
 // setAside reports a verdict that the floor decides about.
 func (m *member) setAside(now clock.Millis) bool {
 	state := m.verdict(now)
-	return state == health.Aside || state == health.Trial
+	return state == health.Ejected || state == health.Trial
 }
 
 // isAside reports a verdict that the floor decides about.
 func (m *member) isAside(now clock.Millis, brief bool) bool {
 	if brief {
-		return m.severity(now, brief) >= grade.Aside
+		return m.severity(now, brief) >= grade.EjectThreshold
 	}
 	return m.setAside(now)
 }
@@ -63,7 +63,7 @@
 		Domain:   m.upstream.Domain,
 		Weight:   m.upstream.Weight,
 		Slots:    m.upstream.Slots,
-		InFlight: max(m.sent, choice.Fade(m.state.InFlight+m.state.Waiting, now-m.heard)),
+		InFlight: max(m.sent, choice.DecayLoad(m.state.InFlight+m.state.Waiting, now-m.heard)),
 		Share:    m.share(now) * m.relative(best),
 		Usable:   usable,
 	}
--- a/entry/move.go
+++ b/entry/move.go
@@ -48,7 +48,7 @@
 // that is denied would be lost.
 func (r *request) mayMove(o *result, untried int) bool {
 	a := r.attempted(o, untried+1) // the place itself is one that wasn't tried
-	a.Ran++
+	a.Runs++
 	return r.service.retry(r.entry.config.Now(), a).Retry
 }
 
--- a/entry/move_test.go
+++ b/entry/move_test.go
@@ -103,7 +103,7 @@
 	second := &desk{name: "second", take: fails}
 	s := table.Service{Name: "conferme", Caution: table.Brief, Floor: 0.3, Deadline: clock.Minute}
 	e := beforeService(t, s, []string{table.AnyMethod}, first, second)
-	for range retry.LeastBurst {
+	for range retry.MinBurst {
 		post(e)
 	}
 	first.take, second.take = stalls(answer), stalls(answer)
--- a/entry/paces.go
+++ b/entry/paces.go
@@ -19,24 +19,24 @@
 // It is safe for concurrent use.
 type paces struct {
 	mu  sync.Mutex
-	all map[string]*grade.Pace
+	all map[string]*grade.LatencyProfile
 	// failures is how upstreams fail, by service.
-	failures map[string]*grade.Failures
+	failures map[string]*grade.FailureModes
 }
 
 func newPaces() *paces {
-	return &paces{all: map[string]*grade.Pace{}, failures: map[string]*grade.Failures{}}
+	return &paces{all: map[string]*grade.LatencyProfile{}, failures: map[string]*grade.FailureModes{}}
 }
 
 // pace returns that of a route. The lock is held.
-func (p *paces) pace(r *table.Route) *grade.Pace {
+func (p *paces) pace(r *table.Route) *grade.LatencyProfile {
 	key := strings.ToLower(r.Host) + r.Prefix
 	one, ok := p.all[key]
 	if !ok {
 		if len(p.all) >= mostPaces {
 			clear(p.all)
 		}
-		one = &grade.Pace{}
+		one = &grade.LatencyProfile{}
 		p.all[key] = one
 	}
 	return one
@@ -44,16 +44,16 @@
 
 // usual is what the request's run usually takes; nothing is told where upstreams aren't
 // judged by it.
-func (r *request) usual() grade.Usual {
+func (r *request) usual() grade.TypicalLatency {
 	if r.config.Caution != table.Brief {
-		return grade.Usual{}
+		return grade.TypicalLatency{}
 	}
 	p := r.entry.paces
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual := p.pace(r.route).Usual(r.route.Target)
+	usual := p.pace(r.route).Estimate(r.route.Target)
 	if f, ok := p.failures[r.target]; ok {
-		usual.Hanging = f.Told()
+		usual.HangShare = f.Published()
 	}
 	return usual
 }
@@ -68,7 +68,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if isStalled {
-		p.failing(r.target).Hung(1)
+		p.failing(r.target).AddHung(1)
 		return
 	}
 	pace := p.pace(r.route)
@@ -77,17 +77,17 @@
 		pace.Observe(o.reply.Took)
 	case o.kind != retry.Failed, o.reason == string(wire.ReasonLeft):
 	case o.reason == string(wire.ReasonTimeout):
-		p.failing(r.target).Hung(1 - pace.Usual(r.route.Target).Beyond(o.reply.Took))
-	case o.reply.Took < grade.AtOnce:
-		p.failing(r.target).AtOnce(o.reply.Upstream.Severity)
+		p.failing(r.target).AddHung(1 - pace.Estimate(r.route.Target).Survival(o.reply.Took))
+	case o.reply.Took < grade.ImmediateWindow:
+		p.failing(r.target).AddImmediate(o.reply.Upstream.Severity)
 	}
 }
 
 // failing returns how a service fails. The lock is held.
-func (p *paces) failing(service string) *grade.Failures {
+func (p *paces) failing(service string) *grade.FailureModes {
 	f, ok := p.failures[service]
 	if !ok {
-		f = &grade.Failures{}
+		f = &grade.FailureModes{}
 		p.failures[service] = f
 	}
 	return f
@@ -97,5 +97,5 @@
 func (p *paces) forget(named func(service string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.failures, func(service string, _ *grade.Failures) bool { return !named(service) })
+	maps.DeleteFunc(p.failures, func(service string, _ *grade.FailureModes) bool { return !named(service) })
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -273,17 +273,17 @@
 // attempted describes the last try for the decision on another one.
 func (r *request) attempted(o *result, untried int) retry.Attempt {
 	return retry.Attempt{
-		Result:     o.kind,
-		ForLoad:    o.full,
-		Repeatable: r.repeatable,
-		Tried:      r.sends,
-		Refused:    r.refused,
-		Shed:       r.shed,
-		Ran:        r.ran,
-		MostRan:    r.route.Attempts,
-		Remaining:  r.deadline - r.entry.config.Now(),
-		RetryAfter: o.after,
-		Untried:    r.placesLeft(untried),
+		Result:         o.kind,
+		RefusedForLoad: o.full,
+		Repeatable:     r.repeatable,
+		Attempts:       r.sends,
+		Refused:        r.refused,
+		Shed:           r.shed,
+		Runs:           r.ran,
+		MaxRuns:        r.route.Attempts,
+		Remaining:      r.deadline - r.entry.config.Now(),
+		RetryAfter:     o.after,
+		Untried:        r.placesLeft(untried),
 	}
 }
 
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -30,7 +30,7 @@
 		}}})
 	}
 	e.Update(listed(1))
-	e.Heard(wire.Upstream{Name: "c1", State: uint8(health.Aside), Severity: 1, Until: clock.Minute})
+	e.Heard(wire.Upstream{Name: "c1", State: uint8(health.Ejected), Severity: 1, Until: clock.Minute})
 	before := e.States()[0].State
 	e.Update(listed(2))
 	if after := e.States()[0].State; after == before {
--- a/entry/service.go
+++ b/entry/service.go
@@ -46,7 +46,7 @@
 	dirty    bool
 	recheck  clock.Millis // when the first hold-off ends; 0 without one
 	uses     []floor.Use
-	reach    grade.Reach
+	reach    grade.LinkCount
 	roster   *resend.Roster
 	nodes    map[string]Target // the ways to the roster's
 
@@ -74,7 +74,7 @@
 }
 
 func budgetOf(c table.Service, seed uint64) retry.Config {
-	return retry.Config{Share: c.Retries, Granted: c.Window > 0, Seed: seed}
+	return retry.Config{Share: c.Retries, GateQuotas: c.Window > 0, Seed: seed}
 }
 
 // update puts a table edit in force. What is known of upstreams that stay is
@@ -174,7 +174,7 @@
 	switch s.uses[i] {
 	case floor.Normal, floor.Forced:
 		return true
-	case floor.Aside:
+	case floor.Ejected:
 		return repeatable && s.members[i].verdict(now) == health.Trial
 	default:
 		return false
@@ -251,15 +251,15 @@
 	s.recheck = 0
 	brief := s.config.Caution == table.Brief
 	for _, m := range s.members {
-		if end := m.heard + m.state.Until; m.verdict(now) == health.Aside && (s.recheck == 0 || end < s.recheck) {
+		if end := m.heard + m.state.Until; m.verdict(now) == health.Ejected && (s.recheck == 0 || end < s.recheck) {
 			s.recheck = end
 		}
 		s.floors = append(s.floors, floor.Member{
-			Capacity: float64(m.upstream.Weight * m.upstream.Slots),
-			Aside:    m.isAside(now, brief),
-			Severity: m.severity(now, brief),
-			Leaving:  m.state.Leaving || m.gone,
-			Lost:     m.lost || m.state.Down,
+			Capacity:    float64(m.upstream.Weight * m.upstream.Slots),
+			Ejected:     m.isAside(now, brief),
+			Severity:    m.severity(now, brief),
+			Leaving:     m.state.Leaving || m.gone,
+			Unreachable: m.lost || m.state.Down,
 		})
 	}
 	before := append([]floor.Use(nil), s.uses...)
@@ -327,7 +327,7 @@
 	defer s.mu.Unlock()
 	m.sent--
 	if o.reply != nil {
-		s.budget.Refused(now, o.full)
+		s.budget.RecordReply(now, o.full)
 	}
 }
 
@@ -341,14 +341,14 @@
 func (s *service) spread(span clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Spread(span)
+	return s.budget.AddJitter(span)
 }
 
 // admit counts a request and returns the service as the table has it.
 func (s *service) admit(now clock.Millis) (table.Service, wire.Baseline) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Request(now)
+	s.budget.RecordRequest(now)
 	told := s.baseline
 	told.Age += now - s.computed
 	return s.config, wire.BaselineOf(told)
--- a/entry/trail.go
+++ b/entry/trail.go
@@ -128,8 +128,8 @@
 
 // verdictOnRetry keeps why a request was not sent again, for its log line.
 func (r *request) verdictOnRetry(d retry.Decision) {
-	r.why = d.Why
-	if d.Why == retry.TooMany && r.denied > 0 {
+	r.why = d.Reason
+	if d.Reason == retry.TooManyAttempts && r.denied > 0 {
 		r.why = retry.NoBudget
 	}
 }
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -19,7 +19,7 @@
 		heard wire.Upstream
 	}{
 		{"on trial", wire.Upstream{Name: "b", State: uint8(health.Trial), Severity: 0.6, Until: clock.Minute}},
-		{"hold-off over since it was heard", wire.Upstream{Name: "b", State: uint8(health.Aside), Severity: 0.6}},
+		{"hold-off over since it was heard", wire.Upstream{Name: "b", State: uint8(health.Ejected), Severity: 0.6}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			for _, name := range []string{"a", "b"} {
 				s.join(name)
 				s.ways[name].told = s.entry.Heard
-				s.ways[name].verdict = &wire.Upstream{Name: name, State: uint8(health.Aside), Severity: 0.6, Until: clock.Minute}
+				s.ways[name].verdict = &wire.Upstream{Name: name, State: uint8(health.Ejected), Severity: 0.6, Until: clock.Minute}
 			}
 			s.ways["a"].verdict.Severity = tt.severity
 			s.publish()
--- a/entry/view.go
+++ b/entry/view.go
@@ -36,7 +36,7 @@
 	first := clock.Millis(0)
 	for _, m := range s.members {
 		left := m.heard + m.state.Until - now
-		if m.verdict(now) == health.Aside && (first == 0 || left < first) {
+		if m.verdict(now) == health.Ejected && (first == 0 || left < first) {
 			first = left
 		}
 	}
--- a/floor/floor.go
+++ b/floor/floor.go
@@ -11,14 +11,14 @@
 type Member struct {
 	// Capacity is the upstream's table weight times its slots.
 	Capacity float64
-	// Aside is the verdict of the upstream's gate.
-	Aside bool
+	// Ejected is the verdict of the upstream's gate.
+	Ejected bool
 	// Severity orders verdicts: the higher, the worse the upstream serves.
 	Severity float64
 	// Leaving says that the upstream takes no new work.
 	Leaving bool
-	// Lost says that this entry can't reach the upstream's gate, or this its backend server.
-	Lost bool
+	// Unreachable says that this entry can't reach the upstream's gate, or this its backend server.
+	Unreachable bool
 }
 
 // Use says what an entry does with one upstream.
@@ -31,10 +31,10 @@
 	// Forced upstreams get work in spite of their gate's verdict, under a mark
 	// that tells the gate to serve it.
 	Forced
-	// Aside upstreams get no work: their gate's verdict is honoured.
-	Aside
-	// Gone upstreams get no work: they are leaving, lost or without capacity.
-	Gone
+	// Ejected upstreams get no work: their gate's verdict is honoured.
+	Ejected
+	// Unavailable upstreams get no work: they are leaving, lost or without capacity.
+	Unavailable
 )
 
 // tolerance is the part of the whole capacity by which rounding may hide that
@@ -54,10 +54,10 @@
 	total, left := 0.0, 0.0
 	for i := range members {
 		m := &members[i]
-		use := initial(m)
+		use := initialUse(m)
 		dst = append(dst, use)
 		total += max(m.Capacity, 0)
-		if use != Gone {
+		if use != Unavailable {
 			left += m.Capacity
 		}
 	}
@@ -67,17 +67,17 @@
 		if worst < 0 || !(left-members[worst].Capacity >= least) {
 			return dst
 		}
-		dst[worst] = Aside
+		dst[worst] = Ejected
 		left -= members[worst].Capacity
 	}
 }
 
-// initial returns a member's use before any verdict is honoured.
-func initial(m *Member) Use {
+// initialUse returns a member's use before any verdict is honoured.
+func initialUse(m *Member) Use {
 	switch {
-	case m.Leaving, m.Lost, !(m.Capacity > 0):
-		return Gone
-	case m.Aside:
+	case m.Leaving, m.Unreachable, !(m.Capacity > 0):
+		return Unavailable
+	case m.Ejected:
 		return Forced
 	default:
 		return Normal
--- a/floor/floor_test.go
+++ b/floor/floor_test.go
@@ -22,10 +22,10 @@
 
 func TestDecide(t *testing.T) {
 	sick := func(severity float64) floor.Member {
-		return floor.Member{Capacity: 3, Aside: true, Severity: severity}
+		return floor.Member{Capacity: 3, Ejected: true, Severity: severity}
 	}
 	well := floor.Member{Capacity: 3}
-	lost := floor.Member{Capacity: 3, Lost: true}
+	lost := floor.Member{Capacity: 3, Unreachable: true}
 	tests := []struct {
 		name    string
 		share   float64
@@ -33,22 +33,22 @@
 		want    []floor.Use
 	}{
 		{"none", 0.5, nil, []floor.Use{}},
-		{"one sick of three", 0.5, []floor.Member{well, sick(1), well}, []floor.Use{floor.Normal, floor.Aside, floor.Normal}},
-		{"floor met exactly in spite of rounding", 0.56, repeat(floor.Member{Capacity: 1, Aside: true}, 11, floor.Member{Capacity: 1}, 14), repeat(floor.Aside, 11, floor.Normal, 14)},
-		{"worst first", 0.6, []floor.Member{sick(2), sick(5), well}, []floor.Use{floor.Forced, floor.Aside, floor.Normal}},
-		{"all sick alike", 0.6, []floor.Member{sick(1), sick(1), sick(1)}, []floor.Use{floor.Aside, floor.Forced, floor.Forced}},
-		{"losses took the floor", 0.6, []floor.Member{sick(1), lost, lost}, []floor.Use{floor.Forced, floor.Gone, floor.Gone}},
-		{"no floor", 0, []floor.Member{sick(1), sick(1)}, []floor.Use{floor.Aside, floor.Aside}},
+		{"one sick of three", 0.5, []floor.Member{well, sick(1), well}, []floor.Use{floor.Normal, floor.Ejected, floor.Normal}},
+		{"floor met exactly in spite of rounding", 0.56, repeat(floor.Member{Capacity: 1, Ejected: true}, 11, floor.Member{Capacity: 1}, 14), repeat(floor.Ejected, 11, floor.Normal, 14)},
+		{"worst first", 0.6, []floor.Member{sick(2), sick(5), well}, []floor.Use{floor.Forced, floor.Ejected, floor.Normal}},
+		{"all sick alike", 0.6, []floor.Member{sick(1), sick(1), sick(1)}, []floor.Use{floor.Ejected, floor.Forced, floor.Forced}},
+		{"losses took the floor", 0.6, []floor.Member{sick(1), lost, lost}, []floor.Use{floor.Forced, floor.Unavailable, floor.Unavailable}},
+		{"no floor", 0, []floor.Member{sick(1), sick(1)}, []floor.Use{floor.Ejected, floor.Ejected}},
 		{"whole floor", 1, []floor.Member{sick(1), well}, []floor.Use{floor.Forced, floor.Normal}},
 		{
 			"a lesser verdict doesn't overtake", 0.6,
-			[]floor.Member{{Capacity: 30, Aside: true, Severity: 9}, sick(1), {Capacity: 15}},
+			[]floor.Member{{Capacity: 30, Ejected: true, Severity: 9}, sick(1), {Capacity: 15}},
 			[]floor.Use{floor.Forced, floor.Forced, floor.Normal},
 		},
 		{
 			"leaving and without capacity", 0.5,
-			[]floor.Member{{Capacity: 3, Leaving: true, Aside: true}, {Aside: true}, {Capacity: math.NaN()}, well},
-			[]floor.Use{floor.Gone, floor.Gone, floor.Gone, floor.Normal},
+			[]floor.Member{{Capacity: 3, Leaving: true, Ejected: true}, {Ejected: true}, {Capacity: math.NaN()}, well},
+			[]floor.Use{floor.Unavailable, floor.Unavailable, floor.Unavailable, floor.Normal},
 		},
 	}
 	for _, tt := range tests {
@@ -88,13 +88,13 @@
 func step(t *rapid.T, m *floor.Member) {
 	switch rapid.IntRange(0, 4).Draw(t, "event") {
 	case 0:
-		m.Aside, m.Severity = true, float64(rapid.IntRange(0, 5).Draw(t, "severity"))
+		m.Ejected, m.Severity = true, float64(rapid.IntRange(0, 5).Draw(t, "severity"))
 	case 1:
-		m.Aside = false
+		m.Ejected = false
 	case 2:
 		m.Leaving = !m.Leaving
 	case 3:
-		m.Lost = !m.Lost
+		m.Unreachable = !m.Unreachable
 	case 4:
 		m.Capacity = float64(rapid.IntRange(0, 4).Draw(t, "weight") * rapid.IntRange(1, 7).Draw(t, "slots"))
 	}
@@ -105,19 +105,19 @@
 	best, worst := math.Inf(1), -1
 	for i, m := range members {
 		total += m.Capacity
-		gone := m.Leaving || m.Lost || m.Capacity <= 0
-		if got := uses[i] == floor.Gone; got != gone {
+		gone := m.Leaving || m.Unreachable || m.Capacity <= 0
+		if got := uses[i] == floor.Unavailable; got != gone {
 			t.Fatalf("member %d: got gone %v, want %v", i, got, gone)
 		}
 		if gone {
 			continue
 		}
 		present += m.Capacity
-		if want := m.Aside; (uses[i] != floor.Normal) != want {
+		if want := m.Ejected; (uses[i] != floor.Normal) != want {
 			t.Fatalf("member %d: got %v with verdict %v", i, uses[i], want)
 		}
 		switch {
-		case uses[i] == floor.Aside:
+		case uses[i] == floor.Ejected:
 			best = min(best, m.Severity)
 			continue
 		case uses[i] == floor.Forced && (worst < 0 || m.Severity > members[worst].Severity):
@@ -159,7 +159,7 @@
 			for i, c := range capacity {
 				members[i] = floor.Member{
 					Capacity: float64(c),
-					Aside:    rapid.Bool().Draw(t, "aside"),
+					Ejected:  rapid.Bool().Draw(t, "aside"),
 					Severity: rapid.Float64Range(0, 9).Draw(t, "severity"),
 				}
 			}
@@ -189,7 +189,7 @@
 func fortyNine() []floor.Member {
 	members := make([]floor.Member, 49)
 	for i := range members {
-		members[i] = floor.Member{Capacity: 5, Aside: i%3 == 0, Severity: float64(i * 7 % 11)}
+		members[i] = floor.Member{Capacity: 5, Ejected: i%3 == 0, Severity: float64(i * 7 % 11)}
 	}
 	return members
 }
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -142,7 +142,7 @@
 	g.crash.isDown = true
 	g.change()
 	time.AfterFunc(returnEvery.Duration(), g.awaitReturn)
-	return g.giveUp(now, g.slots.Dismiss(), wire.ReasonRefused)
+	return g.giveUp(now, g.slots.Flush(), wire.ReasonRefused)
 }
 
 // change asks for news of the gate to be told at once.
--- a/gate/enquire.go
+++ b/gate/enquire.go
@@ -51,10 +51,10 @@
 // enquiry waits. The gate's lock is held.
 func (g *Gate) queue(now clock.Millis, p *place) (reason wire.Reason, after clock.Millis, isWaiting bool) {
 	g.tickets++
-	ask := limit.Ask{
+	ask := limit.Request{
 		Ticket: g.tickets, Deadline: now + p.enquiry.Budget, Until: now + p.enquiry.Patience, Priority: p.enquiry.Priority,
 	}
-	switch offer := g.slots.Ask(now, ask); offer.Answer {
+	switch offer := g.slots.Acquire(now, ask); offer.Result {
 	case limit.Run:
 		g.hold(p.key)
 		return "", 0, false
@@ -87,7 +87,7 @@
 		if p.key == key {
 			p.timer.Stop()
 			delete(g.places, ticket)
-			g.slots.Withdraw(ticket)
+			g.slots.Cancel(ticket)
 		}
 	}
 	var calls []func()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -50,7 +50,7 @@
 // judgeOf returns the judge that a service's caution asks for.
 func judgeOf(caution table.Caution, seed uint64) Judge {
 	if caution == table.Brief {
-		return grade.NewJudge()
+		return grade.NewDetector()
 	}
 	return health.New(health.Config{Caution: caution, Seed: seed})
 }
@@ -199,7 +199,7 @@
 }
 
 func quotaOf(s *table.Service) retry.QuotaConfig {
-	return retry.QuotaConfig{Share: s.Retries, Extra: s.Extra, Window: s.Window, Parts: len(s.Upstreams)}
+	return retry.QuotaConfig{Share: s.Retries, Extra: s.Extra, Window: s.Window, Upstreams: len(s.Upstreams)}
 }
 
 // Handle takes in a dispatch. The answer function is called once, or never for
@@ -281,8 +281,8 @@
 	if d.Bounded {
 		patience = now
 	}
-	offer := g.slots.Ask(now, limit.Ask{Ticket: j.ticket, Deadline: j.until, Until: patience, Priority: d.Priority})
-	switch offer.Answer {
+	offer := g.slots.Acquire(now, limit.Request{Ticket: j.ticket, Deadline: j.until, Until: patience, Priority: d.Priority})
+	switch offer.Result {
 	case limit.Run:
 		g.jobs[j.ticket] = j
 		g.mu.Unlock()
--- a/gate/journal.go
+++ b/gate/journal.go
@@ -24,7 +24,7 @@
 	}
 	g.state = s.State
 	e := access.Event{At: now, Kind: kindOf(s.State), Reason: s.Evidence.Reason}
-	if s.State == health.Aside {
+	if s.State == health.Ejected {
 		e.Until = s.Until
 		e.Evidence = evidenceOf(s.Evidence)
 	}
@@ -45,14 +45,14 @@
 	}
 	before := g.level
 	g.level = grade.LevelOf(severity)
-	if g.config.Changed != nil && grade.IsNews(before, g.level) {
+	if g.config.Changed != nil && grade.ShouldAnnounce(before, g.level) {
 		g.config.Changed()
 	}
 }
 
 func kindOf(s health.State) access.EventKind {
 	switch s {
-	case health.Aside:
+	case health.Ejected:
 		return access.SetAside
 	case health.Trial:
 		return access.Trial
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -45,5 +45,5 @@
 	g.leftAt = g.config.Now()
 	g.log.WithField("reason", reason).Info("leaving")
 	g.note(access.Event{At: g.leftAt, Kind: access.Leaving, Reason: reason})
-	return g.giveUp(g.leftAt, g.slots.Dismiss(), wire.ReasonLeaving)
+	return g.giveUp(g.leftAt, g.slots.Flush(), wire.ReasonLeaving)
 }
--- a/gate/refuse.go
+++ b/gate/refuse.go
@@ -39,7 +39,7 @@
 
 // grants reports whether the service's retry budget has room for a retry here.
 func (g *Gate) grants(now clock.Millis) bool {
-	return g.quota.Allows(now, g.judge.Status(now).State == health.Aside)
+	return g.quota.Allows(now, g.judge.Status(now).State == health.Ejected)
 }
 
 // refuse answers that a dispatch was not run. It unlocks the gate.
--- a/gate/restart.go
+++ b/gate/restart.go
@@ -19,7 +19,7 @@
 	g.life++
 	g.crash, g.finished = crash{}, nil
 	g.judge = judgeOf(g.service.Caution, g.config.Seed)
-	g.state, g.level = health.InUse, grade.Sound
+	g.state, g.level = health.InUse, grade.Healthy
 	g.config.Backend.Renew()
 	g.log.Info("upstream started again")
 	runs := 0
--- a/gate/run.go
+++ b/gate/run.go
@@ -104,7 +104,7 @@
 	if j.dispatch.Retry {
 		g.quota.Spend(now)
 	} else {
-		g.quota.Arrived(now)
+		g.quota.RecordRequest(now)
 	}
 	return ""
 }
--- a/gate/stalled_test.go
+++ b/gate/stalled_test.go
@@ -81,7 +81,7 @@
 	if got := <-h.replies; got.Reason != wire.ReasonLeft {
 		t.Errorf("got %q, want it told that the caller has left", got.Reason)
 	}
-	if got := h.gate.Status().Severity; got >= grade.Aside {
+	if got := h.gate.Status().Severity; got >= grade.EjectThreshold {
 		t.Errorf("got severity %.2f after a caller left, want the upstream in use", got)
 	}
 }
--- a/gate/status.go
+++ b/gate/status.go
@@ -19,7 +19,7 @@
 	defer g.mu.Unlock()
 	now := g.config.Now()
 	load := g.slots.Load()
-	retries, bound := g.quota.Use(now)
+	retries, bound := g.quota.Usage(now)
 	return metrics.GateState{
 		Service:    g.service.Name,
 		Upstream:   g.upstream.Name,
--- a/gate/waiting_test.go
+++ b/gate/waiting_test.go
@@ -20,7 +20,7 @@
 	<-h.begun
 	holds := make(chan *wire.Hold, 1)
 	g.Enquire(&wire.Enquiry{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, Patience: clock.Minute}, func(hold *wire.Hold) { holds <- hold })
-	for g.Status().Severity < grade.Aside {
+	for g.Status().Severity < grade.EjectThreshold {
 		<-worse // until the run has lasted so long that the upstream is set aside
 	}
 	close(h.end)
--- a/gate/watch.go
+++ b/gate/watch.go
@@ -13,7 +13,7 @@
 
 // runJudge is a judge that is told of runs before their outcomes.
 type runJudge interface {
-	Begin(now clock.Millis, u grade.Usual) *grade.Run
+	Begin(now clock.Millis, u grade.TypicalLatency) *grade.Run
 	End(now clock.Millis, r *grade.Run, o health.Observation) bool
 	Look(now clock.Millis, r *grade.Run) clock.Millis
 	Hangs(now clock.Millis, r *grade.Run) float64
@@ -30,8 +30,8 @@
 }
 
 // usualOf is what an entry tells of the runs of a dispatch's route.
-func usualOf(d *wire.Dispatch) grade.Usual {
-	return grade.Usual{Median: d.Usual, Spread: d.Spread, Hanging: grade.Hanging(d.Hanging)}
+func usualOf(d *wire.Dispatch) grade.TypicalLatency {
+	return grade.TypicalLatency{Median: d.Usual, Spread: d.Spread, HangShare: grade.HangShare(d.Hanging)}
 }
 
 // look takes in that a run has come to no end yet: a backend server that hangs gives no
@@ -47,7 +47,7 @@
 	if judge, ok := g.judge.(runJudge); ok && j.run != nil {
 		next = judge.Look(now, j.run)
 	} else {
-		g.judge.Observe(now, health.Observation{Result: health.Overdue, Caller: j.dispatch.Caller, Again: j.overdue})
+		g.judge.Observe(now, health.Observation{Result: health.Overdue, Caller: j.dispatch.Caller, StillOverdue: j.overdue})
 		j.overdue = true
 	}
 	j.timer.Reset((next - now).Duration())
@@ -76,7 +76,7 @@
 	if result == health.Failed && err == nil && g.excused(j.began, now) {
 		result = health.CallerFault
 	}
-	o := health.Observation{Result: result, Latency: now - j.began, Caller: j.dispatch.Caller, IsTorn: errors.Is(err, ErrTorn) || errors.Is(err, ErrCrashed)}
+	o := health.Observation{Result: result, Latency: now - j.began, Caller: j.dispatch.Caller, IsTruncated: errors.Is(err, ErrTorn) || errors.Is(err, ErrCrashed)}
 	switch judge, ok := g.judge.(runJudge); {
 	case ok && j.run != nil:
 		judge.End(now, j.run, o)
--- a/grade/filter.go
+++ b/grade/filter.go
@@ -19,17 +19,17 @@
 // What is usual: an upstream meets an episode about every half minute and fails
 // most of its requests in it.
 const (
-	// onset and recovery are changes a millisecond.
-	onset    = 1.0 / float64(25*clock.Second)
-	recovery = 1.0 / float64(15*clock.Second)
-	// usual is the share of time in episodes that these two give.
-	usual = onset / (onset + recovery)
-	// first is the probability for an upstream that nothing is known of.
-	first = 0.1
-	// least and most keep a long run of like outcomes from outweighing the next
+	// onsetRate and recovery are changes a millisecond.
+	onsetRate    = 1.0 / float64(25*clock.Second)
+	recoveryRate = 1.0 / float64(15*clock.Second)
+	// stationary is the share of time in episodes that these two give.
+	stationary = onsetRate / (onsetRate + recoveryRate)
+	// prior is the probability for an upstream that nothing is known of.
+	prior = 0.1
+	// minProbability and most keep a long run of like outcomes from outweighing the next
 	// ones of the other kind.
-	least = 0.002
-	most  = 0.998
+	minProbability = 0.002
+	maxProbability = 0.998
 )
 
 // How many times likelier an outcome is in an episode than otherwise.
@@ -49,16 +49,16 @@
 	overdueWeight = 15
 	// shedWeight is for an upstream that refuses with slots free.
 	shedWeight = 3
-	// failing is the share of the runs begun in an episode that fail.
-	failing = 0.8
+	// failingShare is the share of the runs begun in an episode that fail.
+	failingShare = 0.8
 )
 
 const (
 	// overdueAfter is the age at which a run is evidence where nothing is known of the
 	// time that it takes.
 	overdueAfter = 5 * clock.Second
-	// mostRuns bounds the runs that are looked at anew.
-	mostRuns = 64
+	// maxRuns bounds the runs that are looked at anew.
+	maxRuns = 64
 )
 
 // Result is what one request came to.
@@ -79,10 +79,10 @@
 
 // Run is one request at the upstream.
 type Run struct {
-	began  clock.Millis
-	usual  Usual
-	ended  bool
-	weight float64 // once it has ended
+	began   clock.Millis
+	typical TypicalLatency
+	ended   bool
+	weight  float64 // once it has ended
 }
 
 // Filter holds the probability that an upstream is in an episode. It is not safe
@@ -93,97 +93,97 @@
 	base     float64
 	at       clock.Millis
 	runs     []*Run
-	failures Failures
-	// told is how others of the service fail, as the latest run has it.
-	told Hanging
+	failures FailureModes
+	// peerHangShare is how others of the service fail, as the latest run has it.
+	peerHangShare HangShare
 }
 
 // New returns a filter of an upstream that nothing is known of.
 func New(now clock.Millis) *Filter {
-	return &Filter{base: first, at: now}
+	return &Filter{base: prior, at: now}
 }
 
 // Observe takes in one outcome of a run that has just begun.
 func (f *Filter) Observe(now clock.Millis, r Result) {
-	f.End(now, f.Begin(now, Usual{}), r)
+	f.End(now, f.Begin(now, TypicalLatency{}), r)
 }
 
 // Begin takes in that the upstream was given a run.
-func (f *Filter) Begin(now clock.Millis, u Usual) *Run {
-	r := &Run{began: max(now, f.last()), usual: u}
-	if u.Hanging.IsKnown() {
-		f.told = u.Hanging
+func (f *Filter) Begin(now clock.Millis, u TypicalLatency) *Run {
+	r := &Run{began: max(now, f.lastBegan()), typical: u}
+	if u.HangShare.IsKnown() {
+		f.peerHangShare = u.HangShare
 	}
 	f.runs = append(f.runs, r)
-	f.fold(now)
+	f.foldEnded(now)
 	return r
 }
 
 // End takes in what became of a run.
 func (f *Filter) End(now clock.Millis, r *Run, result Result) {
-	weight := f.weightOf(now, r, result)
+	weight := f.resultWeight(now, r, result)
 	if result == Stopped || result == Overdue {
-		f.failures.Hung(f.Hangs(now, r))
+		f.failures.AddHung(f.HangProbability(now, r))
 	}
 	r.weight, r.ended = weight, true
-	if (result == Failed || result == Broken) && now-r.began < AtOnce {
-		f.failures.AtOnce(f.Probability(now))
+	if (result == Failed || result == Broken) && now-r.began < ImmediateWindow {
+		f.failures.AddImmediate(f.Probability(now))
 	}
-	f.fold(now)
+	f.foldEnded(now)
 }
 
 // Probability is that of an episode now.
 func (f *Filter) Probability(now clock.Millis) float64 {
 	p, at := f.base, f.at
 	for _, r := range f.runs {
-		p = weigh(Drift(p, r.began-at), f.weight(now, r))
+		p = updateOdds(Drift(p, r.began-at), f.weight(now, r))
 		at = r.began
 	}
 	return Drift(p, now-at)
 }
 
-// looks are the shares of runs that one must have outlasted to be looked at again.
-var looks = []float64{0.5, 0.35, 0.25, 0.17, 0.1, 0.07, 0.05, 0.03, 0.02, 0.01, 0.005, 0.001}
+// checkShares are the shares of runs that one must have outlasted to be looked at again.
+var checkShares = []float64{0.5, 0.35, 0.25, 0.17, 0.1, 0.07, 0.05, 0.03, 0.02, 0.01, 0.005, 0.001}
 
-// Look returns when to look next at a run that has come to no end: when it has outlasted
+// NextCheck returns when to look next at a run that has come to no end: when it has outlasted
 // another share of such runs.
-func (*Filter) Look(now clock.Millis, r *Run) clock.Millis {
-	if !r.usual.IsKnown() {
+func (*Filter) NextCheck(now clock.Millis, r *Run) clock.Millis {
+	if !r.typical.IsKnown() {
 		return max(r.began+overdueAfter, now+clock.Second)
 	}
-	for _, share := range looks {
-		if at := max(r.began+r.usual.Age(share), r.began+AtOnce+1); at > now {
+	for _, share := range checkShares {
+		if at := max(r.began+r.typical.UpperQuantile(share), r.began+ImmediateWindow+1); at > now {
 			return at
 		}
 	}
-	return now + max(r.usual.Median, clock.Second)
+	return now + max(r.typical.Median, clock.Second)
 }
 
-// Hangs is the probability that a run will come to no end of its own.
-func (f *Filter) Hangs(now clock.Millis, r *Run) float64 {
-	if !r.usual.IsKnown() || now-r.began < AtOnce {
+// HangProbability is the probability that a run will come to no end of its own.
+func (f *Filter) HangProbability(now clock.Millis, r *Run) float64 {
+	if !r.typical.IsKnown() || now-r.began < ImmediateWindow {
 		return 0
 	}
 	odds := f.Probability(now)
 	odds = odds / (1 - odds) / f.weight(now, r) // as the other runs have it
-	hangs := odds * failing * f.failures.Share(f.told)
-	return hangs / (hangs + (odds*(1-failing)+1)*r.usual.Beyond(now-r.began))
+	hangs := odds * failingShare * f.failures.HangProbability(f.peerHangShare)
+	return hangs / (hangs + (odds*(1-failingShare)+1)*r.typical.Survival(now-r.began))
 }
 
-// last is the instant of the latest run.
-func (f *Filter) last() clock.Millis {
+// lastBegan is the instant of the latest run.
+func (f *Filter) lastBegan() clock.Millis {
 	if n := len(f.runs); n > 0 {
 		return f.runs[n-1].began
 	}
 	return f.at
 }
 
-// fold sums up the first runs that have ended, and of too many the first in any case.
-func (f *Filter) fold(now clock.Millis) {
+// foldEnded sums up the first runs that have ended, and of too many the first in any case.
+func (f *Filter) foldEnded(now clock.Millis) {
 	count := 0
-	for count < len(f.runs) && (f.runs[count].ended || len(f.runs)-count > mostRuns) {
+	for count < len(f.runs) && (f.runs[count].ended || len(f.runs)-count > maxRuns) {
 		r := f.runs[count]
-		f.base = weigh(Drift(f.base, r.began-f.at), f.weight(now, r))
+		f.base = updateOdds(Drift(f.base, r.began-f.at), f.weight(now, r))
 		f.at = r.began
 		count++
 	}
@@ -203,10 +203,10 @@
 func (f *Filter) ageWeight(now clock.Millis, r *Run) float64 {
 	age := now - r.began
 	switch {
-	case age < AtOnce:
+	case age < ImmediateWindow:
 		return 1
-	case r.usual.IsKnown():
-		return 1 - failing + failing*f.failures.Share(f.told)/r.usual.Beyond(age)
+	case r.typical.IsKnown():
+		return 1 - failingShare + failingShare*f.failures.HangProbability(f.peerHangShare)/r.typical.Survival(age)
 	case age >= overdueAfter:
 		return overdueWeight
 	default:
@@ -214,7 +214,7 @@
 	}
 }
 
-func (f *Filter) weightOf(now clock.Millis, r *Run, result Result) float64 {
+func (f *Filter) resultWeight(now clock.Millis, r *Run, result Result) float64 {
 	switch result {
 	case Good:
 		return f.servedWeight(now, r)
@@ -234,10 +234,10 @@
 }
 
 func (*Filter) servedWeight(now clock.Millis, r *Run) float64 {
-	if !r.usual.IsKnown() {
+	if !r.typical.IsKnown() {
 		return goodWeight
 	}
-	switch beyond := r.usual.Beyond(now - r.began); {
+	switch beyond := r.typical.Survival(now - r.began); {
 	case beyond < slowShare:
 		return slowWeight
 	case beyond < lateShare:
@@ -252,10 +252,10 @@
 	if age <= 0 {
 		return probability
 	}
-	return usual + (probability-usual)*math.Exp(-(onset+recovery)*float64(age))
+	return stationary + (probability-stationary)*math.Exp(-(onsetRate+recoveryRate)*float64(age))
 }
 
-func weigh(probability, weight float64) float64 {
+func updateOdds(probability, weight float64) float64 {
 	odds := probability / (1 - probability) * weight
-	return min(max(odds/(1+odds), least), most)
+	return min(max(odds/(1+odds), minProbability), maxProbability)
 }
--- a/grade/grade_test.go
+++ b/grade/grade_test.go
@@ -24,7 +24,7 @@
 			f := grade.New(0)
 			now := run(r, f, 0, 20*clock.Second, perSecond, 0.012)
 			began, failed := now, 0
-			for f.Probability(now) < grade.Aside {
+			for f.Probability(now) < grade.EjectThreshold {
 				now += gap(r, perSecond)
 				if r.Float64() < 0.85 {
 					failed++
@@ -57,7 +57,7 @@
 		f := grade.New(0)
 		for now := clock.Millis(0); now < 5*clock.Minute; {
 			step := gap(r, 5)
-			if f.Probability(now) >= grade.Aside {
+			if f.Probability(now) >= grade.EjectThreshold {
 				aside += step
 			}
 			total += step
@@ -78,7 +78,7 @@
 		f.Observe(now, grade.Failed)
 	}
 	now, good := 5*clock.Second, 0
-	for f.Probability(now) >= grade.Aside {
+	for f.Probability(now) >= grade.EjectThreshold {
 		now += clock.Second
 		f.Observe(now, grade.Good)
 		good++
@@ -94,10 +94,10 @@
 	f := grade.New(0)
 	f.Observe(1, grade.Failed)
 	f.Observe(2, grade.Failed)
-	if got := f.Probability(3); got < grade.Aside {
+	if got := f.Probability(3); got < grade.EjectThreshold {
 		t.Fatalf("got %.3f after two failures, want it set aside", got)
 	}
-	if got := f.Probability(clock.Minute); got >= grade.Aside {
+	if got := f.Probability(clock.Minute); got >= grade.EjectThreshold {
 		t.Errorf("got %.3f after a minute without news, want it in use", got)
 	}
 	if got, want := grade.Drift(f.Probability(3), 10*clock.Second), f.Probability(3+10*clock.Second); got-want > 1e-9 || want-got > 1e-9 {
@@ -153,7 +153,7 @@
 		f.Observe(now, grade.Good)
 	}
 	overdue := 0
-	for f.Probability(now) < grade.Aside && overdue < 10 {
+	for f.Probability(now) < grade.EjectThreshold && overdue < 10 {
 		now += 300
 		f.Observe(now, grade.Overdue)
 		overdue++
@@ -164,7 +164,7 @@
 }
 
 // typical is a route whose runs take about half a second.
-var typical = grade.Usual{Median: 500, Spread: 0.5}
+var typical = grade.TypicalLatency{Median: 500, Spread: 0.5}
 
 // The age of a run is told before its end, which may come seconds later. The outcome must not
 // count for more than it does alone.
@@ -226,7 +226,7 @@
 }
 
 // hanging tells that failing runs hang, as entries have seen at others.
-var hanging = grade.Usual{Median: typical.Median, Spread: typical.Spread, Hanging: 96}
+var hanging = grade.TypicalLatency{Median: typical.Median, Spread: typical.Spread, HangShare: 96}
 
 // hangFound plays an upstream that hangs after ten seconds, and returns how long it took until
 // it was set aside.
@@ -255,7 +255,7 @@
 			runs = append(runs, running{f.Begin(now, hanging), ends})
 			next += gap(r, perSecond)
 		}
-		if now > onset && now%10 == 0 && f.Probability(now) >= grade.Aside {
+		if now > onset && now%10 == 0 && f.Probability(now) >= grade.EjectThreshold {
 			return now - onset
 		}
 	}
@@ -284,7 +284,7 @@
 				ends[f.Begin(now, typical)] = now + clock.Millis(took)
 			}
 			total++
-			if f.Probability(now) >= grade.Aside {
+			if f.Probability(now) >= grade.EjectThreshold {
 				aside++
 			}
 		}
@@ -297,18 +297,18 @@
 // A route's runs take a millisecond though its target is a second. The guess from the target must
 // give way to what is seen, or a hang of a tenth of a second looks like nothing.
 func TestPaceFollowsWhatIsSeen(t *testing.T) {
-	var p grade.Pace
-	if got := p.Usual(clock.Second); got.Median < 200 || got.Median > 500 {
+	var p grade.LatencyProfile
+	if got := p.Estimate(clock.Second); got.Median < 200 || got.Median > 500 {
 		t.Errorf("got a median of %v before any run, want a part of the target", got.Median)
 	}
 	for range 10 {
 		p.Observe(1)
 		p.Observe(2)
 	}
-	if got := p.Usual(clock.Second); got.Median > 3 || got.Beyond(100) > 0.02 {
-		t.Errorf("got %+v, %.3f of the runs beyond 100 ms; want a few milliseconds and hardly any", got, got.Beyond(100))
+	if got := p.Estimate(clock.Second); got.Median > 3 || got.Survival(100) > 0.02 {
+		t.Errorf("got %+v, %.3f of the runs beyond 100 ms; want a few milliseconds and hardly any", got, got.Survival(100))
 	}
-	if got := new(grade.Pace).Usual(0); got.IsKnown() {
+	if got := new(grade.LatencyProfile).Estimate(0); got.IsKnown() {
 		t.Errorf("got %+v of a route without target and runs, want nothing known", got)
 	}
 }
@@ -320,18 +320,18 @@
 		before, now grade.Level
 		want        bool
 	}{
-		{grade.Sound, grade.Doubtful, true},
-		{grade.Doubtful, grade.Failing, true},
-		{grade.Sound, grade.Certain, true},
-		{grade.Failing, grade.Certain, false},
-		{grade.Certain, grade.Failing, false},
-		{grade.Certain, grade.Doubtful, true},
-		{grade.Failing, grade.Sound, true},
-		{grade.Doubtful, grade.Sound, false},
-		{grade.Sound, grade.Sound, false},
+		{grade.Healthy, grade.Suspected, true},
+		{grade.Suspected, grade.Failing, true},
+		{grade.Healthy, grade.CertainlyFailing, true},
+		{grade.Failing, grade.CertainlyFailing, false},
+		{grade.CertainlyFailing, grade.Failing, false},
+		{grade.CertainlyFailing, grade.Suspected, true},
+		{grade.Failing, grade.Healthy, true},
+		{grade.Suspected, grade.Healthy, false},
+		{grade.Healthy, grade.Healthy, false},
 	}
 	for _, tt := range tests {
-		if got := grade.IsNews(tt.before, tt.now); got != tt.want {
+		if got := grade.ShouldAnnounce(tt.before, tt.now); got != tt.want {
 			t.Errorf("from %d to %d: got news %v, want %v", tt.before, tt.now, got, tt.want)
 		}
 	}
@@ -340,9 +340,9 @@
 // An upstream loses some of its answers. That breaks connections, as a link between or
 // a node that ends does, and must weigh less than a failure that it tells itself.
 func TestTornAnswersWeighLess(t *testing.T) {
-	told, torn := grade.NewJudge(), grade.NewJudge()
+	told, torn := grade.NewDetector(), grade.NewDetector()
 	told.Observe(1, health.Observation{Result: health.Failed})
-	torn.Observe(1, health.Observation{Result: health.Failed, IsTorn: true})
+	torn.Observe(1, health.Observation{Result: health.Failed, IsTruncated: true})
 	if got, most := torn.Status(1).Severity, told.Status(1).Severity; got >= most {
 		t.Errorf("got severity %.3f after a torn answer, want less than %.3f", got, most)
 	}
--- a/grade/judge.go
+++ b/grade/judge.go
@@ -7,78 +7,78 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// Judge gives a Filter the form of health.Judge, so that a gate can work with
+// Detector gives a Filter the form of health.Judge, so that a gate can work with
 // either. It is not safe for concurrent use.
-type Judge struct {
+type Detector struct {
 	filter   *Filter
 	trials   Trials
-	outcomes tally
+	outcomes outcomeCounts
 	evidence health.Evidence
 	state    health.State
 }
 
-// tally counts the outcomes since the upstream was last sound.
-type tally struct {
+// outcomeCounts counts the outcomes since the upstream was last sound.
+type outcomeCounts struct {
 	since                     clock.Millis
 	outcomes, failed, overdue int
 }
 
-// NewJudge returns a judge that holds its upstream for sound.
-func NewJudge() *Judge {
-	return &Judge{filter: New(0)}
+// NewDetector returns a judge that holds its upstream for sound.
+func NewDetector() *Detector {
+	return &Detector{filter: New(0)}
 }
 
 // SetBaseline does nothing: what is usual here doesn't move with the others,
 // half of which may be in an episode.
-func (*Judge) SetBaseline(health.Baseline) {}
+func (*Detector) SetBaseline(health.Baseline) {}
 
 // Own tells no figures of its own; Status carries the probability.
-func (*Judge) Own() health.Baseline { return health.Baseline{} }
+func (*Detector) Own() health.Baseline { return health.Baseline{} }
 
 // OverdueAfter is the age at which a request without an answer is evidence.
-func (*Judge) OverdueAfter() clock.Millis { return overdueAfter }
+func (*Detector) OverdueAfter() clock.Millis { return overdueAfter }
 
 // Admit reports whether the upstream may be given a request.
-func (j *Judge) Admit(now clock.Millis, repeatable bool) bool {
+func (j *Detector) Admit(now clock.Millis, repeatable bool) bool {
 	return j.trials.Admit(now, j.filter.Probability(now), repeatable)
 }
 
 // Observe takes one outcome of a run that wasn't told of before, and reports whether the
 // state changed.
-func (j *Judge) Observe(now clock.Millis, o health.Observation) bool {
+func (j *Detector) Observe(now clock.Millis, o health.Observation) bool {
 	if resultOf(o) == Neutral {
 		return false
 	}
-	return j.End(now, j.Begin(now, Usual{}), o)
+	return j.End(now, j.Begin(now, TypicalLatency{}), o)
 }
 
 // Begin takes in that the upstream was given a run, and how long such runs usually take.
-func (j *Judge) Begin(now clock.Millis, u Usual) *Run {
-	j.trials.Began(now)
+func (j *Detector) Begin(now clock.Millis, u TypicalLatency) *Run {
+	j.trials.RecordStart(now)
 	return j.filter.Begin(now, u)
 }
 
 // End takes in what became of a run, and reports whether the state changed.
-func (j *Judge) End(now clock.Millis, r *Run, o health.Observation) bool {
+func (j *Detector) End(now clock.Millis, r *Run, o health.Observation) bool {
 	result := resultOf(o)
 	j.filter.End(now, r, result)
 	if result != Neutral {
-		j.count(now, result)
-		j.trials.Ended(result == Good)
+		j.recordResult(now, result)
+		j.trials.RecordResult(result == Good)
 	}
 	before := j.state
-	j.note(now)
+	j.updateState(now)
 	return j.state != before
 }
 
 // Look returns when to look next at a run that has come to no end.
-func (j *Judge) Look(now clock.Millis, r *Run) clock.Millis {
-	return j.filter.Look(now, r)
+func (j *Detector) Look(now clock.Millis, r *Run) clock.Millis {
+	return j.filter.NextCheck(now, r)
 }
 
 // Hangs is the probability that a run will come to no end of its own.
-func (j *Judge) Hangs(now clock.Millis, r *Run) float64 {
-	return j.filter.Hangs(now, r)
+func (j *Detector) Hangs(now clock.Millis, r *Run) float64 {
+	return j.filter.HangProbability(now, r)
 }
 
 func resultOf(o health.Observation) Result {
@@ -86,7 +86,7 @@
 	case health.Good:
 		return Good
 	case health.Failed:
-		if o.IsTorn {
+		if o.IsTruncated {
 			return Broken
 		}
 		return Failed
@@ -99,9 +99,9 @@
 	}
 }
 
-func (j *Judge) count(now clock.Millis, r Result) {
+func (j *Detector) recordResult(now clock.Millis, r Result) {
 	if j.state == health.InUse && r == Good {
-		j.outcomes = tally{since: now}
+		j.outcomes = outcomeCounts{since: now}
 	}
 	j.outcomes.outcomes++
 	switch r {
@@ -113,14 +113,14 @@
 	}
 }
 
-// note brings the state up to date.
-func (j *Judge) note(now clock.Millis) {
+// updateState brings the state up to date.
+func (j *Detector) updateState(now clock.Millis) {
 	p := j.filter.Probability(now)
 	next := health.InUse
-	if p >= Aside {
-		next = health.Aside
+	if p >= EjectThreshold {
+		next = health.Ejected
 	}
-	if next == health.Aside && j.state != health.Aside {
+	if next == health.Ejected && j.state != health.Ejected {
 		j.evidence = health.Evidence{
 			Since:     j.outcomes.since,
 			At:        now,
@@ -128,7 +128,7 @@
 			Failed:    j.outcomes.failed,
 			Overdue:   j.outcomes.overdue,
 			Score:     p,
-			Threshold: Aside,
+			Threshold: EjectThreshold,
 			Reason:    fmt.Sprintf("%d of %d outcomes failed", j.outcomes.failed, j.outcomes.outcomes),
 		}
 	}
@@ -136,13 +136,13 @@
 }
 
 // Wants reports whether the upstream has got no request for too long.
-func (j *Judge) Wants(now clock.Millis) bool {
+func (j *Detector) Wants(now clock.Millis) bool {
 	return j.trials.Due(now, j.filter.Probability(now))
 }
 
 // Status is the verdict at an instant. Its severity is the probability.
-func (j *Judge) Status(now clock.Millis) health.Status {
-	j.note(now)
+func (j *Detector) Status(now clock.Millis) health.Status {
+	j.updateState(now)
 	return health.Status{
 		State:    j.state,
 		Severity: j.filter.Probability(now),
--- a/grade/level.go
+++ b/grade/level.go
@@ -5,31 +5,31 @@
 
 // The levels.
 const (
-	// Sound upstreams get all work.
-	Sound Level = iota
-	// Doubtful ones get work that may be repeated, and other work where no
+	// Healthy upstreams get all work.
+	Healthy Level = iota
+	// Suspected ones get work that may be repeated, and other work where no
 	// sound one has room.
-	Doubtful
+	Suspected
 	// Failing ones get trials.
 	Failing
-	// Certain ones get trials, fewer.
-	Certain
+	// CertainlyFailing ones get trials, fewer.
+	CertainlyFailing
 )
 
 // Bounds of the levels. One failure of a sound upstream (0.01) makes it 0.3, and
 // one of an upstream that wasn't heard of for ten seconds (0.25) makes it failing.
 const (
-	doubtful = 0.15
-	// Aside is the probability from which on work that runs once only isn't
+	suspectThreshold = 0.15
+	// EjectThreshold is the probability from which on work that runs once only isn't
 	// given to an upstream: more than half of it would be lost.
-	Aside   = 0.5
-	certain = 0.9
+	EjectThreshold   = 0.5
+	certainThreshold = 0.9
 )
 
-// IsNews reports whether entries should hear at once of a change: that an upstream is
+// ShouldAnnounce reports whether entries should hear at once of a change: that an upstream is
 // worse, or is back. That it is sound again has time until the next heartbeat, and
 // each word to all entries of a fleet takes some 80 bytes an entry.
-func IsNews(before, now Level) bool {
+func ShouldAnnounce(before, now Level) bool {
 	if now < before {
 		return before >= Failing && now < Failing
 	}
@@ -39,13 +39,13 @@
 // LevelOf returns a probability's level.
 func LevelOf(probability float64) Level {
 	switch {
-	case probability < doubtful:
-		return Sound
-	case probability < Aside:
-		return Doubtful
-	case probability < certain:
+	case probability < suspectThreshold:
+		return Healthy
+	case probability < EjectThreshold:
+		return Suspected
+	case probability < certainThreshold:
 		return Failing
 	default:
-		return Certain
+		return CertainlyFailing
 	}
 }
--- a/grade/reach_test.go
+++ b/grade/reach_test.go
@@ -23,9 +23,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var r grade.Reach
+			var r grade.LinkCount
 			for now := clock.Hour; now < clock.Hour+20*clock.Second; now += tt.gap {
-				got := r.Asked(now)
+				got := r.RecordRequest(now)
 				if now == clock.Hour && got == 0 {
 					t.Error("got no links at the first request, want some")
 				}
@@ -39,17 +39,17 @@
 
 // Callers sleep, and wake. What their requests were an hour ago says nothing.
 func TestReachBeginsAnewAfterAPause(t *testing.T) {
-	var r grade.Reach
+	var r grade.LinkCount
 	now := clock.Hour
 	for ; now < clock.Hour+10*clock.Second; now += 20 {
-		r.Asked(now)
+		r.RecordRequest(now)
 	}
 	now += clock.Hour
-	first := r.Asked(now)
+	first := r.RecordRequest(now)
 	if first == 0 || first > 8 {
 		t.Errorf("got %d links at the first request after an hour, want some", first)
 	}
-	if got := r.Asked(now + clock.Second/2); got != 0 {
+	if got := r.RecordRequest(now + clock.Second/2); got != 0 {
 		t.Errorf("got %d links half a second later, want 0: that was said", got)
 	}
 }
--- a/grade/trials_test.go
+++ b/grade/trials_test.go
@@ -34,7 +34,7 @@
 			}
 			invited[i] = 0
 			if gate.Admit(now, 0.99, true) {
-				gate.Ended(false)
+				gate.RecordResult(false)
 				if now > clock.Minute {
 					trials++
 				}
@@ -51,7 +51,7 @@
 // would never be tried again.
 func TestIdleUpstreamWantsARequest(t *testing.T) {
 	var trials grade.Trials
-	trials.Began(1000)
+	trials.RecordStart(1000)
 	for _, tt := range []struct {
 		at   clock.Millis
 		want bool
@@ -70,12 +70,12 @@
 	if got := trials.Due(1500, 0.99); got {
 		t.Error("got a trial due half a second after the last, want none")
 	}
-	trials.Ended(true)
+	trials.RecordResult(true)
 	if got := trials.Due(1500, 0.97); !got {
 		t.Error("got none due after one that succeeded, want one")
 	}
 	trials.Admit(1500, 0.97, true)
-	trials.Ended(false)
+	trials.RecordResult(false)
 	if got := trials.Due(2000, 0.99); got {
 		t.Error("got a trial due half a second after one that failed, want none")
 	}
--- a/health/baseline.go
+++ b/health/baseline.go
@@ -9,76 +9,76 @@
 // SetBaseline takes what is usual for the service, as an entry sees it. An
 // unknown one never replaces a known one: an entry that has just started
 // knows nothing.
-func (j *Judge) SetBaseline(b Baseline) {
-	if !b.Known || !b.sound() {
+func (j *Detector) SetBaseline(b Baseline) {
+	if !b.Known || !b.isValid() {
 		return
 	}
-	if j.strong && b.Age < j.now-j.suspected {
-		j.told++
+	if j.isSuspected && b.Age < j.now-j.suspectedSince {
+		j.freshBaselines++
 	}
 	if !j.baseline.Known {
 		j.baseline = b
-		if j.own.outcomes < joinOutcomes {
-			j.back.join()
+		if j.local.outcomes < joinOutcomes {
+			j.recovery.requestRamp()
 		}
 	} else {
-		j.baseline.Failed = follow(j.baseline.Failed, b.Failed)
-		j.baseline.Latency = followSpan(j.baseline.Latency, b.Latency)
-		j.baseline.Tail = followSpan(j.baseline.Tail, b.Tail)
+		j.baseline.Failed = decayingMax(j.baseline.Failed, b.Failed)
+		j.baseline.Latency = decayingMaxMillis(j.baseline.Latency, b.Latency)
+		j.baseline.Tail = decayingMaxMillis(j.baseline.Tail, b.Tail)
 	}
-	j.retune()
+	j.applyBaseline()
 }
 
-// sound reports whether the figures can be a service's; they come off a wire.
-func (b *Baseline) sound() bool {
+// isValid reports whether the figures can be a service's; they come off a wire.
+func (b *Baseline) isValid() bool {
 	return b.Failed >= 0 && b.Failed <= 1 && b.Latency >= 0 && b.Tail >= 0 && b.Age >= 0
 }
 
-// baselineMemory is the number of baselines over which a drop is taken over.
-const baselineMemory = 16
+// baselineDecay is the number of baselines over which a drop is taken over.
+const baselineDecay = 16
 
-// follow takes over a rise at once and a drop slowly. Entries differ in what
+// decayingMax takes over a rise at once and a drop slowly. Entries differ in what
 // they have heard; the one that hears last of a fault common to the service
 // must not undo what the first one told.
-func follow(held, told float64) float64 {
-	return max(told, held-(held-told)/baselineMemory)
+func decayingMax(held, told float64) float64 {
+	return max(told, held-(held-told)/baselineDecay)
 }
 
-func followSpan(held, told clock.Millis) clock.Millis {
-	return clock.Millis(follow(float64(held), float64(told)))
+func decayingMaxMillis(held, told clock.Millis) clock.Millis {
+	return clock.Millis(decayingMax(float64(held), float64(told)))
 }
 
-// retune compares with the baseline in force, once it has moved by a tenth.
-func (j *Judge) retune() {
-	usual := max(usualFailed, min(j.baseline.Failed, lostFailed))
+// applyBaseline compares with the baseline in force, once it has moved by a tenth.
+func (j *Detector) applyBaseline() {
+	usual := max(minTypicalFailed, min(j.baseline.Failed, outageFailed))
 	if !j.baseline.Known || j.cold() {
 		usual = max(usual, unknownFailed)
 	}
-	if math.Abs(usual-j.usual) > j.usual/10 || usual == lostFailed {
-		if j.usual >= lostFailed {
+	if math.Abs(usual-j.typicalFailed) > j.typicalFailed/10 || usual == outageFailed {
+		if j.typicalFailed >= outageFailed {
 			j.mild.restart(0)
 			j.severe.restart(0)
 		}
-		j.usual = usual
-		j.mild.compare(usual, raise(usual, mildOdds))
-		j.severe.compare(usual, raise(usual, severeOdds))
+		j.typicalFailed = usual
+		j.mild.setShares(usual, raiseOdds(usual, mildOdds))
+		j.severe.setShares(usual, raiseOdds(usual, severeOdds))
 	}
-	before := j.tail
-	j.tail = j.lateness()
-	if j.tail > j.rewalked+j.rewalked/rewalkPart || before == 0 {
-		j.rewalked = j.tail
-		j.rewalk()
+	before := j.slowThreshold
+	j.slowThreshold = j.computeSlowThreshold()
+	if j.slowThreshold > j.replayedThreshold+j.replayedThreshold/replayDivisor || before == 0 {
+		j.replayedThreshold = j.slowThreshold
+		j.replaySlow()
 	}
-	j.rewalked = min(j.rewalked, j.tail)
+	j.replayedThreshold = min(j.replayedThreshold, j.slowThreshold)
 }
 
-// rewalkPart is the part by which the tail must rise before the slow test is
+// replayDivisor is the part by which the tail must rise before the slow test is
 // run again: the medians of nine gates scatter by less, and the samples kept
 // are fewer than a slight slowness takes to show.
-const rewalkPart = 4
+const replayDivisor = 4
 
-// lateness returns the latency above which an answer is slow, 0 for none.
-func (j *Judge) lateness() clock.Millis {
+// computeSlowThreshold returns the latency above which an answer is slow, 0 for none.
+func (j *Detector) computeSlowThreshold() clock.Millis {
 	b := j.baseline
 	if !b.Known {
 		return 0
@@ -87,28 +87,28 @@
 	if tail == 0 {
 		tail = tailFactor * b.Latency
 	}
-	return max(tail, b.Latency+latencyGrain)
+	return max(tail, b.Latency+minLatencyExcess)
 }
 
-// rewalk runs the slow test again over the samples that it has seen.
-func (j *Judge) rewalk() {
+// replaySlow runs the slow test again over the samples that it has seen.
+func (j *Detector) replaySlow() {
 	j.slow.restart(j.slow.head)
-	j.own.last(j.slowSamples, func(s sample) {
-		if !s.excused {
-			j.slow.add(s.latency > j.tail)
+	j.local.visitLatest(j.slowSamples, func(s sample) {
+		if !s.excluded {
+			j.slow.add(s.latency > j.slowThreshold)
 		}
 	})
 }
 
 // OverdueAfter returns the age at which an unanswered request is overdue.
-func (j *Judge) OverdueAfter() clock.Millis {
+func (j *Detector) OverdueAfter() clock.Millis {
 	if !j.baseline.Known {
-		return overdueUnknown
+		return overdueDefault
 	}
-	return min(max(overdueMin, overdueTails*j.lateness()), overdueMax)
+	return min(max(overdueMin, overdueFactor*j.computeSlowThreshold()), overdueMax)
 }
 
 // Own returns the upstream's own recent figures, for replies to carry.
-func (j *Judge) Own() Baseline {
-	return j.own.baseline()
+func (j *Detector) Own() Baseline {
+	return j.local.baseline()
 }
--- a/health/comeback_test.go
+++ b/health/comeback_test.go
@@ -9,11 +9,11 @@
 )
 
 // setAside returns a judge that has just set its upstream aside, and when.
-func setAside(t *testing.T) (*health.Judge, clock.Millis) {
+func setAside(t *testing.T) (*health.Detector, clock.Millis) {
 	t.Helper()
 	j := warm(table.Balanced)
 	_, now := feed(j, clock.Minute, 100, 100, usual, failing)
-	if got := j.Status(now).State; got != health.Aside {
+	if got := j.Status(now).State; got != health.Ejected {
 		t.Fatalf("got %v, want aside", got)
 	}
 	return j, now
@@ -75,7 +75,7 @@
 		j.Status(now)
 		_, now = feed(j, now+50, 50, 10, usual, failing)
 		got := j.Status(now)
-		if got.State != health.Aside {
+		if got.State != health.Ejected {
 			t.Fatalf("got %v after a failed trial, want aside", got.State)
 		}
 		if hold := got.Until - now; hold <= before {
@@ -128,7 +128,7 @@
 	until := sick.Status(now).Until
 	for at := now; at < until; at += 100 {
 		sick.Probed(at, true)
-		if got := sick.Status(at).State; got != health.Aside {
+		if got := sick.Status(at).State; got != health.Ejected {
 			t.Fatalf("got %v after probes that never failed, want aside", got)
 		}
 	}
--- a/health/cusum.go
+++ b/health/cusum.go
@@ -8,28 +8,28 @@
 // counted under the old one: else a fault common to the service would set
 // aside whoever was scored before the baseline followed.
 type cusum struct {
-	// up and down are what a bad and a good outcome add.
-	up, down float64
+	// badWeight and down are what a bad and a good outcome add.
+	badWeight, goodWeight float64
 	// head is the score to start from.
 	head      float64
 	bad, good int
 }
 
-// compare sets the two shares to tell apart. When bad outcomes come to weigh
+// setShares sets the two shares to tell apart. When bad outcomes come to weigh
 // more, the score so far stands: else the failures of a common fault would
 // turn into evidence against each upstream once the fault is over.
-func (c *cusum) compare(usual, sick float64) {
+func (c *cusum) setShares(usual, sick float64) {
 	up := math.Log(sick / usual)
-	if up > c.up {
+	if up > c.badWeight {
 		c.restart(c.score())
 	}
-	c.up = up
-	c.down = math.Log((1 - sick) / (1 - usual))
-	c.settle()
+	c.badWeight = up
+	c.goodWeight = math.Log((1 - sick) / (1 - usual))
+	c.resetIfNegative()
 }
 
 func (c *cusum) score() float64 {
-	return c.head + float64(c.bad)*c.up + float64(c.good)*c.down
+	return c.head + float64(c.bad)*c.badWeight + float64(c.good)*c.goodWeight
 }
 
 func (c *cusum) add(bad bool) {
@@ -38,7 +38,7 @@
 		c.bad++
 	case c.running():
 		c.good++
-		c.settle()
+		c.resetIfNegative()
 	}
 }
 
@@ -47,8 +47,8 @@
 	return c.bad > 0 || c.head > 0
 }
 
-// settle restarts the sum once the good outcomes outweigh the bad ones.
-func (c *cusum) settle() {
+// resetIfNegative restarts the sum once the good outcomes outweigh the bad ones.
+func (c *cusum) resetIfNegative() {
 	if c.running() && c.score() <= 0 {
 		c.restart(0)
 	}
@@ -58,8 +58,8 @@
 	c.head, c.bad, c.good = head, 0, 0
 }
 
-// raise returns the share whose odds are factor times those of share.
-func raise(share, factor float64) float64 {
+// raiseOdds returns the share whose odds are factor times those of share.
+func raiseOdds(share, factor float64) float64 {
 	odds := factor * share / (1 - share)
 	return odds / (1 + odds)
 }
--- a/health/judge.go
+++ b/health/judge.go
@@ -7,24 +7,24 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Judge holds the verdict on one upstream. It isn't safe for concurrent use.
-type Judge struct {
+// Detector holds the verdict on one upstream. It isn't safe for concurrent use.
+type Detector struct {
 	tuning tuning
 	random *rand.Rand
 	now    clock.Millis
 
 	baseline Baseline
-	own      own
-	callers  callers
+	local    localStats
+	callers  callerStats
 
 	// mild and severe test for failed and overdue outcomes, slow for late
 	// answers.
 	mild, severe, slow cusum
 	// slowSamples is how many of the own latencies the slow test has seen.
 	slowSamples int
-	// usual is the share of failures that is compared with, tail the latency.
-	usual          float64
-	tail, rewalked clock.Millis
+	// typicalFailed is the share of failures that is compared with, tail the latency.
+	typicalFailed                    float64
+	slowThreshold, replayedThreshold clock.Millis
 
 	// burstEnd, burstFailed and burstSlow bound the evidence of one burst.
 	burstEnd               clock.Millis
@@ -32,11 +32,11 @@
 
 	// suspected is when the suspicion became strong, told the count of the
 	// baselines heard since that are younger.
-	strong    bool
-	suspected clock.Millis
-	told      int
-	// calm is the baseline that the wait for news began with.
-	calm Baseline
+	isSuspected    bool
+	suspectedSince clock.Millis
+	freshBaselines int
+	// referenceBaseline is the baseline that the wait for news began with.
+	referenceBaseline Baseline
 
 	coldUntil clock.Millis
 	lastEnd   clock.Millis
@@ -47,57 +47,57 @@
 
 	pending  Evidence
 	evidence Evidence
-	back     comeback
+	recovery recovery
 }
 
 // New returns a judge that holds its upstream for healthy.
-func New(config Config) *Judge {
-	j := &Judge{
+func New(config Config) *Detector {
+	j := &Detector{
 		tuning: tuningOf(config.Caution),
 		random: rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
 	}
-	j.slow.compare(usualSlow, sickSlow)
-	j.retune()
+	j.slow.setShares(typicalSlow, outlierSlow)
+	j.applyBaseline()
 	return j
 }
 
 // cold reports whether the upstream has just started or was idle for long.
-func (j *Judge) cold() bool {
+func (j *Detector) cold() bool {
 	return j.now < j.coldUntil
 }
 
 // Observe takes one outcome and reports whether the state changed.
-func (j *Judge) Observe(now clock.Millis, o Observation) (changed bool) {
-	before := j.back.state
+func (j *Detector) Observe(now clock.Millis, o Observation) (changed bool) {
+	before := j.recovery.state
 	j.advance(now)
 	switch o.Result {
 	case Good, Failed, Overdue:
-		if o.Again && !j.stuck {
+		if o.StillOverdue && !j.stuck {
 			break
 		}
 		j.stuck = o.Result == Overdue
-		j.weigh(o)
+		j.recordOutcome(o)
 	case Shed:
 		j.lastShed, j.shed = j.now, true
-		j.back.giveBack()
+		j.recovery.releaseTrial()
 	default:
-		j.back.giveBack()
+		j.recovery.releaseTrial()
 	}
-	return j.back.state != before
+	return j.recovery.state != before
 }
 
-func (j *Judge) weigh(o Observation) {
-	if j.now-j.lastEnd > idleSpan {
-		j.warmUp()
+func (j *Detector) recordOutcome(o Observation) {
+	if j.now-j.lastEnd > idleTimeout {
+		j.startCold()
 	}
 	j.lastEnd = j.now
 	bad := o.Result != Good
-	part := j.callers.note(o.Caller)
-	j.own.count(bad)
+	part := j.callers.recordOutcome(o.Caller)
+	j.local.recordOutcome(bad)
 	j.endBurst(o.Result)
 	countedFailed := bad && j.admitFailed(o, part)
-	countedSlow := j.weighLatency(o, part)
-	j.record(o.Result, countedSlow)
+	countedSlow := j.recordLatency(o, part)
+	j.recordEvidence(o.Result, countedSlow)
 	if !bad || countedFailed {
 		j.mild.add(bad)
 		j.severe.add(bad)
@@ -105,24 +105,24 @@
 	if !j.mild.running() {
 		clear(j.callers.failed[:])
 	}
-	if j.back.state == Trial {
-		j.weighTrial(o, countedFailed, countedSlow)
+	if j.recovery.state == Trial {
+		j.recordTrial(o, countedFailed, countedSlow)
 		return
 	}
-	if j.ripe() && j.over() && j.back.state != Aside {
-		j.setAside()
+	if j.ready() && j.thresholdReached() && j.recovery.state != Ejected {
+		j.eject()
 	}
-	j.forgive(bad)
+	j.reduceRelapses(bad)
 }
 
 // admitFailed reports whether a bad outcome counts, given what its caller and
 // the present burst have contributed already.
-func (j *Judge) admitFailed(o Observation, part float64) bool {
-	if j.burstFailed >= burstBad {
+func (j *Detector) admitFailed(o Observation, part float64) bool {
+	if j.burstFailed >= maxBurstBad {
 		return false
 	}
-	t := credit(j.callers.failed[:], o.Caller)
-	if !o.Again && t.count > allowance(part, j.tuning.mild/j.mild.up, j.mild.bad) {
+	t := countCaller(j.callers.failed[:], o.Caller)
+	if !o.StillOverdue && t.count > maxContribution(part, j.tuning.mild/j.mild.badWeight, j.mild.bad) {
 		return false
 	}
 	j.startBurst()
@@ -132,7 +132,7 @@
 
 // endBurst forgets a burst after its span or at the first good answer: what
 // fails all requests in flight at once lets none through.
-func (j *Judge) endBurst(r Result) {
+func (j *Detector) endBurst(r Result) {
 	if j.now >= j.burstEnd {
 		j.burstFailed, j.burstSlow = 0, 0
 	}
@@ -141,15 +141,15 @@
 	}
 }
 
-func (j *Judge) startBurst() {
+func (j *Detector) startBurst() {
 	if j.now >= j.burstEnd {
 		j.burstEnd = j.now + j.tuning.burst
 	}
 }
 
-// weighLatency takes the latency of an answer, or the age of an overdue
+// recordLatency takes the latency of an answer, or the age of an overdue
 // request, and reports whether it was slow and counted.
-func (j *Judge) weighLatency(o Observation, part float64) (counted bool) {
+func (j *Detector) recordLatency(o Observation, part float64) (counted bool) {
 	if o.Result == Failed {
 		return false
 	}
@@ -157,14 +157,14 @@
 	if o.Result == Overdue {
 		s.latency = max(o.Latency, j.OverdueAfter())
 	}
-	slow := j.tail > 0 && s.latency > j.tail
-	s.excused = j.cold() || j.shed && j.now-j.lastShed < shedSpan
-	if slow && !s.excused {
-		s.excused = !j.admitSlow(o.Caller, part)
+	slow := j.slowThreshold > 0 && s.latency > j.slowThreshold
+	s.excluded = j.cold() || j.shed && j.now-j.lastShed < shedWindow
+	if slow && !s.excluded {
+		s.excluded = !j.admitSlow(o.Caller, part)
 	}
-	j.own.sample(s)
-	j.slowSamples = min(j.slowSamples+1, latencies)
-	if j.tail == 0 || s.excused {
+	j.local.addSample(s)
+	j.slowSamples = min(j.slowSamples+1, latencySamples)
+	if j.slowThreshold == 0 || s.excluded {
 		return false
 	}
 	if !slow {
@@ -177,12 +177,12 @@
 	return slow
 }
 
-func (j *Judge) admitSlow(caller string, part float64) bool {
-	if j.burstSlow >= burstBad {
+func (j *Detector) admitSlow(caller string, part float64) bool {
+	if j.burstSlow >= maxBurstBad {
 		return false
 	}
-	t := credit(j.callers.slow[:], caller)
-	if t.count > allowance(part, j.tuning.slow/j.slow.up, j.slow.bad) {
+	t := countCaller(j.callers.slow[:], caller)
+	if t.count > maxContribution(part, j.tuning.slow/j.slow.badWeight, j.slow.bad) {
 		return false
 	}
 	j.startBurst()
@@ -190,8 +190,8 @@
 	return true
 }
 
-// record keeps the counts that a set aside is explained with.
-func (j *Judge) record(r Result, slow bool) {
+// recordEvidence keeps the counts that a set aside is explained with.
+func (j *Detector) recordEvidence(r Result, slow bool) {
 	if !j.mild.running() && !j.slow.running() {
 		j.pending = Evidence{Since: j.now}
 	}
@@ -206,34 +206,34 @@
 	}
 }
 
-// ripe reports whether the judge has suspected its upstream for long enough
+// ready reports whether the judge has suspected its upstream for long enough
 // to have heard whether the others ail as well.
-func (j *Judge) ripe() bool {
-	was := j.strong
-	j.strong = j.progress() >= strong
-	if !j.calm.Known {
-		j.calm = j.baseline // the first one told is no rise
+func (j *Detector) ready() bool {
+	was := j.isSuspected
+	j.isSuspected = j.progress() >= suspicionThreshold
+	if !j.referenceBaseline.Known {
+		j.referenceBaseline = j.baseline // the first one told is no rise
 	}
-	if j.strong && !was || j.stirred() {
-		j.suspected, j.told, j.calm = j.now, 0, j.baseline
+	if j.isSuspected && !was || j.baselineRose() {
+		j.suspectedSince, j.freshBaselines, j.referenceBaseline = j.now, 0, j.baseline
 	}
-	return j.strong && (j.told >= j.tuning.told || j.now-j.suspected >= j.tuning.wait)
+	return j.isSuspected && (j.freshBaselines >= j.tuning.minBaselines || j.now-j.suspectedSince >= j.tuning.maxWait)
 }
 
-// stirred reports whether the service's own figures have got worse in the
+// baselineRose reports whether the service's own figures have got worse in the
 // wait. While they do, what is seen here may be on its way everywhere.
-func (j *Judge) stirred() bool {
-	return max(j.baseline.Failed, usualFailed) > stirFactor*max(j.calm.Failed, usualFailed) ||
-		j.baseline.Tail > clock.Millis(stirFactor*float64(j.calm.Tail))
+func (j *Detector) baselineRose() bool {
+	return max(j.baseline.Failed, minTypicalFailed) > baselineRiseFactor*max(j.referenceBaseline.Failed, minTypicalFailed) ||
+		j.baseline.Tail > clock.Millis(baselineRiseFactor*float64(j.referenceBaseline.Tail))
 }
 
-func (j *Judge) over() bool {
+func (j *Detector) thresholdReached() bool {
 	return j.progress() >= 1
 }
 
 // progress returns the nearest test's score as a part of its threshold.
-func (j *Judge) progress() float64 {
-	if j.usual >= lostFailed {
+func (j *Detector) progress() float64 {
+	if j.typicalFailed >= outageFailed {
 		return max(0, j.slow.score()/j.tuning.slow)
 	}
 	return max(0,
@@ -244,7 +244,7 @@
 
 // restart ends all tests; those that find weak evidence start at head parts
 // of their thresholds.
-func (j *Judge) restart(head float64) {
+func (j *Detector) restart(head float64) {
 	j.mild.restart(head * j.tuning.mild)
 	j.severe.restart(0)
 	j.slow.restart(head * j.tuning.slow)
@@ -254,8 +254,8 @@
 	clear(j.callers.slow[:])
 }
 
-// explain completes the evidence of a set aside.
-func (j *Judge) explain() {
+// completeEvidence completes the evidence of a set aside.
+func (j *Detector) completeEvidence() {
 	e := j.pending
 	e.At = j.now
 	e.Baseline = j.baseline
@@ -267,9 +267,9 @@
 		e.Score, e.Threshold = s, j.tuning.slow
 	}
 	e.Reason = fmt.Sprintf("%d failed, %d overdue and %d slow of %d outcomes in %v; usual are %.1f%% failed",
-		e.Failed, e.Overdue, e.Slow, e.Outcomes, e.At-e.Since, 100*j.usual)
-	if j.tail > 0 {
-		e.Reason += fmt.Sprintf(" and nine answers in ten within %v", j.tail)
+		e.Failed, e.Overdue, e.Slow, e.Outcomes, e.At-e.Since, 100*j.typicalFailed)
+	if j.slowThreshold > 0 {
+		e.Reason += fmt.Sprintf(" and nine answers in ten within %v", j.slowThreshold)
 	}
 	j.evidence = e
 }
--- a/health/judge_test.go
+++ b/health/judge_test.go
@@ -19,11 +19,11 @@
 // feed gives the judge one outcome every step, told the baseline each time,
 // until it sets aside or count outcomes are over, and returns how many it took
 // and the instant of the last.
-func feed(j *health.Judge, from, step clock.Millis, count int, b health.Baseline, o func(i int) health.Observation) (int, clock.Millis) {
+func feed(j *health.Detector, from, step clock.Millis, count int, b health.Baseline, o func(i int) health.Observation) (int, clock.Millis) {
 	now := from
 	for i := range count {
 		j.SetBaseline(b)
-		if j.Observe(now, o(i)) && j.Status(now).State == health.Aside {
+		if j.Observe(now, o(i)) && j.Status(now).State == health.Ejected {
 			return i + 1, now
 		}
 		now += step
@@ -40,7 +40,7 @@
 }
 
 // warm returns a judge that has served well for its first minute.
-func warm(caution table.Caution) *health.Judge {
+func warm(caution table.Caution) *health.Detector {
 	j := health.New(health.Config{Caution: caution, Seed: 7})
 	feed(j, 0, 20, int(clock.Minute/20), usual, good)
 	return j
--- a/health/types.go
+++ b/health/types.go
@@ -51,14 +51,14 @@
 	Result Result
 	// Latency is the time from dispatch to the outcome.
 	Latency clock.Millis
-	// Again marks a request that was observed as Overdue before and still
+	// StillOverdue marks a request that was observed as Overdue before and still
 	// has no answer after as long again. Such reports are optional: they
 	// find a hang that holds every slot, so that no other request can tell.
 	// They count only while nothing else has ended in between.
-	Again bool
-	// IsTorn marks a failure without a whole answer: the connection broke, which has
+	StillOverdue bool
+	// IsTruncated marks a failure without a whole answer: the connection broke, which has
 	// causes beside the upstream's, too.
-	IsTorn bool
+	IsTruncated bool
 	// Caller bounds what one caller can contribute. Empty is a caller too.
 	Caller string
 }
@@ -95,8 +95,8 @@
 const (
 	// InUse takes its full share of work.
 	InUse State = iota
-	// Aside takes no work until its hold-off is over.
-	Aside
+	// Ejected takes no work until its hold-off is over.
+	Ejected
 	// Trial takes a bounded number of repeatable requests.
 	Trial
 	// Ramp takes a growing share of work.
--- a/limit/rates.go
+++ b/limit/rates.go
@@ -48,7 +48,7 @@
 // bucket is one limit and the places given to those that it refused.
 type bucket struct {
 	limiter  *rate.Limiter
-	comeback Comeback
+	schedule RetrySchedule
 }
 
 // callerKey names a caller's bucket: one for each service that it calls.
@@ -57,13 +57,13 @@
 	caller  string
 }
 
-// mostServices bounds the services remembered: twice the 4,100 of the size to
+// maxServices bounds the services remembered: twice the 4,100 of the size to
 // design for, so that renaming all of them forgets none in use.
-const mostServices = 8200
+const maxServices = 8200
 
 // NewRates makes Rates with every bucket full.
 func NewRates(c RatesConfig) *Rates {
-	services, err := simplelru.NewLRU[string, *bucket](mostServices, nil)
+	services, err := simplelru.NewLRU[string, *bucket](maxServices, nil)
 	if err != nil {
 		panic(err) // only a size below 1 is refused
 	}
@@ -81,12 +81,12 @@
 func (r *Rates) Allow(
 	now clock.Millis, service string, serviceRate float64, caller string, callerRate float64,
 ) Grant {
-	byCaller := find(r.callers, callerKey{service: service, caller: caller}, now, callerRate)
-	byService := find(r.services, service, now, serviceRate)
-	if lack := byCaller.lack(now); lack > 0 {
+	byCaller := bucketFor(r.callers, callerKey{service: service, caller: caller}, now, callerRate)
+	byService := bucketFor(r.services, service, now, serviceRate)
+	if lack := byCaller.deficit(now); lack > 0 {
 		return Grant{By: ByCaller, RetryAfter: byCaller.retryAfter(now, lack, r.random)}
 	}
-	if lack := byService.lack(now); lack > 0 {
+	if lack := byService.deficit(now); lack > 0 {
 		return Grant{By: ByService, RetryAfter: byService.retryAfter(now, lack, r.random)}
 	}
 	byCaller.take(now)
@@ -94,8 +94,8 @@
 	return Grant{OK: true}
 }
 
-// find returns the bucket of the key at the given rate, nil for no limit.
-func find[K comparable](
+// bucketFor returns the bucket of the key at the given rate, nil for no limit.
+func bucketFor[K comparable](
 	all *simplelru.LRU[K, *bucket], key K, now clock.Millis, perSecond float64,
 ) *bucket {
 	if !(perSecond > 0) {
@@ -121,9 +121,9 @@
 	return int(math.Ceil(float64(limit)))
 }
 
-// lack is the part of a request that the bucket lacks to admit one; 0 or less
+// deficit is the part of a request that the bucket lacks to admit one; 0 or less
 // admits it.
-func (b *bucket) lack(now clock.Millis) float64 {
+func (b *bucket) deficit(now clock.Millis) float64 {
 	if b == nil {
 		return 0
 	}
@@ -141,5 +141,5 @@
 // before have had their turn.
 func (b *bucket) retryAfter(now clock.Millis, lack float64, random *rand.Rand) clock.Millis {
 	gap := float64(clock.Second) / float64(b.limiter.Limit())
-	return b.comeback.After(now, lack*gap, gap, random)
+	return b.schedule.Next(now, lack*gap, gap, random)
 }
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -17,13 +17,13 @@
 	Seed uint64
 }
 
-// Answer says what becomes of an offered request.
-type Answer uint8
+// Result says what becomes of an offered request.
+type Result uint8
 
 // The values of Answer.
 const (
 	// Run means that the request has a slot.
-	Run Answer = iota
+	Run Result = iota
 	// Wait means that it is in the queue: Release, Resize or Expire names its
 	// ticket later.
 	Wait
@@ -33,9 +33,9 @@
 	Late
 )
 
-// Offer is the answer to one request.
-type Offer struct {
-	Answer Answer
+// Decision is the answer to one request.
+type Decision struct {
+	Result Result
 	// RetryAfter is when to come back; it is set for Full and Late.
 	RetryAfter clock.Millis
 }
@@ -54,10 +54,10 @@
 	random  *rand.Rand
 	running int
 	waiting []waiter
-	// missed are waiters that were passed over, until Expire reports them.
-	missed   []uint64
-	drain    drain
-	comeback Comeback
+	// skipped are waiters that were passed over, until Expire reports them.
+	skipped     []uint64
+	serviceTime serviceTime
+	schedule    RetrySchedule
 }
 
 // waiter is a request in the queue. It gives up its place at until.
@@ -67,8 +67,8 @@
 	priority        int
 }
 
-// Ask is one request for a slot.
-type Ask struct {
+// Request is one request for a slot.
+type Request struct {
 	// Ticket names the request; it must differ from those of all waiting.
 	Ticket uint64
 	// Deadline is when its answer must stand, Until the latest instant at which
@@ -83,32 +83,32 @@
 	return &Slots{config: c, random: rand.New(rand.NewPCG(c.Seed, 0))}
 }
 
-// Offer asks for a slot until the deadline, an instant, at the first rank.
-func (s *Slots) Offer(now clock.Millis, ticket uint64, deadline clock.Millis) Offer {
-	return s.Ask(now, Ask{Ticket: ticket, Deadline: deadline, Until: deadline})
+// AcquireUntil asks for a slot until the deadline, an instant, at the first rank.
+func (s *Slots) AcquireUntil(now clock.Millis, ticket uint64, deadline clock.Millis) Decision {
+	return s.Acquire(now, Request{Ticket: ticket, Deadline: deadline, Until: deadline})
 }
 
-// Ask asks for a slot. A request that outranks the last one in a full queue takes
+// Acquire asks for a slot. A request that outranks the last one in a full queue takes
 // its place; Expire names the one that lost it.
 //
 // A free slot goes to whoever asks first: kept from lower ranks for better ones that may
 // come, slots would stand idle while requests wait.
-func (s *Slots) Ask(now clock.Millis, a Ask) Offer {
-	s.drain.advance(now, s.running)
-	a.Priority = min(max(a.Priority, 0), ranks-1)
+func (s *Slots) Acquire(now clock.Millis, a Request) Decision {
+	s.serviceTime.advance(now, s.running)
+	a.Priority = min(max(a.Priority, 0), priorityLevels-1)
 	if a.Deadline <= now {
 		return s.refuse(now, Late)
 	}
 	if s.running < s.config.Slots {
 		s.running++
-		return Offer{Answer: Run}
+		return Decision{Result: Run}
 	}
-	place := s.place(a.Priority)
-	wait := s.gap() * float64(place+1)
+	place := s.queuePosition(a.Priority)
+	wait := s.releaseInterval() * float64(place+1)
 	switch {
 	case a.Until <= now, place >= s.config.Queue:
 		return s.refuse(now, Full)
-	case !s.drain.reaches(wait, a.Deadline), s.drain.sure() && float64(now)+wait > float64(a.Until):
+	case !s.serviceTime.meetsDeadline(wait, a.Deadline), s.serviceTime.isReliable() && float64(now)+wait > float64(a.Until):
 		return s.refuse(now, Late)
 	}
 	s.waiting = slices.Insert(s.waiting, place, waiter{
@@ -116,18 +116,18 @@
 	})
 	if len(s.waiting) > s.config.Queue {
 		last := len(s.waiting) - 1
-		s.missed = append(s.missed, s.waiting[last].ticket)
+		s.skipped = append(s.skipped, s.waiting[last].ticket)
 		s.waiting = s.waiting[:last]
 	}
-	return Offer{Answer: Wait}
+	return Decision{Result: Wait}
 }
 
-// ranks is how many priorities are told apart; lower ones count as the last.
-const ranks = 4
+// priorityLevels is how many priorities are told apart; lower ones count as the last.
+const priorityLevels = 4
 
-// place is where a request of the rank stands in the queue: behind those of its
+// queuePosition is where a request of the rank stands in the queue: behind those of its
 // rank and better ones.
-func (s *Slots) place(priority int) int {
+func (s *Slots) queuePosition(priority int) int {
 	for i := range s.waiting {
 		if s.waiting[i].priority > priority {
 			return i
@@ -140,21 +140,21 @@
 // deadline can still be met takes it and is returned; those passed over are
 // returned by the next Expire.
 func (s *Slots) Release(now clock.Millis) (ticket uint64, ok bool) {
-	s.drain.advance(now, s.running)
+	s.serviceTime.advance(now, s.running)
 	if s.running == 0 {
 		return 0, false
 	}
 	s.running--
-	s.drain.release()
+	s.serviceTime.release()
 	return s.next()
 }
 
 // Expire removes and returns the waiters whose deadline has passed or that
 // were passed over because it can't be met. They were not run.
 func (s *Slots) Expire(now clock.Millis) []uint64 {
-	s.drain.advance(now, s.running)
-	expired := s.missed
-	s.missed = nil
+	s.serviceTime.advance(now, s.running)
+	expired := s.skipped
+	s.skipped = nil
 	kept := s.waiting[:0]
 	for _, w := range s.waiting {
 		if w.deadline <= now || w.until < now {
@@ -167,11 +167,11 @@
 	return expired
 }
 
-// Dismiss removes and returns all waiters, and those passed over: they were not
+// Flush removes and returns all waiters, and those passed over: they were not
 // run. It is for an upstream that gets no more work.
-func (s *Slots) Dismiss() []uint64 {
-	all := s.missed
-	s.missed = nil
+func (s *Slots) Flush() []uint64 {
+	all := s.skipped
+	s.skipped = nil
 	for _, w := range s.waiting {
 		all = append(all, w.ticket)
 	}
@@ -179,11 +179,11 @@
 	return all
 }
 
-// Withdraw removes a waiter that was cancelled; its ticket isn't named again.
+// Cancel removes a waiter that was cancelled; its ticket isn't named again.
 // It returns false if no such ticket waits: it runs, or was refused.
-func (s *Slots) Withdraw(ticket uint64) bool {
-	if i := slices.Index(s.missed, ticket); i >= 0 {
-		s.missed = slices.Delete(s.missed, i, i+1)
+func (s *Slots) Cancel(ticket uint64) bool {
+	if i := slices.Index(s.skipped, ticket); i >= 0 {
+		s.skipped = slices.Delete(s.skipped, i, i+1)
 		return true
 	}
 	i := slices.IndexFunc(s.waiting, func(w waiter) bool { return w.ticket == ticket })
@@ -207,12 +207,12 @@
 // has drained and those refused before have had their turn. Each call takes
 // one turn. Offer calls it itself; it is for those that Expire names.
 func (s *Slots) RetryAfter(now clock.Millis) clock.Millis {
-	gap := s.gap()
+	gap := s.releaseInterval()
 	first := gap * float64(len(s.waiting)+1)
 	if s.config.Slots <= 0 {
-		first = mostRetryAfter
+		first = maxRetryAfter
 	}
-	return s.comeback.After(now, first, gap, s.random)
+	return s.schedule.Next(now, first, gap, s.random)
 }
 
 // Restart takes in that the upstream has started again: the runs that it had hold no
@@ -220,7 +220,7 @@
 // It returns the tickets of waiters that run now.
 func (s *Slots) Restart(runs int) []uint64 {
 	s.running = max(s.running-runs, 0)
-	s.drain = drain{}
+	s.serviceTime = serviceTime{}
 	return s.Resize(s.config)
 }
 
@@ -247,22 +247,22 @@
 	for s.running < s.config.Slots && len(s.waiting) > 0 {
 		w := s.waiting[0]
 		s.waiting = slices.Delete(s.waiting, 0, 1)
-		if s.drain.reaches(0, w.deadline) {
+		if s.serviceTime.meetsDeadline(0, w.deadline) {
 			s.running++
 			return w.ticket, true
 		}
-		s.missed = append(s.missed, w.ticket)
+		s.skipped = append(s.skipped, w.ticket)
 	}
 	return 0, false
 }
 
-// gap estimates the milliseconds between two requests that end while all slots
+// releaseInterval estimates the milliseconds between two requests that end while all slots
 // are in use.
-func (s *Slots) gap() float64 {
-	return s.drain.mean() / float64(max(s.config.Slots, 1))
+func (s *Slots) releaseInterval() float64 {
+	return s.serviceTime.mean() / float64(max(s.config.Slots, 1))
 }
 
 // refuse answers a request that isn't run.
-func (s *Slots) refuse(now clock.Millis, a Answer) Offer {
-	return Offer{Answer: a, RetryAfter: s.RetryAfter(now)}
+func (s *Slots) refuse(now clock.Millis, a Result) Decision {
+	return Decision{Result: a, RetryAfter: s.RetryAfter(now)}
 }
--- a/limit/slots_test.go
+++ b/limit/slots_test.go
@@ -43,15 +43,15 @@
 	g.last++
 	deadline := g.now + clock.Millis(rapid.IntRange(-5, 200).Draw(t, "deadline"))
 	load := g.slots.Load()
-	offer := g.slots.Offer(g.now, g.last, deadline)
-	refused := offer.Answer == limit.Full || offer.Answer == limit.Late
+	offer := g.slots.AcquireUntil(g.now, g.last, deadline)
+	refused := offer.Result == limit.Full || offer.Result == limit.Late
 	if refused != (offer.RetryAfter > 0) {
 		t.Fatalf("got %+v, want RetryAfter on a refusal only", offer)
 	}
-	if load.Free > 0 && deadline > g.now && offer.Answer != limit.Run {
+	if load.Free > 0 && deadline > g.now && offer.Result != limit.Run {
 		t.Fatalf("got %+v with %+v, want a free slot used", offer, load)
 	}
-	switch offer.Answer {
+	switch offer.Result {
 	case limit.Run:
 		g.running++
 	case limit.Wait:
@@ -74,7 +74,7 @@
 	case 4:
 		ticket := uint64(rapid.IntRange(0, 9).Draw(t, "ticket"))
 		_, want := g.waiting[g.last-ticket]
-		if got := g.slots.Withdraw(g.last - ticket); got != want {
+		if got := g.slots.Cancel(g.last - ticket); got != want {
 			t.Fatalf("withdrawing %d: got %v, want %v", g.last-ticket, got, want)
 		}
 		delete(g.waiting, g.last-ticket)
@@ -134,7 +134,7 @@
 	s, now := limit.NewSlots(c), clock.Millis(0)
 	for range 100 {
 		for range c.Slots {
-			s.Offer(now, 0, now+clock.Second)
+			s.AcquireUntil(now, 0, now+clock.Second)
 		}
 		now += 20
 		for range c.Slots {
@@ -142,7 +142,7 @@
 		}
 	}
 	for range c.Slots {
-		s.Offer(now, 0, now+clock.Second)
+		s.AcquireUntil(now, 0, now+clock.Second)
 	}
 	return s, now
 }
@@ -152,15 +152,15 @@
 // told "unknown". It must be told "not run" at once, and when to come back.
 func TestSlotsRefuseWhatCannotBeReached(t *testing.T) {
 	s, now := busy(limit.SlotsConfig{Slots: 2, Queue: 3, Seed: 1})
-	if got := s.Offer(now, 1, now+25).Answer; got != limit.Late {
+	if got := s.AcquireUntil(now, 1, now+25).Result; got != limit.Late {
 		t.Errorf("25 ms left: got %v, want Late", got)
 	}
 	for ticket := range uint64(3) {
-		if got := s.Offer(now, ticket+2, now+75).Answer; got != limit.Wait {
+		if got := s.AcquireUntil(now, ticket+2, now+75).Result; got != limit.Wait {
 			t.Errorf("75 ms left, place %d: got %v, want Wait", ticket, got)
 		}
 	}
-	if got := s.Offer(now, 5, now+clock.Second).Answer; got != limit.Full {
+	if got := s.AcquireUntil(now, 5, now+clock.Second).Result; got != limit.Full {
 		t.Errorf("queue full: got %v, want Full", got)
 	}
 	if ticket, ok := s.Release(now + 60); ok {
@@ -178,13 +178,13 @@
 	paused, now := busy(limit.SlotsConfig{Slots: 2, Queue: 3})
 	paused.Expire(now + clock.Hour)
 	slow := limit.NewSlots(limit.SlotsConfig{Slots: 1, Queue: 3})
-	slow.Offer(clock.Hour, 1, 2*clock.Hour)
+	slow.AcquireUntil(clock.Hour, 1, 2*clock.Hour)
 	slow.Expire(clock.Hour + 900)
 	slow.Release(clock.Hour + 900)
-	slow.Offer(clock.Hour+900, 2, 2*clock.Hour)
+	slow.AcquireUntil(clock.Hour+900, 2, 2*clock.Hour)
 	for name, s := range map[string]*limit.Slots{"paused": paused, "slow first request": slow} {
 		at := now + clock.Hour
-		if got := s.Offer(at, 3, at+200).Answer; got != limit.Wait {
+		if got := s.AcquireUntil(at, 3, at+200).Result; got != limit.Wait {
 			t.Errorf("%s: got %v for a request with 200 ms left, want Wait", name, got)
 		}
 	}
@@ -195,11 +195,11 @@
 // back at the rate at which the upstream drains, here one each 10 ms.
 func TestRetryAfterSpreadsTheRefused(t *testing.T) {
 	s, now := busy(limit.SlotsConfig{Slots: 2, Queue: 2, Seed: 1})
-	s.Offer(now, 1, now+clock.Second)
-	s.Offer(now, 2, now+clock.Second)
+	s.AcquireUntil(now, 1, now+clock.Second)
+	s.AcquireUntil(now, 2, now+clock.Second)
 	count := make(map[clock.Millis]int)
 	for ticket := range uint64(60) {
-		count[s.Offer(now, ticket+3, now+clock.Second).RetryAfter/100]++
+		count[s.AcquireUntil(now, ticket+3, now+clock.Second).RetryAfter/100]++
 	}
 	for tenth, got := range count {
 		if got > 15 {
@@ -216,7 +216,7 @@
 func TestRestartFreesTheSlotsOfRuns(t *testing.T) {
 	s := limit.NewSlots(limit.SlotsConfig{Slots: 3, Queue: 4})
 	for ticket := range uint64(4) {
-		s.Offer(10, ticket, clock.Minute)
+		s.AcquireUntil(10, ticket, clock.Minute)
 	}
 	if got := s.Restart(3); !slices.Equal(got, []uint64{3}) {
 		t.Errorf("got tickets %v, want the one that waited", got)
--- a/measure/entry.go
+++ b/measure/entry.go
@@ -5,37 +5,37 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// viewSpan is how long an entry holds what a gate told for recent. Older
+// baselineTTL is how long an entry holds what a gate told for recent. Older
 // figures would outvote the first signs of a fault common to the service.
-const viewSpan = 10 * clock.Second
+const baselineTTL = 10 * clock.Second
 
 // entry is what one entry knows: the gates' own figures, as of their last
 // replies, and its own verdicts if the rule is judged there.
 type entry struct {
-	told     []health.Baseline
-	at       []clock.Millis
-	verdicts []Verdict
-	scratch  []health.Baseline
+	baselines  []health.Baseline
+	receivedAt []clock.Millis
+	detectors  []Detector
+	scratch    []health.Baseline
 }
 
 func newEntry(size Size) *entry {
 	return &entry{
-		told:    make([]health.Baseline, size.Upstreams),
-		at:      make([]clock.Millis, size.Upstreams),
-		scratch: make([]health.Baseline, 0, size.Upstreams),
+		baselines:  make([]health.Baseline, size.Upstreams),
+		receivedAt: make([]clock.Millis, size.Upstreams),
+		scratch:    make([]health.Baseline, 0, size.Upstreams),
 	}
 }
 
-func (e *entry) hear(now clock.Millis, r request) {
-	e.told[r.upstream], e.at[r.upstream] = r.own, now
+func (e *entry) receiveBaseline(now clock.Millis, r request) {
+	e.baselines[r.upstream], e.receivedAt[r.upstream] = r.baseline, now
 }
 
 // baseline returns the median over the gates heard of recently.
 func (e *entry) baseline(now clock.Millis) health.Baseline {
 	e.scratch = e.scratch[:0]
-	for i, b := range e.told {
-		if b.Known && now-e.at[i] <= viewSpan {
-			b.Age = now - e.at[i]
+	for i, b := range e.baselines {
+		if b.Known && now-e.receivedAt[i] <= baselineTTL {
+			b.Age = now - e.receivedAt[i]
 			e.scratch = append(e.scratch, b)
 		}
 	}
--- a/measure/episodes/episodes_test.go
+++ b/measure/episodes/episodes_test.go
@@ -16,7 +16,7 @@
 		r := episodes.Run(c)
 		for name, k := range r.Kinds {
 			all := sum.Kinds[name]
-			all.Asked += k.Asked
+			all.Requests += k.Requests
 			all.Served += k.Served
 			all.InTarget += k.InTarget
 			all.Failed += k.Failed
@@ -45,11 +45,11 @@
 		{1.4, map[string]float64{"roster": 0.71, "check": 0.94, "call": 0.93, "confirm": 0.915}, 0.1},
 	}
 	for _, tt := range tests {
-		blind, brief, perfect := play(episodes.Blind, tt.load), play(episodes.Brief, tt.load), play(episodes.Perfect, tt.load)
+		blind, brief, perfect := play(episodes.RoundRobin, tt.load), play(episodes.ShortEpisodes, tt.load), play(episodes.Oracle, tt.load)
 		for name, least := range tt.least {
 			got, before, best := brief.Kinds[name], blind.Kinds[name], perfect.Kinds[name]
 			t.Logf("load %.1f, %s: served %.3f (in target %.3f, refused %.3f); round robin %.3f, perfect %.3f", tt.load, name,
-				got.Share(), float64(got.InTarget)/float64(got.Asked), float64(got.Refused)/float64(got.Asked), before.Share(), best.Share())
+				got.Share(), float64(got.InTarget)/float64(got.Requests), float64(got.Refused)/float64(got.Requests), before.Share(), best.Share())
 			if got.Share() < least {
 				t.Errorf("load %.1f, %s: got %.3f served, want %.2f at least", tt.load, name, got.Share(), least)
 			}
@@ -74,11 +74,11 @@
 	}{{"listings", episodes.Listings(), 0.03}, {"conferme", episodes.Conferme(), 0.03}, {"squadre", episodes.Squadre(), 0.03}} {
 		for seed := range uint64(4) {
 			c := service.config
-			c.Policy, c.Seed = episodes.Brief, seed
+			c.Policy, c.Seed = episodes.ShortEpisodes, seed
 			r := episodes.Run(c)
-			t.Logf("%s, seed %d: %.3f of the sound upstreams unused, too many in %.3f of the time; run twice %.3f", service.name, seed, r.Quiet, r.Forsaken, r.Retries)
-			if r.Quiet > service.quiet || r.Forsaken > 0 {
-				t.Errorf("%s, seed %d: got %.3f unused, and too many in %.3f of the time, want %v at most and none", service.name, seed, r.Quiet, r.Forsaken, service.quiet)
+			t.Logf("%s, seed %d: %.3f of the sound upstreams unused, too many in %.3f of the time; run twice %.3f", service.name, seed, r.Unused, r.TooManyUnused, r.Retries)
+			if r.Unused > service.quiet || r.TooManyUnused > 0 {
+				t.Errorf("%s, seed %d: got %.3f unused, and too many in %.3f of the time, want %v at most and none", service.name, seed, r.Unused, r.TooManyUnused, service.quiet)
 			}
 		}
 	}
@@ -97,11 +97,11 @@
 		for _, calling := range []int{3, 2} {
 			for seed := range uint64(4) {
 				c := service.config
-				c.Policy, c.Seed, c.Domains, c.Calling = episodes.Brief, seed, 4, calling
+				c.Policy, c.Seed, c.Domains, c.CallingDomains = episodes.ShortEpisodes, seed, 4, calling
 				r := episodes.Run(c)
-				t.Logf("%s, callers in %d of 4, seed %d: %.3f of the sound upstreams unused, too many in %.3f of the time; run twice %.3f", service.name, calling, seed, r.Quiet, r.Forsaken, r.Retries)
-				if r.Quiet > 0.03 || r.Forsaken > 0 {
-					t.Errorf("%s, callers in %d of 4, seed %d: got %.3f unused, and too many in %.3f of the time, want 0.03 at most and none", service.name, calling, seed, r.Quiet, r.Forsaken)
+				t.Logf("%s, callers in %d of 4, seed %d: %.3f of the sound upstreams unused, too many in %.3f of the time; run twice %.3f", service.name, calling, seed, r.Unused, r.TooManyUnused, r.Retries)
+				if r.Unused > 0.03 || r.TooManyUnused > 0 {
+					t.Errorf("%s, callers in %d of 4, seed %d: got %.3f unused, and too many in %.3f of the time, want 0.03 at most and none", service.name, calling, seed, r.Unused, r.TooManyUnused)
 				}
 			}
 		}
@@ -120,12 +120,12 @@
 		var sum episodes.Result
 		for seed := range uint64(4) {
 			c := tt.config
-			c.Policy, c.Seed = episodes.Brief, seed
+			c.Policy, c.Seed = episodes.ShortEpisodes, seed
 			k := episodes.Run(c).Kinds[tt.kind]
-			sum.Asked += k.Asked
+			sum.Requests += k.Requests
 			sum.Served += k.Served
 		}
-		t.Logf("%s: %.4f of %d served", tt.name, sum.Share(), sum.Asked)
+		t.Logf("%s: %.4f of %d served", tt.name, sum.Share(), sum.Requests)
 		if sum.Share() < tt.least {
 			t.Errorf("%s: got %.4f served, want %.3f at least", tt.name, sum.Share(), tt.least)
 		}
@@ -140,10 +140,10 @@
 	sums := map[string]episodes.Result{}
 	for seed := range uint64(3) {
 		c := episodes.Rosters()
-		c.Policy, c.Seed = episodes.Brief, seed
+		c.Policy, c.Seed = episodes.ShortEpisodes, seed
 		for name, k := range episodes.Run(c).Kinds {
 			sum := sums[name]
-			sum.Asked += k.Asked
+			sum.Requests += k.Requests
 			sum.Served += k.Served
 			sum.InTarget += k.InTarget
 			sums[name] = sum
@@ -151,7 +151,7 @@
 	}
 	for name, most := range least {
 		got := sums[name]
-		t.Logf("%s: %.3f served, %.3f in target", name, got.Share(), float64(got.InTarget)/float64(got.Asked))
+		t.Logf("%s: %.3f served, %.3f in target", name, got.Share(), float64(got.InTarget)/float64(got.Requests))
 		if got.Share() < most {
 			t.Errorf("%s: got %.3f served, want %.2f at least", name, got.Share(), most)
 		}
--- a/measure/episodes/places.go
+++ b/measure/episodes/places.go
@@ -5,24 +5,24 @@
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
-// line is a request's wait at several gates at once.
-type line struct {
+// multiWait is a request's wait at several gates at once.
+type multiWait struct {
 	r       *request
-	over    bool
-	left    int // gates that may still give a slot
-	asked   []int
+	done    bool
+	pending int // gates that may still give a slot
+	gates   []int
 	tickets map[int]uint64
 	granted map[int]bool
 }
 
-// place is a request's place in one gate's queue.
-type place struct {
-	line *line
+// waiter is a request's place in one gate's queue.
+type waiter struct {
+	wait *multiWait
 	at   int
 }
 
-// several chooses gates to ask.
-func (b *brief) several(r *request, most int) []int {
+// chooseSeveral chooses gates to ask.
+func (b *shortEpisodes) chooseSeveral(r *request, most int) []int {
 	spent := map[int]bool{}
 	for i := range r.tried {
 		spent[i] = true
@@ -42,26 +42,26 @@
 	return chosen
 }
 
-// survey asks several gates for a free slot and takes that of the soundest.
-func (b *brief) survey(r *request) bool {
-	asked := b.several(r, mostSurveyed)
+// probeCandidates asks several gates for a free slot and takes that of the soundest.
+func (b *shortEpisodes) probeCandidates(r *request) bool {
+	asked := b.chooseSeveral(r, maxProbedGates)
 	left, held, lowest := len(asked), -1, 0.0
 	for _, i := range asked {
 		b.world.after(hop, func() {
-			b.contact(r.entry, i)
+			b.openLink(r.entry, i)
 			risk := b.filters[i].Probability(b.world.now)
-			isFree := b.trials[i].Admit(b.world.now, risk, false) && b.free(r, i)
-			b.tell(r.entry, i)
+			isFree := b.trials[i].Admit(b.world.now, risk, false) && b.tryAcquire(r, i)
+			b.publish(r.entry, i)
 			b.world.after(hop, func() {
 				left--
 				switch {
 				case isFree && held < 0:
 					held, lowest = i, risk
 				case isFree && risk < lowest:
-					b.letGo(held)
+					b.releaseReservation(held)
 					held, lowest = i, risk
 				case isFree:
-					b.letGo(i)
+					b.releaseReservation(i)
 				}
 				switch {
 				case left > 0:
@@ -77,41 +77,41 @@
 	return len(asked) > 0
 }
 
-// letGo gives a slot back that was kept.
-func (b *brief) letGo(i int) {
+// releaseReservation gives a slot back that was kept.
+func (b *shortEpisodes) releaseReservation(i int) {
 	b.world.after(hop, func() { b.release(i) })
 }
 
 // wait queues a request at several gates; the first slot is taken.
-func (b *brief) wait(r *request, span clock.Millis) bool {
-	l := &line{r: r, tickets: map[int]uint64{}, granted: map[int]bool{}}
-	l.asked = b.several(r, mostPlaces)
-	for _, i := range l.asked {
+func (b *shortEpisodes) wait(r *request, span clock.Millis) bool {
+	l := &multiWait{r: r, tickets: map[int]uint64{}, granted: map[int]bool{}}
+	l.gates = b.chooseSeveral(r, maxQueuedGates)
+	for _, i := range l.gates {
 		b.tickets++
 		l.tickets[i] = b.tickets
-		l.left++
+		l.pending++
 		b.world.after(hop, func() { b.enqueue(l, i, span) })
 	}
-	if l.left > 0 {
-		b.world.after(span+2*hop, func() { b.giveUp(l) })
+	if l.pending > 0 {
+		b.world.after(span+2*hop, func() { b.endWait(l) })
 	}
-	return l.left > 0
+	return l.pending > 0
 }
 
-func (b *brief) enqueue(l *line, i int, span clock.Millis) {
+func (b *shortEpisodes) enqueue(l *multiWait, i int, span clock.Millis) {
 	now := b.world.now
-	b.contact(l.r.entry, i)
-	b.noteSender(l.r, i)
-	if l.over || !b.trials[i].Admit(now, b.filters[i].Probability(now), l.r.kind.Repeatable) {
+	b.openLink(l.r.entry, i)
+	b.recordSender(l.r, i)
+	if l.done || !b.trials[i].Admit(now, b.filters[i].Probability(now), l.r.kind.Repeatable) {
 		b.decline(l, i)
 		return
 	}
-	ask := limit.Ask{Ticket: l.tickets[i], Deadline: l.r.deadline(), Until: now + span, Priority: l.r.kind.Priority}
-	switch b.slots[i].Ask(now, ask).Answer {
+	ask := limit.Request{Ticket: l.tickets[i], Deadline: l.r.deadline(), Until: now + span, Priority: l.r.kind.Priority}
+	switch b.slots[i].Acquire(now, ask).Result {
 	case limit.Run:
-		b.grant(l, i)
+		b.reserve(l, i)
 	case limit.Wait:
-		b.places[ask.Ticket] = place{l, i}
+		b.waiters[ask.Ticket] = waiter{l, i}
 		b.world.after(span+1, func() { b.expire(i) })
 		b.expire(i)
 	default:
@@ -120,58 +120,58 @@
 }
 
 // decline tells a request that a gate has no slot for it.
-func (b *brief) decline(l *line, i int) {
-	b.tell(l.r.entry, i)
+func (b *shortEpisodes) decline(l *multiWait, i int) {
+	b.publish(l.r.entry, i)
 	b.world.after(hop, func() {
-		if l.left--; l.left == 0 && !l.over {
-			l.over = true
+		if l.pending--; l.pending == 0 && !l.done {
+			l.done = true
 			b.start(l.r)
 		}
 	})
 }
 
-// grant keeps a slot for a request, which takes it unless it has another.
-func (b *brief) grant(l *line, i int) {
+// reserve keeps a slot for a request, which takes it unless it has another.
+func (b *shortEpisodes) reserve(l *multiWait, i int) {
 	l.granted[i] = true
 	b.world.after(hop, func() {
-		if l.over {
-			b.letGo(i)
+		if l.done {
+			b.releaseReservation(i)
 			return
 		}
-		l.over = true
-		b.waive(l)
+		l.done = true
+		b.cancelWaits(l)
 		l.r.tried[i] = true
 		b.world.after(hop, func() { b.run(l.r, i) })
 	})
 }
 
-func (b *brief) giveUp(l *line) {
-	if l.over {
+func (b *shortEpisodes) endWait(l *multiWait) {
+	if l.done {
 		return
 	}
-	l.over = true
-	b.waive(l)
+	l.done = true
+	b.cancelWaits(l)
 	b.start(l.r)
 }
 
-// waive takes a request out of the queues in which it still stands.
-func (b *brief) waive(l *line) {
-	for _, i := range l.asked {
+// cancelWaits takes a request out of the queues in which it still stands.
+func (b *shortEpisodes) cancelWaits(l *multiWait) {
+	for _, i := range l.gates {
 		b.world.after(hop, func() {
 			if !l.granted[i] {
-				delete(b.places, l.tickets[i])
-				b.slots[i].Withdraw(l.tickets[i])
+				delete(b.waiters, l.tickets[i])
+				b.slots[i].Cancel(l.tickets[i])
 			}
 		})
 	}
 }
 
 // release frees a slot and gives it to the next in line.
-func (b *brief) release(i int) {
+func (b *shortEpisodes) release(i int) {
 	ticket, ok := b.slots[i].Release(b.world.now)
-	if p, found := b.places[ticket]; ok && found {
-		delete(b.places, ticket)
-		b.grant(p.line, i)
+	if p, found := b.waiters[ticket]; ok && found {
+		delete(b.waiters, ticket)
+		b.reserve(p.wait, i)
 	}
 	b.expire(i)
 }
--- a/measure/episodes/plain.go
+++ b/measure/episodes/plain.go
@@ -1,47 +1,47 @@
 package episodes
 
-// blind is round robin with a second try.
-type blind struct {
-	world *world
-	next  []int
-	busy  []int
-	lines [][]*request
+// roundRobin is round robin with a second try.
+type roundRobin struct {
+	world  *world
+	next   []int
+	busy   []int
+	queues [][]*request
 }
 
-func newBlind(w *world) *blind {
-	return &blind{
-		world: w,
-		next:  make([]int, w.config.Entries),
-		busy:  make([]int, w.config.Upstreams),
-		lines: make([][]*request, w.config.Upstreams),
+func newRoundRobin(w *world) *roundRobin {
+	return &roundRobin{
+		world:  w,
+		next:   make([]int, w.config.Entries),
+		busy:   make([]int, w.config.Upstreams),
+		queues: make([][]*request, w.config.Upstreams),
 	}
 }
 
-func (b *blind) start(r *request) {
+func (b *roundRobin) start(r *request) {
 	i := (b.next[r.entry] + r.entry) % b.world.config.Upstreams
 	b.next[r.entry]++
 	b.world.after(hop, func() { b.offer(r, i) })
 }
 
-func (b *blind) offer(r *request, i int) {
+func (b *roundRobin) offer(r *request, i int) {
 	if b.busy[i] >= b.world.config.Slots {
-		b.lines[i] = append(b.lines[i], r)
+		b.queues[i] = append(b.queues[i], r)
 		return
 	}
 	b.busy[i]++
 	b.world.run(r, i, func(ok bool) { b.ended(r, i, ok) })
 }
 
-func (b *blind) ended(r *request, i int, ok bool) {
+func (b *roundRobin) ended(r *request, i int, ok bool) {
 	b.busy[i]--
 	if !ok && r.kind.Repeatable && r.ran < 2 {
 		b.start(r)
 	} else {
 		b.world.finish(r, ok, false)
 	}
-	for len(b.lines[i]) > 0 {
-		next := b.lines[i][0]
-		b.lines[i] = b.lines[i][1:]
+	for len(b.queues[i]) > 0 {
+		next := b.queues[i][0]
+		b.queues[i] = b.queues[i][1:]
 		if b.world.now < next.deadline() {
 			b.offer(next, i)
 			return
@@ -50,33 +50,33 @@
 	}
 }
 
-// perfect is one queue by rank before all upstreams that don't fail now.
-type perfect struct {
+// oracle is one queue by rank before all upstreams that don't fail now.
+type oracle struct {
 	world *world
 	busy  []int
-	line  []*request
+	queue []*request
 }
 
-func newPerfect(w *world) *perfect {
-	return &perfect{world: w, busy: make([]int, w.config.Upstreams)}
+func newOracle(w *world) *oracle {
+	return &oracle{world: w, busy: make([]int, w.config.Upstreams)}
 }
 
-func (p *perfect) start(r *request) {
-	place := len(p.line)
-	for place > 0 && p.line[place-1].kind.Priority > r.kind.Priority {
+func (p *oracle) start(r *request) {
+	place := len(p.queue)
+	for place > 0 && p.queue[place-1].kind.Priority > r.kind.Priority {
 		place--
 	}
-	p.line = append(p.line[:place], append([]*request{r}, p.line[place:]...)...)
+	p.queue = append(p.queue[:place], append([]*request{r}, p.queue[place:]...)...)
 	p.serve()
 }
 
 // serve gives free slots of sound upstreams to the first in line whose answer can
 // come in time.
-func (p *perfect) serve() {
-	for len(p.line) > 0 {
-		r := p.line[0]
+func (p *oracle) serve() {
+	for len(p.queue) > 0 {
+		r := p.queue[0]
 		if p.world.now+r.work > r.deadline() {
-			p.line = p.line[1:]
+			p.queue = p.queue[1:]
 			p.world.finish(r, false, true)
 			continue
 		}
@@ -84,7 +84,7 @@
 		if !ok {
 			return
 		}
-		p.line = p.line[1:]
+		p.queue = p.queue[1:]
 		p.busy[i]++
 		p.world.run(r, i, func(ok bool) {
 			p.busy[i]--
@@ -98,9 +98,9 @@
 	}
 }
 
-func (p *perfect) free() (int, bool) {
+func (p *oracle) free() (int, bool) {
 	for i, u := range p.world.upstreams {
-		if !u.at(p.world.now) && p.busy[i] < p.world.config.Slots {
+		if !u.isFailing(p.world.now) && p.busy[i] < p.world.config.Slots {
 			return i, true
 		}
 	}
--- a/measure/episodes/services.go
+++ b/measure/episodes/services.go
@@ -9,14 +9,14 @@
 
 // The policies.
 const (
-	// Blind is round robin at each entry, a second try elsewhere after a
+	// RoundRobin is round robin at each entry, a second try elsewhere after a
 	// failure, and a queue in order of arrival.
-	Blind Policy = iota
-	// Brief is what entries and gates do at caution brief.
-	Brief
-	// Perfect is one central queue by rank that knows which upstreams fail: what
+	RoundRobin Policy = iota
+	// ShortEpisodes is what entries and gates do at caution brief.
+	ShortEpisodes
+	// Oracle is one central queue by rank that knows which upstreams fail: what
 	// no fleet without a word between its nodes can reach.
-	Perfect
+	Oracle
 )
 
 // Kind is one kind of request.
@@ -31,8 +31,8 @@
 	Target, Timeout clock.Millis
 	Priority        int
 	Repeatable      bool
-	// Every says that one entry in so many sends it, 0 that all do.
-	Every int
+	// EntryStride says that one entry in so many sends it, 0 that all do.
+	EntryStride int
 }
 
 // Config is one run.
@@ -44,7 +44,7 @@
 	Slots     int
 	// Domains is over how many failure domains entries and upstreams are spread, 0
 	// for one; Calling is how many of these have callers, 0 for all.
-	Domains, Calling int
+	Domains, CallingDomains int
 	// Hangs says that what fails in an episode hangs until its time is over.
 	Hangs bool
 	// Load multiplies the rates.
--- a/measure/episodes/world.go
+++ b/measure/episodes/world.go
@@ -17,85 +17,85 @@
 
 // Figures of an episode: those that package grade is tuned to.
 const (
-	onsetMean    = float64(25 * clock.Second)
-	recoveryMean = float64(15 * clock.Second)
-	failing      = 0.85
-	soundFailing = 0.012
-	failTime     = clock.Millis(2)
+	onsetMean           = float64(25 * clock.Second)
+	recoveryMean        = float64(15 * clock.Second)
+	failingShare        = 0.85
+	healthyFailingShare = 0.012
+	failTime            = clock.Millis(2)
 	// hop is one way between an entry and a gate.
 	hop = clock.Millis(1)
 )
 
 // Result counts what became of a kind's requests.
 type Result struct {
-	Asked, Served, InTarget, Failed, Refused int
+	Requests, Served, InTarget, Failed, Refused int
 }
 
 // Share is the part of the requests that were served.
-func (r Result) Share() float64 { return float64(r.Served) / float64(max(r.Asked, 1)) }
+func (r Result) Share() float64 { return float64(r.Served) / float64(max(r.Requests, 1)) }
 
 // Report is the outcome of a run.
 type Report struct {
 	Kinds map[string]Result
 	// Retries is the share of requests that a second upstream ran.
 	Retries float64
-	// Quiet is the share, among upstreams that have been sound for soundFor, of
+	// Unused is the share, among upstreams that have been sound for soundFor, of
 	// those that got no request within the last quietSpan, over samples.
-	Quiet float64
-	// Forsaken is the share of samples in which that held for more than
+	Unused float64
+	// TooManyUnused is the share of samples in which that held for more than
 	// quietMost of them.
-	Forsaken float64
+	TooManyUnused float64
 }
 
 // What operators call an unused upstream: a sound one that gets nothing for two
 // seconds. At most 0.3 of a service's may be unused at a time.
 const (
-	quietSpan = 2 * clock.Second
-	soundFor  = 4 * clock.Second
-	quietMost = 0.3
-	// sampleEvery is the span between two looks.
-	sampleEvery = 250 * clock.Millis(1)
+	unusedWindow = 2 * clock.Second
+	healthyFor   = 4 * clock.Second
+	maxUnused    = 0.3
+	// sampleInterval is the span between two looks.
+	sampleInterval = 250 * clock.Millis(1)
 )
 
 // request is one request on its way.
 type request struct {
-	kind     *Kind
-	entry    int
-	began    clock.Millis
-	work     clock.Millis
-	ran      int
-	tried    map[int]bool
-	full     map[int]bool
-	asks     int
-	surveyed bool
-	waited   bool
-	forced   bool
-	finished bool
+	kind           *Kind
+	entry          int
+	began          clock.Millis
+	work           clock.Millis
+	ran            int
+	tried          map[int]bool
+	full           map[int]bool
+	directAttempts int
+	probed         bool
+	waited         bool
+	forced         bool
+	finished       bool
 }
 
 func (r *request) deadline() clock.Millis { return r.began + r.kind.Timeout }
 
 // upstream fails in episodes.
 type upstream struct {
-	sick   bool
-	until  clock.Millis
-	random *rand.Rand
-	// recovered is when the last episode ended, asked when the last request came.
-	recovered, asked clock.Millis
+	failing bool
+	until   clock.Millis
+	random  *rand.Rand
+	// recoveredAt is when the last episode ended, asked when the last request came.
+	recoveredAt, lastRequest clock.Millis
 }
 
-func (u *upstream) at(now clock.Millis) bool {
+func (u *upstream) isFailing(now clock.Millis) bool {
 	for now >= u.until {
-		u.sick = !u.sick
+		u.failing = !u.failing
 		mean := onsetMean
-		if u.sick {
+		if u.failing {
 			mean = recoveryMean
 		} else {
-			u.recovered = u.until
+			u.recoveredAt = u.until
 		}
 		u.until += 1 + clock.Millis(u.random.ExpFloat64()*mean)
 	}
-	return u.sick
+	return u.failing
 }
 
 // world is one run.
@@ -107,11 +107,11 @@
 	random    *rand.Rand
 	upstreams []*upstream
 	report    Report
-	asked     int
+	requests  int
 	retried   int
 	router    router
 	// counts of sample
-	samples, forsaken, sound, quiet int
+	samples, tooManyUnused, healthy, unused int
 }
 
 // router decides where requests go.
@@ -124,28 +124,28 @@
 func Run(c Config) Report {
 	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, 1)), report: Report{Kinds: map[string]Result{}}}
 	for i := range c.Upstreams {
-		w.upstreams = append(w.upstreams, &upstream{sick: true, random: rand.New(rand.NewPCG(c.Seed, uint64(i)+2))})
+		w.upstreams = append(w.upstreams, &upstream{failing: true, random: rand.New(rand.NewPCG(c.Seed, uint64(i)+2))})
 	}
 	switch c.Policy {
-	case Blind:
-		w.router = newBlind(w)
-	case Brief:
-		w.router = newBrief(w)
-	case Perfect:
-		w.router = newPerfect(w)
+	case RoundRobin:
+		w.router = newRoundRobin(w)
+	case ShortEpisodes:
+		w.router = newShortEpisodes(w)
+	case Oracle:
+		w.router = newOracle(w)
 	}
 	for i := range c.Kinds {
 		w.arrive(&c.Kinds[i])
 	}
-	w.after(soundFor, w.sample)
+	w.after(healthyFor, w.sample)
 	for len(w.events) > 0 {
 		e, _ := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.act()
 	}
-	w.report.Retries = float64(w.retried) / float64(max(w.asked, 1))
-	w.report.Quiet = float64(w.quiet) / float64(max(w.sound, 1))
-	w.report.Forsaken = float64(w.forsaken) / float64(max(w.samples, 1))
+	w.report.Retries = float64(w.retried) / float64(max(w.requests, 1))
+	w.report.Unused = float64(w.unused) / float64(max(w.healthy, 1))
+	w.report.TooManyUnused = float64(w.tooManyUnused) / float64(max(w.samples, 1))
 	return w.report
 }
 
@@ -153,22 +153,22 @@
 func (w *world) sample() {
 	sound, quiet := 0, 0
 	for _, u := range w.upstreams {
-		if u.at(w.now) || w.now-u.recovered < soundFor {
+		if u.isFailing(w.now) || w.now-u.recoveredAt < healthyFor {
 			continue
 		}
 		sound++
-		if w.now-u.asked >= quietSpan {
+		if w.now-u.lastRequest >= unusedWindow {
 			quiet++
 		}
 	}
-	w.sound += sound
-	w.quiet += quiet
+	w.healthy += sound
+	w.unused += quiet
 	w.samples++
-	if float64(quiet) > quietMost*float64(sound) {
-		w.forsaken++
+	if float64(quiet) > maxUnused*float64(sound) {
+		w.tooManyUnused++
 	}
-	if w.now+sampleEvery <= w.config.Span {
-		w.after(sampleEvery, w.sample)
+	if w.now+sampleInterval <= w.config.Span {
+		w.after(sampleInterval, w.sample)
 	}
 }
 
@@ -185,8 +185,8 @@
 			kind: k, entry: w.caller(k), began: w.now,
 			work: max(clock.Millis(work), 1), tried: map[int]bool{}, full: map[int]bool{},
 		}
-		w.asked++
-		w.count(k, func(out *Result) { out.Asked++ })
+		w.requests++
+		w.count(k, func(out *Result) { out.Requests++ })
 		w.router.start(r)
 		w.arrive(k)
 	})
@@ -197,8 +197,8 @@
 	domains := max(w.config.Domains, 1)
 	for {
 		e := w.random.IntN(w.config.Entries)
-		isCalling := w.config.Calling == 0 || w.domain(e) < w.config.Calling
-		if isCalling && (e/domains)%max(k.Every, 1) == 0 {
+		isCalling := w.config.CallingDomains == 0 || w.domain(e) < w.config.CallingDomains
+		if isCalling && (e/domains)%max(k.EntryStride, 1) == 0 {
 			return e
 		}
 	}
@@ -220,15 +220,15 @@
 		}
 	}
 	r.ran++
-	w.upstreams[i].asked = w.now
+	w.upstreams[i].lastRequest = w.now
 	if r.ran == 2 {
 		w.retried++
 	}
-	share := soundFailing
-	if w.upstreams[i].at(w.now) {
-		share = failing
+	share := healthyFailingShare
+	if w.upstreams[i].isFailing(w.now) {
+		share = failingShare
 	}
-	isSick := share == failing
+	isSick := share == failingShare
 	switch {
 	case w.random.Float64() >= share:
 		w.after(r.work, func() { end(true) })
--- a/measure/events.go
+++ b/measure/events.go
@@ -21,9 +21,9 @@
 
 // event is something that happens to a request, or to an upstream by itself.
 type event struct {
-	at   clock.Millis
-	turn int
-	kind eventKind
+	at       clock.Millis
+	sequence int
+	kind     eventKind
 	request
 }
 
@@ -34,19 +34,19 @@
 	repeatable      bool
 	sent, until     clock.Millis
 	result          health.Result
-	// silent says that its end tells the gate nothing more.
-	silent bool
-	again  bool
-	// own is what the gate tells with the reply.
-	own health.Baseline
+	// endIgnored says that its end tells the gate nothing more.
+	endIgnored   bool
+	stillOverdue bool
+	// baseline is what the gate tells with the reply.
+	baseline health.Baseline
 }
 
 // queue orders events by time, and those of one instant by their making.
 // It uses the events again, for a run makes tens of thousands.
 type queue struct {
-	events []*event
-	spare  []*event
-	turn   int
+	events   []*event
+	spare    []*event
+	sequence int
 }
 
 func (q *queue) Len() int { return len(q.events) }
@@ -55,7 +55,7 @@
 	if q.events[i].at != q.events[k].at {
 		return q.events[i].at < q.events[k].at
 	}
-	return q.events[i].turn < q.events[k].turn
+	return q.events[i].sequence < q.events[k].sequence
 }
 
 func (q *queue) Swap(i, k int) { q.events[i], q.events[k] = q.events[k], q.events[i] }
@@ -76,8 +76,8 @@
 }
 
 func (q *queue) add(e event) {
-	e.turn = q.turn
-	q.turn++
+	e.sequence = q.sequence
+	q.sequence++
 	held := &event{}
 	if last := len(q.spare) - 1; last >= 0 {
 		held = q.spare[last]
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Verdict is what a run asks of a rule for one upstream; health.Judge is one.
-type Verdict interface {
+// Detector is what a run asks of a rule for one upstream; health.Judge is one.
+type Detector interface {
 	Observe(now clock.Millis, o health.Observation) (changed bool)
 	SetBaseline(b health.Baseline)
 	OverdueAfter() clock.Millis
@@ -57,48 +57,48 @@
 // to its own requests, in place of one verdict at the gate. Learns says that
 // it wants the service's baseline, which entries tell to gates only.
 type Rule struct {
-	Name    string
-	AtEntry bool
-	Learns  bool
-	New     func(seed uint64) Verdict
+	Name         string
+	AtEntry      bool
+	UsesBaseline bool
+	New          func(seed uint64) Detector
 }
 
 // Figures are the results of runs of one scenario.
 type Figures struct {
-	// Outcomes and Spans are what each detection took, from the onset.
-	Outcomes []int
-	Spans    []clock.Millis
+	// DetectionOutcomes and Spans are what each detection took, from the onset.
+	DetectionOutcomes []int
+	DetectionTimes    []clock.Millis
 	// Missed counts sick spells that ended or outlasted the run undetected.
 	Missed int
-	// False counts set asides of upstreams that weren't sick.
-	False int
-	// Healthy counts outcomes, and Served the time, of upstreams in use that
+	// FalseEjections counts set asides of upstreams that weren't sick.
+	FalseEjections int
+	// HealthyOutcomes counts outcomes, and Served the time, of upstreams in use that
 	// weren't sick.
-	Healthy int
-	Served  clock.Millis
-	// Given counts the requests given to a sick upstream after its first
+	HealthyOutcomes int
+	HealthyTime     clock.Millis
+	// SentAfterDetection counts the requests given to a sick upstream after its first
 	// detection in the spell, Bad the requests of any kind that it spoiled.
-	Given, Bad int
+	SentAfterDetection, Bad int
 }
 
 // Add takes in the results of another run.
 func (f *Figures) Add(other Figures) {
-	f.Outcomes = append(f.Outcomes, other.Outcomes...)
-	f.Spans = append(f.Spans, other.Spans...)
+	f.DetectionOutcomes = append(f.DetectionOutcomes, other.DetectionOutcomes...)
+	f.DetectionTimes = append(f.DetectionTimes, other.DetectionTimes...)
 	f.Missed += other.Missed
-	f.False += other.False
-	f.Healthy += other.Healthy
-	f.Served += other.Served
-	f.Given += other.Given
+	f.FalseEjections += other.FalseEjections
+	f.HealthyOutcomes += other.HealthyOutcomes
+	f.HealthyTime += other.HealthyTime
+	f.SentAfterDetection += other.SentAfterDetection
 	f.Bad += other.Bad
 }
 
 // FalsePerMillion returns the false ejections per million healthy outcomes.
 func (f *Figures) FalsePerMillion() float64 {
-	return 1e6 * float64(f.False) / float64(max(1, f.Healthy))
+	return 1e6 * float64(f.FalseEjections) / float64(max(1, f.HealthyOutcomes))
 }
 
 // FalsePerDay returns the false ejections per upstream and day.
 func (f *Figures) FalsePerDay() float64 {
-	return float64(f.False) / (float64(max(1, f.Served)) / float64(clock.Day))
+	return float64(f.FalseEjections) / (float64(max(1, f.HealthyTime)) / float64(clock.Day))
 }
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -9,17 +9,17 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-var cautious = measure.Judged(table.Cautious)
+var cautious = measure.GateRule(table.Cautious)
 
 func ours() []measure.Rule {
-	return []measure.Rule{measure.Judged(table.Fast), measure.Judged(table.Balanced), cautious}
+	return []measure.Rule{measure.GateRule(table.Fast), measure.GateRule(table.Balanced), cautious}
 }
 
 // A figure that can't be had twice can't be bounded.
 func TestRunRepeats(t *testing.T) {
 	size := measure.Sizes()[0]
-	first := measure.Repeat(size, measure.Bar(), cautious, 4)
-	second := measure.Repeat(size, measure.Bar(), cautious, 4)
+	first := measure.Repeat(size, measure.ReferenceFault(), cautious, 4)
+	second := measure.Repeat(size, measure.ReferenceFault(), cautious, 4)
 	if !reflect.DeepEqual(first, second) {
 		t.Errorf("got %+v, want %+v", second, first)
 	}
@@ -31,19 +31,19 @@
 // the test below.
 func TestBar(t *testing.T) {
 	size := measure.Sizes()[0]
-	found := measure.Repeat(size, measure.Bar(), cautious, 400)
+	found := measure.Repeat(size, measure.ReferenceFault(), cautious, 400)
 	if found.Missed > 0 {
 		t.Errorf("got %d missed, want 0", found.Missed)
 	}
-	if got := measure.Quantile(found.Outcomes, 0.5); got > 20 {
+	if got := measure.Quantile(found.DetectionOutcomes, 0.5); got > 20 {
 		t.Errorf("got a median of %d outcomes, want at most 20", got)
 	}
-	if got := measure.Quantile(found.Outcomes, 0.99); got > 50 {
+	if got := measure.Quantile(found.DetectionOutcomes, 0.99); got > 50 {
 		t.Errorf("got a 99th percentile of %d outcomes, want at most 50", got)
 	}
 	quiet := measure.Repeat(size, measure.Healthy(10*clock.Minute), cautious, 30)
-	if quiet.Healthy < 5_000_000 {
-		t.Errorf("got %d healthy outcomes, want 5 million", quiet.Healthy)
+	if quiet.HealthyOutcomes < 5_000_000 {
+		t.Errorf("got %d healthy outcomes, want 5 million", quiet.HealthyOutcomes)
 	}
 	if got := quiet.FalsePerMillion(); got > 0.2 {
 		t.Errorf("got %.2f false ejections per million, want at most 0.2", got)
@@ -53,8 +53,8 @@
 // The other half of the bar: half of the sick upstreams that fail 30% are
 // found in 20 outcomes.
 func TestBarMedian(t *testing.T) {
-	found := measure.Repeat(measure.Sizes()[0], measure.Bar(), cautious, 1000)
-	if got := measure.Quantile(found.Outcomes, 0.5); got > 20 {
+	found := measure.Repeat(measure.Sizes()[0], measure.ReferenceFault(), cautious, 1000)
+	if got := measure.Quantile(found.DetectionOutcomes, 0.5); got > 20 {
 		t.Errorf("got a median of %d outcomes, want at most 20", got)
 	}
 }
@@ -91,13 +91,13 @@
 		"common, slow 3x":        0.03,
 		"common, slow 10x":       0.04,
 	}
-	for _, scenario := range measure.Spared(size) {
+	for _, scenario := range measure.NoEjection(size) {
 		limit, ok := part[scenario.Name]
 		if !ok {
 			t.Errorf("%s: got no bound, want one", scenario.Name)
 		}
 		f := measure.Repeat(size, scenario, cautious, runs)
-		if got := float64(f.False) / float64(runs*size.Upstreams); got > limit {
+		if got := float64(f.FalseEjections) / float64(runs*size.Upstreams); got > limit {
 			t.Errorf("%s: got %.3f set asides per upstream, want at most %.3f", scenario.Name, got, limit)
 		}
 	}
@@ -107,18 +107,18 @@
 // five in a row, with fewer false ejections than three in a row.
 func TestBeatsTheUsualRules(t *testing.T) {
 	size := measure.Sizes()[0]
-	balanced := measure.Judged(table.Balanced)
-	three, five := measure.InARow("3", 3), measure.InARow("5", 5)
-	mine := measure.Repeat(size, measure.Bar(), balanced, 50)
-	theirs := measure.Repeat(size, measure.Bar(), five, 50)
-	if got, other := measure.Quantile(mine.Spans, 0.5), measure.Quantile(theirs.Spans, 0.5); 5*got > other {
+	balanced := measure.GateRule(table.Balanced)
+	three, five := measure.ConsecutiveFailures("3", 3), measure.ConsecutiveFailures("5", 5)
+	mine := measure.Repeat(size, measure.ReferenceFault(), balanced, 50)
+	theirs := measure.Repeat(size, measure.ReferenceFault(), five, 50)
+	if got, other := measure.Quantile(mine.DetectionTimes, 0.5), measure.Quantile(theirs.DetectionTimes, 0.5); 5*got > other {
 		t.Errorf("got %v against %v of five in a row, want a fifth", got, other)
 	}
-	blips := measure.Spared(size)[3]
+	blips := measure.NoEjection(size)[3]
 	mine = measure.Repeat(size, blips, balanced, 10)
 	theirs = measure.Repeat(size, blips, three, 10)
-	if 2*mine.False > theirs.False {
-		t.Errorf("got %d false ejections against %d of three in a row, want half", mine.False, theirs.False)
+	if 2*mine.FalseEjections > theirs.FalseEjections {
+		t.Errorf("got %d false ejections against %d of three in a row, want half", mine.FalseEjections, theirs.FalseEjections)
 	}
 }
 
@@ -128,19 +128,19 @@
 			b.Run(size.Name+"/"+rule.Name, func(b *testing.B) {
 				var f measure.Figures
 				for b.Loop() {
-					f = measure.Repeat(size, measure.Bar(), rule, 50)
+					f = measure.Repeat(size, measure.ReferenceFault(), rule, 50)
 				}
-				b.ReportMetric(float64(measure.Quantile(f.Outcomes, 0.5)), "outcomes-p50")
-				b.ReportMetric(float64(measure.Quantile(f.Outcomes, 0.99)), "outcomes-p99")
-				b.ReportMetric(float64(measure.Quantile(f.Spans, 0.5)), "virtual-ms-p50")
-				b.ReportMetric(float64(measure.Quantile(f.Spans, 0.99)), "virtual-ms-p99")
+				b.ReportMetric(float64(measure.Quantile(f.DetectionOutcomes, 0.5)), "outcomes-p50")
+				b.ReportMetric(float64(measure.Quantile(f.DetectionOutcomes, 0.99)), "outcomes-p99")
+				b.ReportMetric(float64(measure.Quantile(f.DetectionTimes, 0.5)), "virtual-ms-p50")
+				b.ReportMetric(float64(measure.Quantile(f.DetectionTimes, 0.99)), "virtual-ms-p99")
 			})
 		}
 	}
 }
 
 func BenchmarkFalseEjections(b *testing.B) {
-	for _, rule := range append(ours(), measure.InARow("3-in-a-row", 3), measure.Window()) {
+	for _, rule := range append(ours(), measure.ConsecutiveFailures("3-in-a-row", 3), measure.FailureWindow()) {
 		b.Run(rule.Name, func(b *testing.B) {
 			var f measure.Figures
 			for b.Loop() {
--- a/measure/overload/entry.go
+++ b/measure/overload/entry.go
@@ -13,23 +13,23 @@
 	chooser *choice.Chooser
 	budget  *retry.Budget
 	all     []choice.Candidate
-	// own counts the entry's outstanding requests by upstream, heard is the
+	// inFlight counts the entry's outstanding requests by upstream, heard is the
 	// load last heard and at when.
-	own   []int
-	heard []int
-	at    []clock.Millis
-	turn  int
+	inFlight     []int
+	reportedLoad []int
+	reportedAt   []clock.Millis
+	turn         int
 }
 
 func newEntry(w *world, i int) *entry {
 	n := len(w.gates)
 	e := &entry{
-		world:  w,
-		domain: w.domain(i),
-		own:    make([]int, n),
-		heard:  make([]int, n),
-		at:     make([]clock.Millis, n),
-		turn:   w.random.IntN(n),
+		world:        w,
+		domain:       w.domain(i),
+		inFlight:     make([]int, n),
+		reportedLoad: make([]int, n),
+		reportedAt:   make([]clock.Millis, n),
+		turn:         w.random.IntN(n),
 	}
 	seed := w.random.Uint64()
 	e.chooser = choice.New(choice.Config{Domain: e.domain, Seed: seed})
@@ -45,10 +45,10 @@
 // begin sends a request the first time.
 func (e *entry) begin(r *request) {
 	now := e.world.events.now
-	e.budget.Request(now)
+	e.budget.RecordRequest(now)
 	e.send(r)
 	if h := e.world.config.Hedge; h > 0 {
-		e.world.events.after(h, func() { e.again(r, retry.Silent, 0) })
+		e.world.events.after(h, func() { e.retry(r, retry.NoResponse, 0) })
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	r.tried[u] = true
 	r.tries++
-	e.own[u]++
+	e.inFlight[u]++
 	w.events.after(a.hop, func() { a.gate.arrive(a) })
 	if t := w.config.Timeout; t > 0 {
 		w.events.after(t, func() { e.timeout(a) })
@@ -90,11 +90,11 @@
 		return 0, false
 	}
 	now := e.world.events.now
-	if aside := e.world.config.Aside; aside > 0 && now >= aside {
+	if aside := e.world.config.EjectAt; aside > 0 && now >= aside {
 		e.all[0].Usable = false
 	}
 	for u := range e.all {
-		e.all[u].InFlight = max(e.own[u], choice.Fade(e.heard[u], now-e.at[u]))
+		e.all[u].InFlight = max(e.inFlight[u], choice.DecayLoad(e.reportedLoad[u], now-e.reportedAt[u]))
 	}
 	return e.chooser.Choose(e.all, func(i int) bool { return r.tried[i] })
 }
@@ -109,24 +109,24 @@
 	return n
 }
 
-// settle ends an attempt that got no answer yet.
-func (e *entry) settle(a *attempt) {
-	if !a.over {
-		a.over = true
-		e.own[a.gate.index]--
+// complete ends an attempt that got no answer yet.
+func (e *entry) complete(a *attempt) {
+	if !a.done {
+		a.done = true
+		e.inFlight[a.gate.index]--
 	}
 }
 
-func (e *entry) hear(a *attempt, load int) {
-	e.settle(a)
-	e.heard[a.gate.index] = load
-	e.at[a.gate.index] = e.world.events.now
+func (e *entry) recordLoad(a *attempt, load int) {
+	e.complete(a)
+	e.reportedLoad[a.gate.index] = load
+	e.reportedAt[a.gate.index] = e.world.events.now
 }
 
 // answered takes an answer; one that isn't whole was cut off at its deadline.
 func (e *entry) answered(a *attempt, load int, whole bool) {
-	e.hear(a, load)
-	e.budget.Refused(e.world.events.now, false)
+	e.recordLoad(a, load)
+	e.budget.RecordReply(e.world.events.now, false)
 	if whole && !a.request.done {
 		e.world.serve(a.request)
 	}
@@ -134,36 +134,36 @@
 
 // refused takes a "not run".
 func (e *entry) refused(a *attempt, load int, after clock.Millis) {
-	e.hear(a, load)
-	e.budget.Refused(e.world.events.now, true)
-	if !e.again(a.request, retry.NotRun, after) && !a.request.done {
+	e.recordLoad(a, load)
+	e.budget.RecordReply(e.world.events.now, true)
+	if !e.retry(a.request, retry.NotRun, after) && !a.request.done {
 		e.world.refuse(a.request, after)
 	}
 }
 
 // timeout sends an unanswered request again.
 func (e *entry) timeout(a *attempt) {
-	if !a.over {
-		e.settle(a)
-		e.again(a.request, retry.Silent, 0)
+	if !a.done {
+		e.complete(a)
+		e.retry(a.request, retry.NoResponse, 0)
 	}
 }
 
-// again sends a request again if the rule allows it, and says whether it did.
-func (e *entry) again(r *request, result retry.Result, after clock.Millis) bool {
+// retry sends a request again if the rule allows it, and says whether it did.
+func (e *entry) retry(r *request, result retry.Result, after clock.Millis) bool {
 	now := e.world.events.now
 	if r.done {
 		return false
 	}
 	switch e.world.config.Retries {
-	case None:
+	case NoRetries:
 		return false
 	case Unlimited:
 		e.send(r)
 		return true
 	case Budget:
 		d := e.budget.Decide(now, retry.Attempt{
-			Result: result, ForLoad: result == retry.NotRun, Repeatable: true, Tried: r.tries,
+			Result: result, RefusedForLoad: result == retry.NotRun, Repeatable: true, Attempts: r.tries,
 			Remaining: r.deadline - now, RetryAfter: after, Untried: e.untried(r),
 		})
 		if d.Retry {
--- a/measure/overload/gate.go
+++ b/measure/overload/gate.go
@@ -7,20 +7,20 @@
 
 // gate is one upstream and its queue.
 type gate struct {
-	world  *world
-	index  int
-	slow   clock.Millis
-	slots  *limit.Slots
-	queued map[uint64]*attempt
+	world      *world
+	index      int
+	slowFactor clock.Millis
+	slots      *limit.Slots
+	queued     map[uint64]*attempt
 	// running and line are the state of an Endless queue.
-	running int
-	line    []*attempt
+	running        int
+	unboundedQueue []*attempt
 }
 
 func newGate(w *world, i int) *gate {
-	g := &gate{world: w, index: i, slow: 1, queued: make(map[uint64]*attempt)}
+	g := &gate{world: w, index: i, slowFactor: 1, queued: make(map[uint64]*attempt)}
 	if i == 0 {
-		g.slow = clock.Millis(w.config.Slow)
+		g.slowFactor = clock.Millis(w.config.Slow)
 	}
 	g.slots = limit.NewSlots(limit.SlotsConfig{
 		Slots: w.config.Slots, Queue: w.config.Waiting, Seed: w.config.Seed + uint64(i),
@@ -30,8 +30,8 @@
 
 // load is what the gate tells with every answer.
 func (g *gate) load() int {
-	if g.world.config.Queue == Endless {
-		return g.running + len(g.line)
+	if g.world.config.Queue == Unbounded {
+		return g.running + len(g.unboundedQueue)
 	}
 	l := g.slots.Load()
 	return l.InFlight + l.Waiting
@@ -39,14 +39,14 @@
 
 // arrive takes an attempt off the link.
 func (g *gate) arrive(a *attempt) {
-	if g.world.config.Queue == Endless {
-		g.line = append(g.line, a)
-		g.startEndless()
+	if g.world.config.Queue == Unbounded {
+		g.unboundedQueue = append(g.unboundedQueue, a)
+		g.startUnbounded()
 		return
 	}
 	now := g.world.events.now
-	offer := g.slots.Offer(now, a.ticket, a.request.deadline)
-	switch offer.Answer {
+	offer := g.slots.AcquireUntil(now, a.ticket, a.request.deadline)
+	switch offer.Result {
 	case limit.Run:
 		g.start(a)
 	case limit.Wait:
@@ -57,19 +57,19 @@
 	}
 }
 
-func (g *gate) startEndless() {
-	for g.running < g.world.config.Slots && len(g.line) > 0 {
+func (g *gate) startUnbounded() {
+	for g.running < g.world.config.Slots && len(g.unboundedQueue) > 0 {
 		g.running++
-		a := g.line[0]
-		g.line = g.line[1:]
+		a := g.unboundedQueue[0]
+		g.unboundedQueue = g.unboundedQueue[1:]
 		g.start(a)
 	}
 }
 
 // start runs an attempt to its end, or to its deadline if the gate cancels.
 func (g *gate) start(a *attempt) {
-	span := a.request.work * g.slow
-	if left := a.request.deadline - g.world.events.now; g.world.config.Queue == Deadlines && span > left {
+	span := a.request.work * g.slowFactor
+	if left := a.request.deadline - g.world.events.now; g.world.config.Queue == DeadlineBound && span > left {
 		span = left
 	}
 	g.world.events.after(span, func() { g.end(a, span) })
@@ -79,11 +79,11 @@
 func (g *gate) end(a *attempt, span clock.Millis) {
 	now := g.world.events.now
 	r := a.request
-	whole := span == r.work*g.slow
-	g.world.account(span, whole && !r.done && now+a.hop < r.deadline)
-	if g.world.config.Queue == Endless {
+	whole := span == r.work*g.slowFactor
+	g.world.recordSlotTime(span, whole && !r.done && now+a.hop < r.deadline)
+	if g.world.config.Queue == Unbounded {
 		g.running--
-		g.startEndless()
+		g.startUnbounded()
 	} else {
 		if ticket, ok := g.slots.Release(now); ok {
 			g.start(g.queued[ticket])
--- a/measure/overload/overload.go
+++ b/measure/overload/overload.go
@@ -30,8 +30,8 @@
 	Budget Retries = iota
 	// Unlimited sends again after each refusal and each Timeout.
 	Unlimited
-	// None never sends again.
-	None
+	// NoRetries never sends again.
+	NoRetries
 )
 
 // Queue is how a gate queues requests.
@@ -39,25 +39,25 @@
 
 // The values of Queue.
 const (
-	// Deadlines is package limit; what runs is cancelled at its deadline.
-	Deadlines Queue = iota
-	// Endless queues everything and runs it to its end, wanted or not.
-	Endless
+	// DeadlineBound is package limit; what runs is cancelled at its deadline.
+	DeadlineBound Queue = iota
+	// Unbounded queues everything and runs it to its end, wanted or not.
+	Unbounded
 )
 
-// Comeback is when refused callers come back.
-type Comeback uint8
+// RetryAfter is when refused callers come back.
+type RetryAfter uint8
 
 // The values of Comeback.
 const (
 	// Never means that a refused caller gives up.
-	Never Comeback = iota
+	Never RetryAfter = iota
 	// Computed is the RetryAfter of the refusal.
 	Computed
 	// Rounded is that in whole seconds, as the HTTP header says it.
 	Rounded
-	// Spread is that and up to a second that the caller adds at random.
-	Spread
+	// Jittered is that and up to a second that the caller adds at random.
+	Jittered
 	// Constant is one second for all.
 	Constant
 )
@@ -74,8 +74,8 @@
 	Service clock.Millis
 	// Slow multiplies the times of the first upstream; 0 means 1.
 	Slow int
-	// Aside is when all entries set the first upstream aside; 0 means never.
-	Aside clock.Millis
+	// EjectAt is when all entries set the first upstream aside; 0 means never.
+	EjectAt clock.Millis
 	// Load is the work offered as a share of the service's capacity.
 	Load float64
 	// Burst is the requests more that arrive within Service at a fifth of Span.
@@ -94,8 +94,8 @@
 	Timeout clock.Millis
 	// Hedge is after how long a second copy is sent, from the budget; 0 means
 	// never.
-	Hedge    clock.Millis
-	Comeback Comeback
+	Hedge      clock.Millis
+	RetryAfter RetryAfter
 }
 
 // Result is what one run gave. A request that comes back counts once.
--- a/measure/overload/scenarios.go
+++ b/measure/overload/scenarios.go
@@ -34,22 +34,22 @@
 // change turns one run into another to compare it with.
 type change func(c *Config)
 
-func double(c *Config)    { c.Load = 2 }
-func high(c *Config)      { c.Load = 0.9 }
-func slow(c *Config)      { c.Slow = 10 }
-func aside(c *Config)     { c.Aside = 2 * clock.Second }
-func hedge(c *Config)     { c.Hedge = 120 }
-func robin(c *Config)     { c.Routing = RoundRobin }
-func unlimited(c *Config) { c.Retries = Unlimited }
-func burst(c *Config)     { c.Load, c.Burst, c.Comeback = 0.5, 400, Computed }
-func constant(c *Config)  { c.Comeback = Constant }
-func rounded(c *Config)   { c.Comeback = Rounded }
-func spread(c *Config)    { c.Comeback = Spread }
-func flood(c *Config)     { c.Burst = 4000 }
+func double(c *Config)     { c.Load = 2 }
+func high(c *Config)       { c.Load = 0.9 }
+func slow(c *Config)       { c.Slow = 10 }
+func ejected(c *Config)    { c.EjectAt = 2 * clock.Second }
+func hedge(c *Config)      { c.Hedge = 120 }
+func roundRobin(c *Config) { c.Routing = RoundRobin }
+func unlimited(c *Config)  { c.Retries = Unlimited }
+func burst(c *Config)      { c.Load, c.Burst, c.RetryAfter = 0.5, 400, Computed }
+func constant(c *Config)   { c.RetryAfter = Constant }
+func rounded(c *Config)    { c.RetryAfter = Rounded }
+func jittered(c *Config)   { c.RetryAfter = Jittered }
+func flood(c *Config)      { c.Burst = 4000 }
 
-// endless makes the queue the backend server's own, blind to deadlines; what
+// unbounded makes the queue the backend server's own, blind to deadlines; what
 // isn't answered in Timeout is sent again.
-func endless(c *Config) { c.Queue, c.Timeout = Endless, 100 }
+func unbounded(c *Config) { c.Queue, c.Timeout = Unbounded, 100 }
 
 func waiting(n int) change         { return func(c *Config) { c.Waiting = n } }
 func retries(share float64) change { return func(c *Config) { c.Share = share } }
@@ -70,20 +70,20 @@
 		scenario("overload/sicily", Sicily(), double),
 		scenario("overload/kingston", Kingston(), double),
 		scenario("overload/planned", Planned(), double),
-		scenario("overload/usual", Sicily(), double, robin, endless, unlimited),
-		scenario("overload/budget-alone", Sicily(), double, endless),
+		scenario("overload/usual", Sicily(), double, roundRobin, unbounded, unlimited),
+		scenario("overload/budget-alone", Sicily(), double, unbounded),
 		scenario("overload/gate-alone", Sicily(), double, short, unlimited),
 		scenario("hedge/slow", Sicily(), slow, hedge),
-		scenario("hedge/slow-aside", Sicily(), slow, aside, hedge),
-		scenario("hedge/slow-aside-none", Sicily(), slow, aside),
+		scenario("hedge/slow-aside", Sicily(), slow, ejected, hedge),
+		scenario("hedge/slow-aside-none", Sicily(), slow, ejected),
 		scenario("hedge/high", Sicily(), high, hedge),
 		scenario("comeback/computed", Sicily(), burst),
 		scenario("comeback/rounded", Sicily(), burst, rounded),
-		scenario("comeback/spread", Sicily(), burst, spread),
+		scenario("comeback/spread", Sicily(), burst, jittered),
 		scenario("comeback/constant", Sicily(), burst, constant),
 		scenario("comeback/flood", Sicily(), burst, flood),
 		scenario("comeback/flood-rounded", Sicily(), burst, flood, rounded),
-		scenario("comeback/flood-spread", Sicily(), burst, flood, spread),
+		scenario("comeback/flood-spread", Sicily(), burst, flood, jittered),
 		scenario("comeback/flood-constant", Sicily(), burst, flood, constant),
 		scenario("queue/0", Sicily(), high, waiting(0)),
 		scenario("queue/3", Sicily(), high, waiting(3)),
@@ -106,11 +106,11 @@
 		name := "routing/" + size.Name
 		all = append(all,
 			scenario(name, size.Config),
-			scenario(name+"-robin", size.Config, robin),
+			scenario(name+"-robin", size.Config, roundRobin),
 			scenario(name+"-high", size.Config, high),
-			scenario(name+"-high-robin", size.Config, high, robin),
+			scenario(name+"-high-robin", size.Config, high, roundRobin),
 			scenario(name+"-slow", size.Config, slow),
-			scenario(name+"-slow-robin", size.Config, slow, robin),
+			scenario(name+"-slow-robin", size.Config, slow, roundRobin),
 		)
 	}
 	return all
--- a/measure/overload/world.go
+++ b/measure/overload/world.go
@@ -38,8 +38,8 @@
 	gate    *gate
 	ticket  uint64
 	hop     clock.Millis
-	// over says that the entry no longer counts it as outstanding.
-	over bool
+	// done says that the entry no longer counts it as outstanding.
+	done bool
 }
 
 func newWorld(c Config) *world {
@@ -109,23 +109,23 @@
 	w.result.Waits = append(w.result.Waits, w.events.now-r.arrived-r.work)
 }
 
-// mostReturns bounds how often a caller comes back.
-const mostReturns = 10
+// maxReturns bounds how often a caller comes back.
+const maxReturns = 10
 
 // refuse ends a request as not run; its caller may come back.
 func (w *world) refuse(r *request, after clock.Millis) {
 	r.done = true
-	if w.config.Comeback == Never || r.returns >= mostReturns {
+	if w.config.RetryAfter == Never || r.returns >= maxReturns {
 		w.result.Refused++
 		return
 	}
 	whole := (after + clock.Second - 1) / clock.Second * clock.Second
-	switch w.config.Comeback {
+	switch w.config.RetryAfter {
 	case Constant:
 		after = clock.Second
 	case Rounded:
 		after = whole
-	case Spread:
+	case Jittered:
 		after = whole + clock.Millis(w.random.Int64N(int64(clock.Second)))
 	case Never, Computed:
 	}
@@ -133,9 +133,9 @@
 	w.events.after(after, func() { w.begin(r) })
 }
 
-// account counts the slot time of an attempt that ends now, but for the tail
+// recordSlotTime counts the slot time of an attempt that ends now, but for the tail
 // after Span, in which no more work is offered.
-func (w *world) account(span clock.Millis, useful bool) {
+func (w *world) recordSlotTime(span clock.Millis, useful bool) {
 	if w.events.now > w.config.Span {
 		return
 	}
--- a/measure/page/fill.go
+++ b/measure/page/fill.go
@@ -14,13 +14,13 @@
 	healthyLength = 10 * clock.Minute
 	// The outcomes to see: at 0.2 false ejections per million, ten million
 	// give two.
-	mainHealthy  = 10_000_000
-	otherHealthy = 2_000_000
-	sparedRuns   = 40
-	flapRuns     = 10
+	mainOutcomes   = 10_000_000
+	otherOutcomes  = 2_000_000
+	noEjectionRuns = 40
+	flapRuns       = 10
 )
 
-const head = `# Measures of the health verdict
+const pageHead = `# Measures of the health verdict
 
 Written by ` + "`go run ./measure/page`" + `; the same figures on every run. Virtual time, seeded; one
 service with its entries and gates as plain values. "p50 / p99" is over the seeds. Baselines travel on replies and
@@ -32,23 +32,23 @@
 "fast", "balanced" and "cautious" are this project's rule at the gate.
 `
 
-// fill writes the whole page.
-func fill(w io.Writer, runs int) {
-	fmt.Fprint(w, head)
+// writePage writes the whole page.
+func writePage(w io.Writer, runs int) {
+	fmt.Fprint(w, pageHead)
 	main := measure.Sizes()[0]
 	detections(w, main, measure.Rules(), runs)
-	quiet(w, main, measure.Rules(), mainHealthy, 0.01)
-	quiet(w, main, measure.Rules(), otherHealthy, 0.001)
-	spared(w, main, measure.Rules())
+	falseEjections(w, main, measure.Rules(), mainOutcomes, 0.01)
+	falseEjections(w, main, measure.Rules(), otherOutcomes, 0.001)
+	noEjection(w, main, measure.Rules())
 	flaps(w, main, measure.Rules())
 	for _, size := range measure.Sizes()[1:] {
 		rules := []measure.Rule{
-			measure.Judged(table.Fast), measure.Judged(table.Balanced), measure.Judged(table.Cautious),
-			measure.InARow("5 in a row", 5),
+			measure.GateRule(table.Fast), measure.GateRule(table.Balanced), measure.GateRule(table.Cautious),
+			measure.ConsecutiveFailures("5 in a row", 5),
 		}
 		detections(w, size, rules, max(1, runs/4))
-		quiet(w, size, rules, otherHealthy, 0.01)
-		spared(w, size, rules)
+		falseEjections(w, size, rules, otherOutcomes, 0.01)
+		noEjection(w, size, rules)
 	}
 }
 
@@ -72,7 +72,7 @@
 	for _, scenario := range measure.Faults() {
 		detection(w, size, scenario, rules, runs)
 	}
-	scenario := measure.Bar()
+	scenario := measure.ReferenceFault()
 	scenario.Name += ", 8 callers"
 	detection(w, few, scenario, rules, runs)
 	fmt.Fprintf(w, "\n%d seeds. \"missed\": not set aside within 2 minutes, or before the fault was over.\n", runs)
@@ -82,19 +82,19 @@
 	fmt.Fprintf(w, "| %s |", scenario.Name)
 	for _, rule := range rules {
 		f := measure.Repeat(size, scenario, rule, runs)
-		if len(f.Outcomes) > 0 {
-			fmt.Fprintf(w, " %d / %d, %d / %d ms", measure.Quantile(f.Outcomes, 0.5), measure.Quantile(f.Outcomes, 0.99),
-				measure.Quantile(f.Spans, 0.5), measure.Quantile(f.Spans, 0.99))
+		if len(f.DetectionOutcomes) > 0 {
+			fmt.Fprintf(w, " %d / %d, %d / %d ms", measure.Quantile(f.DetectionOutcomes, 0.5), measure.Quantile(f.DetectionOutcomes, 0.99),
+				measure.Quantile(f.DetectionTimes, 0.5), measure.Quantile(f.DetectionTimes, 0.99))
 		}
 		if f.Missed > 0 {
-			fmt.Fprintf(w, " missed %d of %d", f.Missed, f.Missed+len(f.Outcomes))
+			fmt.Fprintf(w, " missed %d of %d", f.Missed, f.Missed+len(f.DetectionOutcomes))
 		}
 		fmt.Fprint(w, " |")
 	}
 	fmt.Fprintln(w)
 }
 
-func quiet(w io.Writer, size measure.Size, rules []measure.Rule, least int, shares ...float64) {
+func falseEjections(w io.Writer, size measure.Size, rules []measure.Rule, least int, shares ...float64) {
 	heading(w, "false ejections per million healthy outcomes, and per upstream and day", size, rules)
 	each := size.Rate * float64(size.Upstreams) * healthyLength.Seconds()
 	runs := 1 + int(float64(least)/each)
@@ -104,7 +104,7 @@
 		fmt.Fprintf(w, "| %.1f%% fail |", 100*failed)
 		for _, rule := range rules {
 			f := measure.Repeat(size, measure.Healthy(healthyLength), rule, runs)
-			outcomes = f.Healthy
+			outcomes = f.HealthyOutcomes
 			fmt.Fprintf(w, " %.2f, %.2f |", f.FalsePerMillion(), f.FalsePerDay())
 		}
 		fmt.Fprintln(w)
@@ -112,17 +112,17 @@
 	fmt.Fprintf(w, "\n%.1f million outcomes each.\n", float64(outcomes)/1e6)
 }
 
-func spared(w io.Writer, size measure.Size, rules []measure.Rule) {
+func noEjection(w io.Writer, size measure.Size, rules []measure.Rule) {
 	heading(w, "set asides where there should be none", size, rules)
-	runs := sparedRuns
+	runs := noEjectionRuns
 	if size.Name != measure.Sizes()[0].Name {
 		runs /= 2
 	}
-	for _, scenario := range measure.Spared(size) {
+	for _, scenario := range measure.NoEjection(size) {
 		fmt.Fprintf(w, "| %s |", scenario.Name)
 		for _, rule := range rules {
 			f := measure.Repeat(size, scenario, rule, runs)
-			fmt.Fprintf(w, " %d (%.1f%%) |", f.False, 100*float64(f.False)/float64(runs*size.Upstreams))
+			fmt.Fprintf(w, " %d (%.1f%%) |", f.FalseEjections, 100*float64(f.FalseEjections)/float64(runs*size.Upstreams))
 		}
 		fmt.Fprintln(w)
 	}
@@ -135,7 +135,7 @@
 		fmt.Fprintf(w, "| %s |", scenario.Name)
 		for _, rule := range rules {
 			f := measure.Repeat(size, scenario, rule, flapRuns)
-			fmt.Fprintf(w, " %d |", f.Given/flapRuns)
+			fmt.Fprintf(w, " %d |", f.SentAfterDetection/flapRuns)
 		}
 		fmt.Fprintln(w)
 	}
--- a/measure/page/main.go
+++ b/measure/page/main.go
@@ -30,7 +30,7 @@
 
 func write(args arguments) error {
 	var page bytes.Buffer
-	fill(&page, args.Runs)
+	writePage(&page, args.Runs)
 	if err := os.WriteFile(args.Out, page.Bytes(), 0o600); err != nil {
 		return errors.Annotatef(err, "writing %s", args.Out)
 	}
--- a/measure/path.go
+++ b/measure/path.go
@@ -5,10 +5,10 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// verdictFor returns the verdict that decides about the request.
-func (r *run) verdictFor(e, u int) Verdict {
+// detectorFor returns the verdict that decides about the request.
+func (r *run) detectorFor(e, u int) Detector {
 	if r.rule.AtEntry {
-		return r.entries[e].verdicts[u]
+		return r.entries[e].detectors[u]
 	}
 	return r.upstreams[u].gate
 }
@@ -18,24 +18,24 @@
 func (r *run) pick(q request) (int, bool) {
 	best := -1
 	for range 2 {
-		i, ok := r.draw(q)
+		i, ok := r.pickCandidate(q)
 		if ok && (best < 0 || r.load(i) < r.load(best)) {
 			best = i
 		}
 	}
-	return best, best >= 0 && r.verdictFor(q.entry, best).Admit(r.now, q.repeatable)
+	return best, best >= 0 && r.detectorFor(q.entry, best).Admit(r.now, q.repeatable)
 }
 
 func (r *run) load(i int) int {
 	return r.upstreams[i].busy + len(r.upstreams[i].waiting)
 }
 
-func (r *run) draw(q request) (int, bool) {
+func (r *run) pickCandidate(q request) (int, bool) {
 	for range 4 * r.size.Upstreams {
 		i := r.random.IntN(r.size.Upstreams)
-		status := r.verdictFor(q.entry, i).Status(r.now)
+		status := r.detectorFor(q.entry, i).Status(r.now)
 		switch status.State {
-		case health.Aside:
+		case health.Ejected:
 			continue
 		case health.Trial:
 			if q.repeatable {
@@ -50,15 +50,15 @@
 	return 0, false
 }
 
-// give brings a request to its gate, which queues it or refuses it when the
+// deliver brings a request to its gate, which queues it or refuses it when the
 // queue is full.
-func (r *run) give(q request) {
+func (r *run) deliver(q request) {
 	u := r.upstreams[q.upstream]
-	if r.rule.Learns {
+	if r.rule.UsesBaseline {
 		u.gate.SetBaseline(r.entries[q.entry].baseline(r.now))
 	}
-	if u.spell.active(r.now) && u.spell.detected {
-		r.figures.Given++
+	if u.faultWindow.active(r.now) && u.faultWindow.detected {
+		r.figures.SentAfterDetection++
 	}
 	switch {
 	case u.busy < r.size.Slots:
@@ -76,24 +76,24 @@
 	u.busy++
 	q.sent = r.now
 	var latency clock.Millis
-	q.result, latency = u.answer(r.now, r.size, r.surging(), r.random)
+	q.result, latency = u.respond(r.now, r.size, r.surging(), r.random)
 	if q.caller == "poison" {
 		q.result = health.Failed
 	}
-	limit := r.verdictFor(q.entry, q.upstream).OverdueAfter()
+	limit := r.detectorFor(q.entry, q.upstream).OverdueAfter()
 	q.until = r.now + latency
 	if latency > limit {
-		q.silent = true
+		q.endIgnored = true
 		r.queue.add(event{at: r.now + limit, kind: turnsOverdue, request: q})
 	}
 	r.queue.add(event{at: r.now + latency, kind: ends, request: q})
 }
 
-// remind reports a hung request again after as long again.
-func (r *run) remind(e event) {
-	limit := r.verdictFor(e.entry, e.upstream).OverdueAfter()
+// repeatOverdue reports a hung request again after as long again.
+func (r *run) repeatOverdue(e event) {
+	limit := r.detectorFor(e.entry, e.upstream).OverdueAfter()
 	if r.now+limit < e.until {
-		e.again = true
+		e.stillOverdue = true
 		e.at = r.now + limit
 		r.queue.add(e)
 	}
@@ -102,7 +102,7 @@
 func (r *run) end(q request) {
 	u := r.upstreams[q.upstream]
 	u.busy--
-	if !q.silent {
+	if !q.endIgnored {
 		r.observe(q, q.result, r.now-q.sent)
 	}
 	r.reply(q)
@@ -115,51 +115,51 @@
 
 // reply tells the entry that a request has ended or was refused.
 func (r *run) reply(q request) {
-	q.own = r.upstreams[q.upstream].gate.Own()
+	q.baseline = r.upstreams[q.upstream].gate.Own()
 	r.queue.add(event{at: r.now + hop, kind: replies, request: q})
 }
 
 // observe tells the outcome to the verdict and settles what it changed.
 func (r *run) observe(q request, result health.Result, latency clock.Millis) {
 	u := r.upstreams[q.upstream]
-	p := u.spell
-	target := p != nil && !p.Spared && r.now >= p.From && r.now < p.To+grace
+	p := u.faultWindow
+	target := p != nil && !p.NoEjection && r.now >= p.From && r.now < p.To+falseEjectionGrace
 	if target {
 		p.outcomes++
 	} else {
-		r.figures.Healthy++
+		r.figures.HealthyOutcomes++
 	}
 	if result == health.Failed || result == health.Overdue {
 		r.figures.Bad++
 	}
-	v := r.verdictFor(q.entry, q.upstream)
-	v.Observe(r.now, health.Observation{Result: result, Latency: latency, Again: q.again, Caller: q.caller})
-	aside := v.Status(r.now).State == health.Aside
+	v := r.detectorFor(q.entry, q.upstream)
+	v.Observe(r.now, health.Observation{Result: result, Latency: latency, StillOverdue: q.stillOverdue, Caller: q.caller})
+	aside := v.Status(r.now).State == health.Ejected
 	switch {
 	case !aside:
 	case target:
-		r.detect(p)
-	case r.fresh(v):
-		r.figures.False++
+		r.recordDetection(p)
+	case r.justEjected(v):
+		r.figures.FalseEjections++
 	}
 }
 
-// fresh reports whether the verdict fell at this instant.
-func (r *run) fresh(v Verdict) bool {
+// justEjected reports whether the verdict fell at this instant.
+func (r *run) justEjected(v Detector) bool {
 	s := v.Status(r.now)
-	return s.Evidence.At == r.now || s.Evidence.At == 0 && s.Until == r.now+usualHoldOff
+	return s.Evidence.At == r.now || s.Evidence.At == 0 && s.Until == r.now+proxyHoldOff
 }
 
-// detect ends the wait for a spell's detection: at a gate the verdict is in
+// recordDetection ends the wait for a spell's detection: at a gate the verdict is in
 // force at once, at entries once half of them have it.
-func (r *run) detect(p *progress) {
+func (r *run) recordDetection(p *detection) {
 	if p.detected || r.now >= p.To {
 		return
 	}
 	if r.rule.AtEntry {
 		aside := 0
 		for _, e := range r.entries {
-			if e.verdicts[p.Upstream].Status(r.now).State == health.Aside {
+			if e.detectors[p.Upstream].Status(r.now).State == health.Ejected {
 				aside++
 			}
 		}
@@ -168,16 +168,16 @@
 		}
 	}
 	p.detected = true
-	r.open--
-	r.figures.Outcomes = append(r.figures.Outcomes, p.outcomes)
-	r.figures.Spans = append(r.figures.Spans, r.now-p.From)
+	r.undetected--
+	r.figures.DetectionOutcomes = append(r.figures.DetectionOutcomes, p.outcomes)
+	r.figures.DetectionTimes = append(r.figures.DetectionTimes, r.now-p.From)
 }
 
 func (r *run) finish() {
-	for _, p := range r.spells {
-		if !p.Spared && !p.detected {
+	for _, p := range r.faultWindows {
+		if !p.NoEjection && !p.detected {
 			r.figures.Missed++
 		}
 	}
-	r.figures.Served = r.now * clock.Millis(r.size.Upstreams)
+	r.figures.HealthyTime = r.now * clock.Millis(r.size.Upstreams)
 }
--- a/measure/run.go
+++ b/measure/run.go
@@ -13,12 +13,12 @@
 	hop clock.Millis = 1
 	// queueFactor bounds the requests that wait at a gate, in slots.
 	queueFactor = 2
-	// probeEvery is the span between two probes of a gate.
-	probeEvery = clock.Second
+	// probeInterval is the span between two probes of a gate.
+	probeInterval = clock.Second
 	// repeatableShare of the requests may be sent again.
 	repeatableShare = 0.8
-	// grace after a spell, a set aside is not yet a false one.
-	grace = 5 * clock.Second
+	// falseEjectionGrace after a spell, a set aside is not yet a false one.
+	falseEjectionGrace = 5 * clock.Second
 )
 
 // run is one service in virtual time.
@@ -29,14 +29,14 @@
 	random   *rand.Rand
 	seed     uint64
 
-	now       clock.Millis
-	queue     queue
-	upstreams []*upstream
-	entries   []*entry
-	spells    []*progress
-	callers   []string
-	open      int
-	figures   Figures
+	now          clock.Millis
+	queue        queue
+	upstreams    []*upstream
+	entries      []*entry
+	faultWindows []*detection
+	callers      []string
+	undetected   int
+	figures      Figures
 }
 
 // Run plays the scenario once.
@@ -53,7 +53,7 @@
 		}
 		r.now = e.at
 		r.handle(e)
-		if r.open == 0 && !scenario.Whole {
+		if r.undetected == 0 && !scenario.RunToEnd {
 			break
 		}
 	}
@@ -63,17 +63,17 @@
 
 func (r *run) prepare() {
 	for i := range r.size.Upstreams {
-		r.upstreams = append(r.upstreams, &upstream{gate: r.verdict(i)})
-		r.queue.add(event{at: probeEvery * clock.Millis(i+1) / clock.Millis(r.size.Upstreams), kind: probes, request: request{upstream: i}})
+		r.upstreams = append(r.upstreams, &upstream{gate: r.newDetector(i)})
+		r.queue.add(event{at: probeInterval * clock.Millis(i+1) / clock.Millis(r.size.Upstreams), kind: probes, request: request{upstream: i}})
 		if r.scenario.Blip > 0 {
-			r.queue.add(event{at: r.spread(r.scenario.Blip), kind: blips, request: request{upstream: i}})
+			r.queue.add(event{at: r.exponential(r.scenario.Blip), kind: blips, request: request{upstream: i}})
 		}
 	}
 	for range r.size.Entries {
 		e := newEntry(r.size)
 		if r.rule.AtEntry {
 			for i := range r.size.Upstreams {
-				e.verdicts = append(e.verdicts, r.verdict(i))
+				e.detectors = append(e.detectors, r.newDetector(i))
 			}
 		}
 		r.entries = append(r.entries, e)
@@ -81,10 +81,10 @@
 	for i := range r.size.Callers {
 		r.callers = append(r.callers, "caller-"+strconv.Itoa(i))
 	}
-	for _, s := range r.scenario.Spells {
-		r.spells = append(r.spells, &progress{Spell: s})
-		if !s.Spared {
-			r.open++
+	for _, s := range r.scenario.FaultWindows {
+		r.faultWindows = append(r.faultWindows, &detection{FaultWindow: s})
+		if !s.NoEjection {
+			r.undetected++
 		}
 	}
 	r.queue.add(event{kind: arrives})
@@ -93,13 +93,13 @@
 	}
 }
 
-func (r *run) verdict(i int) Verdict {
+func (r *run) newDetector(i int) Detector {
 	r.seed++
 	return r.rule.New(r.seed<<16 + uint64(i))
 }
 
-// spread draws an exponential span, of at least a millisecond.
-func (r *run) spread(mean clock.Millis) clock.Millis {
+// exponential draws an exponential span, of at least a millisecond.
+func (r *run) exponential(mean clock.Millis) clock.Millis {
 	return max(1, clock.Millis(r.random.ExpFloat64()*float64(mean)))
 }
 
@@ -111,16 +111,16 @@
 		r.poison()
 	case turnsOverdue:
 		r.observe(e.request, health.Overdue, r.now-e.sent)
-		r.remind(e)
+		r.repeatOverdue(e)
 	case ends:
 		r.end(e.request)
 	case replies:
-		r.entries[e.entry].hear(r.now, e.request)
+		r.entries[e.entry].receiveBaseline(r.now, e.request)
 	case probes:
 		r.probe(e.upstream)
 	case blips:
-		r.upstreams[e.upstream].blip = r.now + r.scenario.BlipSpan
-		r.queue.add(event{at: r.now + r.spread(r.scenario.Blip), kind: blips, request: e.request})
+		r.upstreams[e.upstream].blipUntil = r.now + r.scenario.BlipLength
+		r.queue.add(event{at: r.now + r.exponential(r.scenario.Blip), kind: blips, request: e.request})
 	}
 }
 
@@ -142,10 +142,10 @@
 		caller:     r.callers[r.random.IntN(len(r.callers))],
 		repeatable: r.random.Float64() < repeatableShare,
 	}
-	r.beginSpells()
+	r.startFaultWindows()
 	if i, ok := r.pick(q); ok {
 		q.upstream = i
-		r.give(q)
+		r.deliver(q)
 	}
 }
 
@@ -156,27 +156,27 @@
 // poison sends one request of the bad caller to its victim.
 func (r *run) poison() {
 	rate := r.size.Rate * r.scenario.Poison
-	r.queue.add(event{at: r.now + r.spread(clock.Millis(float64(clock.Second)/rate)), kind: poisons})
-	r.give(request{caller: "poison", upstream: r.scenario.Victim, entry: r.random.IntN(len(r.entries))})
+	r.queue.add(event{at: r.now + r.exponential(clock.Millis(float64(clock.Second)/rate)), kind: poisons})
+	r.deliver(request{caller: "poison", upstream: r.scenario.Victim, entry: r.random.IntN(len(r.entries))})
 }
 
-func (r *run) beginSpells() {
-	for _, p := range r.spells {
+func (r *run) startFaultWindows() {
+	for _, p := range r.faultWindows {
 		u := r.upstreams[p.Upstream]
-		if r.now < p.From || r.now >= p.To || u.spell == p {
+		if r.now < p.From || r.now >= p.To || u.faultWindow == p {
 			continue
 		}
-		u.spell = p
+		u.faultWindow = p
 		if p.Fault.Replaced {
-			u.gate = r.verdict(p.Upstream)
+			u.gate = r.newDetector(p.Upstream)
 		}
 	}
 }
 
 func (r *run) probe(i int) {
 	u := r.upstreams[i]
-	ok := !u.spell.active(r.now) || r.scenario.ProbesPass ||
-		r.random.Float64() >= u.spell.Fault.Fails+u.spell.Fault.Hangs
+	ok := !u.faultWindow.active(r.now) || r.scenario.ProbesPass ||
+		r.random.Float64() >= u.faultWindow.Fault.Fails+u.faultWindow.Fault.Hangs
 	u.gate.Probed(r.now, ok)
-	r.queue.add(event{at: r.now + probeEvery, kind: probes, request: request{upstream: i}})
+	r.queue.add(event{at: r.now + probeInterval, kind: probes, request: request{upstream: i}})
 }
--- a/measure/upstream.go
+++ b/measure/upstream.go
@@ -17,30 +17,30 @@
 	shedShare  = 0.3
 	shedFactor = 2
 	shedTime   = 2
-	// coldFade is the time in which the latency of a cold start falls to a
+	// coldDecay is the time in which the latency of a cold start falls to a
 	// third of its excess.
-	coldFade = 10 * clock.Second
+	coldDecay = 10 * clock.Second
 )
 
 // upstream is one backend server with its gate.
 type upstream struct {
-	gate    Verdict
+	gate    Detector
 	busy    int
 	waiting []request
-	// spell is the latest begun one, nil before.
-	spell *progress
-	blip  clock.Millis
+	// faultWindow is the latest begun one, nil before.
+	faultWindow *detection
+	blipUntil   clock.Millis
 }
 
-// progress is how far the detection of a spell is.
-type progress struct {
-	Spell
+// detection is how far the detection of a spell is.
+type detection struct {
+	FaultWindow
 	outcomes int
 	detected bool
 }
 
 // active reports whether the fault is on.
-func (p *progress) active(now clock.Millis) bool {
+func (p *detection) active(now clock.Millis) bool {
 	if p == nil || now < p.From || now >= p.To {
 		return false
 	}
@@ -48,11 +48,11 @@
 	return f == 0 || (now-p.From)%f < f/2
 }
 
-// answer draws how a request goes that begins now.
-func (u *upstream) answer(now clock.Millis, size Size, surge bool, random *rand.Rand) (health.Result, clock.Millis) {
+// respond draws how a request goes that begins now.
+func (u *upstream) respond(now clock.Millis, size Size, surge bool, random *rand.Rand) (health.Result, clock.Millis) {
 	latency := math.Exp(random.NormFloat64()*size.Spread) * float64(size.Median)
 	result := health.Good
-	if random.Float64() < size.Failed || now < u.blip {
+	if random.Float64() < size.Failed || now < u.blipUntil {
 		result = health.Failed
 	}
 	if surge && u.busy >= size.Slots {
@@ -61,12 +61,12 @@
 		}
 		latency *= shedFactor
 	}
-	if u.spell.active(now) {
-		f := u.spell.Fault
+	if u.faultWindow.active(now) {
+		f := u.faultWindow.Fault
 		draw := random.Float64()
 		switch {
 		case f.Replaced:
-			latency *= 1 + (f.Factor-1)*math.Exp(-float64(now-u.spell.From)/float64(coldFade))
+			latency *= 1 + (f.Factor-1)*math.Exp(-float64(now-u.faultWindow.From)/float64(coldDecay))
 		case draw < f.Hangs:
 			return health.Overdue, deadline
 		case draw < f.Fails:
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -42,10 +42,10 @@
 
 func (fake) GateStates() []metrics.GateState {
 	var all []metrics.GateState
-	for _, v := range []health.State{health.InUse, health.Aside, health.Trial, health.Ramp} {
+	for _, v := range []health.State{health.InUse, health.Ejected, health.Trial, health.Ramp} {
 		all = append(all, metrics.GateState{Service: "conferme", Upstream: v.String(), Verdict: v, Slots: 3, Queue: 6})
 	}
-	return append(all, metrics.GateState{Service: "conferme", Upstream: "gone", Verdict: health.Aside, Leaving: true})
+	return append(all, metrics.GateState{Service: "conferme", Upstream: "gone", Verdict: health.Ejected, Leaving: true})
 }
 
 func (fake) Reading() metrics.Reading {
--- a/metrics/pages_test.go
+++ b/metrics/pages_test.go
@@ -218,7 +218,7 @@
 	for _, span := range burn.Spans {
 		windows = append(windows, burn.Window{Span: span, Covered: span, Total: 1000, Failed: 1000})
 	}
-	alerts := burn.Judge(table.Objective{Availability: 0.99}, windows).Alerts
+	alerts := burn.Evaluate(table.Objective{Availability: 0.99}, windows).Alerts
 	spans := map[clock.Millis]string{5 * clock.Minute: "5m", clock.Hour: "1h", 6 * clock.Hour: "6h", 3 * clock.Day: "3d"}
 	rules := map[string]rule{}
 	for _, r := range readRules(t) {
@@ -228,7 +228,7 @@
 		name := "FuchsiapickBurn" + strings.ToUpper(a.Name[:1]) + a.Name[1:]
 		want := fmt.Sprintf("service:fuchsiapick_burn:%[1]s >= %[3]g and service:fuchsiapick_burn:%[2]s >= %[3]g"+
 			" and sum by (service, promise) (increase(fuchsiapick_objective_bad_total[%[2]s])) >= %[4]d",
-			spans[a.Short], spans[a.Long], a.Limit, burn.LeastBad)
+			spans[a.Short], spans[a.Long], a.Limit, burn.MinBad)
 		if got := rules[name]; got.Expr != want || got.Labels.Severity != a.Severity {
 			t.Errorf("%s: got %q, %q; want %q, %q", name, got.Expr, got.Labels.Severity, want, a.Severity)
 		}
--- a/node/gates.go
+++ b/node/gates.go
@@ -179,7 +179,7 @@
 	if now-first >= suspectAfter && n.follower != nil {
 		n.follower.Suspect()
 	}
-	return wire.Upstream{Name: upstream, State: uint8(health.Aside), Severity: 1, Until: strangerSpan}
+	return wire.Upstream{Name: upstream, State: uint8(health.Ejected), Severity: 1, Until: strangerSpan}
 }
 
 // invite asks an entry for a request to an upstream beside this node.
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -56,7 +56,7 @@
 	level    float64
 	at       clock.Millis
 	drawn    clock.Millis // when it was asked last
-	comeback limit.Comeback
+	comeback limit.RetrySchedule
 }
 
 func newBucket(now clock.Millis, l Limit) *bucket {
@@ -102,7 +102,7 @@
 	gap := float64(clock.Second) / b.limit.Rate
 	after := make([]clock.Millis, count)
 	for i := range after {
-		after[i] = b.comeback.After(now, (1-b.level)*gap, gap, random)
+		after[i] = b.comeback.Next(now, (1-b.level)*gap, gap, random)
 	}
 	return after
 }
--- a/report/burning.go
+++ b/report/burning.go
@@ -75,7 +75,7 @@
 
 // causeWords says what spent budget, for example "bacheca-4 (the answer broke
 // off: 12)".
-func causeWords(c burn.Spent) string {
+func causeWords(c burn.CauseCount) string {
 	at := c.Upstream
 	if at == "" {
 		at = "no upstream"
@@ -112,8 +112,8 @@
 
 // rateWords marks a rate above 1 that too few bad requests make.
 func rateWords(r burn.Rate, kind burn.Kind) string {
-	rate, bad := r.Of(kind)
-	if rate > 1 && bad < burn.LeastBad {
+	rate, bad := r.BurnRate(kind)
+	if rate > 1 && bad < burn.MinBad {
 		return times(rate) + "*"
 	}
 	return times(rate)
@@ -133,10 +133,10 @@
 		return "-"
 	}
 	last := rates[len(rates)-1]
-	if last.Least == last.Covered {
+	if last.MinCovered == last.Covered {
 		return span(last.Covered)
 	}
-	return span(last.Least) + " to " + span(last.Covered)
+	return span(last.MinCovered) + " to " + span(last.Covered)
 }
 
 func alertWords(alerts []burn.Alert, kind burn.Kind) string {
--- a/report/merge.go
+++ b/report/merge.go
@@ -201,7 +201,7 @@
 	for name, b := range services {
 		m.report.Burn = append(m.report.Burn, Burn{
 			Service: name, Objective: b.objective,
-			Verdict: burn.Judge(table.Objective(b.objective), burn.Merge(b.windows...)),
+			Evaluation: burn.Evaluate(table.Objective(b.objective), burn.Merge(b.windows...)),
 		})
 	}
 	slices.SortFunc(m.report.Burn, func(a, b Burn) int { return cmp.Compare(a.Service, b.Service) })
--- a/report/report.go
+++ b/report/report.go
@@ -249,5 +249,5 @@
 type Burn struct {
 	Service   string           `json:"service"`
 	Objective access.Objective `json:"objective"`
-	burn.Verdict
+	burn.Evaluation
 }
--- a/retry/pressure.go
+++ b/retry/pressure.go
@@ -6,16 +6,16 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// decayed counts events, each of which fades with the span as time constant:
+// decayingCounter counts events, each of which fades with the span as time constant:
 // at a steady rate its value is the events in one span.
-type decayed struct {
+type decayingCounter struct {
 	span  clock.Millis
 	at    clock.Millis
 	value float64
 }
 
 // read returns the value at an instant.
-func (d *decayed) read(now clock.Millis) float64 {
+func (d *decayingCounter) read(now clock.Millis) float64 {
 	if now <= d.at {
 		return d.value
 	}
@@ -23,44 +23,44 @@
 }
 
 // add counts n events.
-func (d *decayed) add(now clock.Millis, n float64) {
+func (d *decayingCounter) add(now clock.Millis, n float64) {
 	d.value = d.read(now) + n
 	d.at = max(d.at, now)
 }
 
 const (
-	// pressureSpan is how long an answer of a gate counts: many turns of its
+	// overloadWindow is how long an answer of a gate counts: many turns of its
 	// queue, and short enough that a burst of refusals is forgotten with it.
-	pressureSpan = clock.Second
-	// pressureLeast is the refusals below which a service isn't called full.
-	pressureLeast = 4
-	// pressureFull is the share of attempts refused for load at which a retry
+	overloadWindow = clock.Second
+	// minRefusals is the refusals below which a service isn't called full.
+	minRefusals = 4
+	// overloadShare is the share of attempts refused for load at which a retry
 	// is more likely to be refused than not.
-	pressureFull = 0.5
+	overloadShare = 0.5
 )
 
-// pressure tells a service whose gates refuse for load from one in which some
+// overloadMeter tells a service whose gates refuse for load from one in which some
 // gate does.
-type pressure struct {
-	refused decayed
-	taken   decayed
+type overloadMeter struct {
+	refused  decayingCounter
+	accepted decayingCounter
 }
 
-func newPressure() pressure {
-	return pressure{refused: decayed{span: pressureSpan}, taken: decayed{span: pressureSpan}}
+func newOverloadMeter() overloadMeter {
+	return overloadMeter{refused: decayingCounter{span: overloadWindow}, accepted: decayingCounter{span: overloadWindow}}
 }
 
-func (p *pressure) add(now clock.Millis, refused bool) {
+func (p *overloadMeter) add(now clock.Millis, refused bool) {
 	if refused {
 		p.refused.add(now, 1)
 		return
 	}
-	p.taken.add(now, 1)
+	p.accepted.add(now, 1)
 }
 
-// full says whether a further attempt would likely be refused for load, too.
+// overloaded says whether a further attempt would likely be refused for load, too.
 // First attempts are always made, so that it is found when that ends.
-func (p *pressure) full(now clock.Millis) bool {
-	refused, taken := p.refused.read(now), p.taken.read(now)
-	return refused >= pressureLeast && refused >= pressureFull*(refused+taken)
+func (p *overloadMeter) overloaded(now clock.Millis) bool {
+	refused, taken := p.refused.read(now), p.accepted.read(now)
+	return refused >= minRefusals && refused >= overloadShare*(refused+taken)
 }
