--- a/retry/quota.go
+++ b/retry/quota.go
@@ -23,8 +23,8 @@
 	Share  float64
 	Extra  float64
 	Window clock.Millis
-	// Parts is the number of upstreams among which Extra is divided.
-	Parts int
+	// Upstreams is the number of upstreams among which Extra is divided.
+	Upstreams int
 }
 
 // Quota bounds the retries that arrive at one upstream. In each span of the
@@ -33,14 +33,14 @@
 // Share x the service's requests + Extra, without a word between them. It is not safe
 // for concurrent use.
 type Quota struct {
-	config QuotaConfig
-	made   clock.Millis
-	window *window // nil without a Window: retries are not bounded here
+	config  QuotaConfig
+	started clock.Millis
+	window  *window // nil without a Window: retries are not bounded here
 }
 
 // NewQuota makes a Quota of a process that started at an instant.
 func NewQuota(made clock.Millis, c QuotaConfig) *Quota {
-	q := &Quota{made: made}
+	q := &Quota{started: made}
 	q.Adjust(c)
 	return q
 }
@@ -57,10 +57,10 @@
 	q.config = c
 }
 
-// Arrived counts a request's first arrival at the upstream.
-func (q *Quota) Arrived(now clock.Millis) {
+// RecordRequest counts a request's first arrival at the upstream.
+func (q *Quota) RecordRequest(now clock.Millis) {
 	if q.window != nil {
-		q.window.request(now)
+		q.window.addRequest(now)
 	}
 }
 
@@ -70,7 +70,7 @@
 	if q.window == nil {
 		return true
 	}
-	bound, spent := q.use(now)
+	bound, spent := q.usage(now)
 	if likelyFails {
 		bound *= likelyFailureShare
 	}
@@ -84,7 +84,7 @@
 		return false
 	}
 	if q.window != nil {
-		q.window.retry(now)
+		q.window.addRetry(now)
 	}
 	return true
 }
@@ -92,28 +92,28 @@
 // RetryAfter is when the oldest retry leaves the window, so that another may be sent.
 func (q *Quota) RetryAfter(now clock.Millis) clock.Millis {
 	if q.window == nil {
-		return leastRetryAfter
+		return minRetryAfter
 	}
-	oldest := q.window.oldestRetry(now)
+	oldest := q.window.oldestRetryAge(now)
 	if oldest == 0 {
-		return leastRetryAfter
+		return minRetryAfter
 	}
-	return max(q.config.Window+q.window.part-oldest, leastRetryAfter)
+	return max(q.config.Window+q.window.bucketWidth-oldest, minRetryAfter)
 }
 
-// Use is how many retries the window holds, and how many it may.
-func (q *Quota) Use(now clock.Millis) (spent, bound float64) {
+// Usage is how many retries the window holds, and how many it may.
+func (q *Quota) Usage(now clock.Millis) (spent, bound float64) {
 	if q.window == nil {
 		return 0, 0
 	}
-	bound, spent = q.use(now)
+	bound, spent = q.usage(now)
 	return spent, bound
 }
 
-func (q *Quota) use(now clock.Millis) (bound, spent float64) {
+func (q *Quota) usage(now clock.Millis) (bound, spent float64) {
 	requests, spent := q.window.sums(now)
-	extra := q.config.Extra / float64(max(q.config.Parts, 1))
-	if now-q.made < q.config.Window {
+	extra := q.config.Extra / float64(max(q.config.Upstreams, 1))
+	if now-q.started < q.config.Window {
 		extra *= restartShare
 	}
 	return GrantedShare * (q.config.Share*requests + extra), spent
--- a/retry/quota_test.go
+++ b/retry/quota_test.go
@@ -32,14 +32,14 @@
 }
 
 func newQuotas(made clock.Millis, upstreams, extra int) *quotas {
-	q := &quotas{config: retry.QuotaConfig{Share: share, Extra: float64(extra), Window: span, Parts: upstreams}}
+	q := &quotas{config: retry.QuotaConfig{Share: share, Extra: float64(extra), Window: span, Upstreams: upstreams}}
 	for range upstreams {
 		q.gates = append(q.gates, retry.NewQuota(made, q.config))
 	}
 	return q
 }
 
-func (q *quotas) request(now clock.Millis, _, upstream int) { q.gates[upstream].Arrived(now) }
+func (q *quotas) request(now clock.Millis, _, upstream int) { q.gates[upstream].RecordRequest(now) }
 
 func (q *quotas) kill(now clock.Millis, upstream int) {
 	q.gates[upstream] = retry.NewQuota(now, q.config)
@@ -251,10 +251,10 @@
 		perSecond := rapid.Float64Range(0.2, 30).Draw(t, "rate")
 		failing := rapid.Float64Range(0, 1).Draw(t, "failing")
 		const extra = 5
-		q := retry.NewQuota(0, retry.QuotaConfig{Share: share, Extra: extra, Window: span, Parts: 1})
+		q := retry.NewQuota(0, retry.QuotaConfig{Share: share, Extra: extra, Window: span, Upstreams: 1})
 		var requests, retries []clock.Millis
 		for now := clock.Minute; now < 2*clock.Minute; now += clock.Millis(1 + random.ExpFloat64()*1000/perSecond) {
-			q.Arrived(now)
+			q.RecordRequest(now)
 			requests = append(requests, now)
 			if random.Float64() < failing && q.Spend(now) {
 				retries = append(retries, now)
@@ -273,7 +273,7 @@
 // An edit of the table comes with each upstream that joins. Were the window begun anew
 // with it, a release would lift the bound.
 func TestAdjustKeepsWhatWasSpent(t *testing.T) {
-	c := retry.QuotaConfig{Extra: 4, Window: span, Parts: 1}
+	c := retry.QuotaConfig{Extra: 4, Window: span, Upstreams: 1}
 	q := retry.NewQuota(0, c)
 	got := 0
 	for now := clock.Minute; now < clock.Minute+5*clock.Second; now += 100 {
@@ -290,7 +290,7 @@
 // A retry waits a second for its slot. Counted when it was granted, it would be out of
 // the window while its arrival is still in it, and the service get more than allowed.
 func TestRetryCountsWhenItIsSent(t *testing.T) {
-	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 2, Window: span, Parts: 1})
+	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 2, Window: span, Upstreams: 1})
 	at := clock.Minute
 	if !q.Allows(at, false) || !q.Spend(at+1500) {
 		t.Fatal("got no retry of an unused quota, want one")
@@ -309,7 +309,7 @@
 // Half of a service fails, and requests are sent again to upstreams that will fail them
 // too. They must leave a part of the budget to those that are likely to succeed.
 func TestUnlikelyRetriesLeaveHalfOfTheBudget(t *testing.T) {
-	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 8, Window: span, Parts: 1})
+	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 8, Window: span, Upstreams: 1})
 	unlikely := 0
 	for q.Allows(clock.Minute, true) && q.Spend(clock.Minute) {
 		unlikely++
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -21,7 +21,7 @@
 
 // attempt is one refused for load that may be made again; cases change it.
 func attempt(change func(a *retry.Attempt)) retry.Attempt {
-	a := retry.Attempt{ForLoad: true, Tried: 1, Remaining: clock.Second, Untried: 5}
+	a := retry.Attempt{RefusedForLoad: true, Attempts: 1, Remaining: clock.Second, Untried: 5}
 	if change != nil {
 		change(&a)
 	}
@@ -34,29 +34,29 @@
 		change func(a *retry.Attempt)
 		want   retry.Reason
 	}{
-		{"not run", func(a *retry.Attempt) { a.ForLoad = false }, ""},
+		{"not run", func(a *retry.Attempt) { a.RefusedForLoad = false }, ""},
 		{"not run for load", nil, ""},
 		{"failed", func(a *retry.Attempt) { a.Result = retry.Failed }, retry.NotRepeatable},
-		{"silent", func(a *retry.Attempt) { a.Result = retry.Silent }, retry.NotRepeatable},
-		{"silent, repeatable", func(a *retry.Attempt) { a.Result, a.Repeatable = retry.Silent, true }, ""},
-		{"third refusal without cost", func(a *retry.Attempt) { a.ForLoad, a.Tried = false, 3 }, ""},
-		{"eighth refusal without cost", func(a *retry.Attempt) { a.ForLoad, a.Tried = false, 8 }, retry.TooMany},
-		{"third attempt", func(a *retry.Attempt) { a.Tried = 3 }, retry.TooMany},
+		{"silent", func(a *retry.Attempt) { a.Result = retry.NoResponse }, retry.NotRepeatable},
+		{"silent, repeatable", func(a *retry.Attempt) { a.Result, a.Repeatable = retry.NoResponse, true }, ""},
+		{"third refusal without cost", func(a *retry.Attempt) { a.RefusedForLoad, a.Attempts = false, 3 }, ""},
+		{"eighth refusal without cost", func(a *retry.Attempt) { a.RefusedForLoad, a.Attempts = false, 8 }, retry.TooManyAttempts},
+		{"third attempt", func(a *retry.Attempt) { a.Attempts = 3 }, retry.TooManyAttempts},
 		{"first run of two after many refusals", func(a *retry.Attempt) {
-			a.Result, a.Repeatable, a.Tried, a.Ran, a.MostRan = retry.Failed, true, 9, 1, 2
+			a.Result, a.Repeatable, a.Attempts, a.Runs, a.MaxRuns = retry.Failed, true, 9, 1, 2
 		}, ""},
-		{"eighth refusal in a row of two runs", func(a *retry.Attempt) { a.Tried, a.Refused, a.MostRan = 8, 8, 2 }, retry.TooMany},
-		{"eighth upstream that shed it", func(a *retry.Attempt) { a.Tried, a.Shed, a.MostRan = 8, 8, 2 }, retry.TooMany},
+		{"eighth refusal in a row of two runs", func(a *retry.Attempt) { a.Attempts, a.Refused, a.MaxRuns = 8, 8, 2 }, retry.TooManyAttempts},
+		{"eighth upstream that shed it", func(a *retry.Attempt) { a.Attempts, a.Shed, a.MaxRuns = 8, 8, 2 }, retry.TooManyAttempts},
 		{"second run of two", func(a *retry.Attempt) {
-			a.Result, a.Repeatable, a.Tried, a.Ran, a.MostRan = retry.Failed, true, 2, 2, 2
-		}, retry.TooMany},
-		{"no time", func(a *retry.Attempt) { a.Remaining = 4 }, retry.NoTime},
-		{"all tried", func(a *retry.Attempt) { a.Untried = 0 }, retry.NowhereLeft},
+			a.Result, a.Repeatable, a.Attempts, a.Runs, a.MaxRuns = retry.Failed, true, 2, 2, 2
+		}, retry.TooManyAttempts},
+		{"no time", func(a *retry.Attempt) { a.Remaining = 4 }, retry.DeadlineTooShort},
+		{"all tried", func(a *retry.Attempt) { a.Untried = 0 }, retry.NoUpstreamLeft},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			got := retry.New(retry.Config{Share: 0.1}).Decide(0, attempt(tt.change))
-			if got.Why != tt.want || got.Retry != (tt.want == "") {
+			if got.Reason != tt.want || got.Retry != (tt.want == "") {
 				t.Errorf("got %+v, want reason %q", got, tt.want)
 			}
 			back := tt.want != "" && tt.want != retry.NotRepeatable
@@ -79,14 +79,14 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += clock.Millis(rapid.SampledFrom([]int{0, 1, 100, 10000}).Draw(t, "span"))
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now)
+				b.RecordRequest(now)
 				excess = max(excess-share, 0)
 			}
 			if b.Decide(now, attempt(nil)).Retry {
 				excess++
 			}
-			if excess > retry.MostBurst+1e-6 {
-				t.Fatalf("got %v retries beyond the share, want at most %v", excess, retry.MostBurst)
+			if excess > retry.MaxBurst+1e-6 {
+				t.Fatalf("got %v retries beyond the share, want at most %v", excess, retry.MaxBurst)
 			}
 		}
 	})
@@ -108,11 +108,11 @@
 		name string
 		gap  clock.Millis
 		want int
-	}{{"idle", 3 * clock.Second, retry.LeastBurst}, {"busy", 10, retry.MostBurst}} {
+	}{{"idle", 3 * clock.Second, retry.MinBurst}, {"busy", 10, retry.MaxBurst}} {
 		b, now := retry.New(retry.Config{Share: 0.1}), clock.Millis(0)
 		for range 10000 {
 			now += tt.gap
-			b.Request(now)
+			b.RecordRequest(now)
 		}
 		if got := spend(b, now); got != tt.want {
 			t.Errorf("%s: got a burst of %d, want %d", tt.name, got, tt.want)
@@ -136,9 +136,9 @@
 	} {
 		b := retry.New(retry.Config{Share: 0.1})
 		for i := range 60 {
-			b.Refused(clock.Millis(i), i%6 < tt.refused)
+			b.RecordReply(clock.Millis(i), i%6 < tt.refused)
 		}
-		if got := b.Decide(60+tt.after, attempt(nil)).Why; got != tt.want {
+		if got := b.Decide(60+tt.after, attempt(nil)).Reason; got != tt.want {
 			t.Errorf("%s: got %q, want %q", tt.name, got, tt.want)
 		}
 	}
@@ -150,10 +150,10 @@
 func TestRefusalWithoutCostIsSentOn(t *testing.T) {
 	b := retry.New(retry.Config{Share: 0.1})
 	spend(b, 0)
-	if got := b.Decide(0, attempt(nil)).Why; got != retry.NoBudget {
+	if got := b.Decide(0, attempt(nil)).Reason; got != retry.NoBudget {
 		t.Errorf("for load: got %q, want %q", got, retry.NoBudget)
 	}
-	if got := b.Decide(0, attempt(func(a *retry.Attempt) { a.ForLoad = false })); !got.Retry {
+	if got := b.Decide(0, attempt(func(a *retry.Attempt) { a.RefusedForLoad = false })); !got.Retry {
 		t.Errorf("connection refused: got %+v, want a retry", got)
 	}
 }
@@ -166,7 +166,7 @@
 	}
 	for range 200 {
 		now += 250
-		b.Request(now)
+		b.RecordRequest(now)
 		b.Decide(now, attempt(nil))
 	}
 	// four requests a second earn a retry in 2.5 s
