--- a/access/book.go
+++ b/access/book.go
@@ -32,13 +32,13 @@
 	// DefaultCallers keeps totals within about 3 MB, and a caller's error
 	// within a thousandth of all requests.
 	DefaultCallers = 1024
-	// textBound bounds each text of a record in bytes, since callers choose
+	// maxTextLength bounds each text of a record in bytes, since callers choose
 	// some of them. Request ids, routes and names are well under it.
-	textBound = 256
+	maxTextLength = 256
 )
 
-// Book is a node's access log. It is safe for concurrent use.
-type Book struct {
+// Log is a node's access log. It is safe for concurrent use.
+type Log struct {
 	mu         sync.Mutex
 	start      clock.Millis
 	received   uint64
@@ -53,9 +53,9 @@
 }
 
 // New returns an empty Book.
-func New(c Config) *Book {
+func New(c Config) *Log {
 	c = c.withDefaults()
-	return &Book{
+	return &Log{
 		start:      c.Start,
 		served:     newRing[Record](max(c.Records/2, 1)),
 		unserved:   newRing[Record](max(c.Records/2, 1)),
@@ -81,7 +81,7 @@
 
 // SetServices takes the objectives of the table in force. Requests are judged
 // by the objective in force when they end.
-func (b *Book) SetServices(services []table.Service) {
+func (b *Log) SetServices(services []table.Service) {
 	objectives := make(map[string]Objective, len(services))
 	for _, s := range services {
 		objectives[s.Name] = Objective(s.Objective)
@@ -91,17 +91,17 @@
 	b.objectives = objectives
 }
 
-// Received counts a request that reached the entry. Each call must be followed
+// RequestReceived counts a request that reached the entry. Each call must be followed
 // by one Close.
-func (b *Book) Received() {
+func (b *Log) RequestReceived() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.received++
 }
 
-// Close enters the single record of a request that Received counted.
-func (b *Book) Close(now clock.Millis, r Record) {
-	r.clip()
+// RequestFinished enters the single record of a request that Received counted.
+func (b *Log) RequestFinished(now clock.Millis, r Record) {
+	r.truncate()
 	if r.Outcome == Served && r.Status >= http.StatusInternalServerError {
 		r.Reason = ReasonUpstreamError
 	}
@@ -126,24 +126,24 @@
 	}
 }
 
-// Note enters an event.
-func (b *Book) Note(e Event) {
-	e.Reason = clip(e.Reason)
+// RecordEvent enters an event.
+func (b *Log) RecordEvent(e Event) {
+	e.Reason = truncate(e.Reason)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.events.put(e)
 }
 
-func (r *Record) clip() {
+func (r *Record) truncate() {
 	for _, text := range []*string{&r.ID, &r.Caller, &r.Service, &r.Route, &r.Method, &r.Reason, &r.Upstream} {
-		*text = clip(*text)
+		*text = truncate(*text)
 	}
 }
 
-// clip copies what it shortens, so that the long text isn't kept.
-func clip(text string) string {
-	if len(text) <= textBound {
+// truncate copies what it shortens, so that the long text isn't kept.
+func truncate(text string) string {
+	if len(text) <= maxTextLength {
 		return text
 	}
-	return strings.ToValidUTF8(strings.Clone(text[:textBound]), "")
+	return strings.ToValidUTF8(strings.Clone(text[:maxTextLength]), "")
 }
--- a/access/book_test.go
+++ b/access/book_test.go
@@ -33,7 +33,7 @@
 		truth := map[string]uint64{}
 		for i := range rapid.IntRange(0, 300).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "receive") {
-				b.Received()
+				b.RequestReceived()
 				received++
 				continue
 			}
@@ -44,7 +44,7 @@
 				Upstream: fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "upstream")),
 				Outcome:  rapid.SampledFrom([]access.Outcome{access.Served, access.NotRun, access.Unknown}).Draw(t, "outcome"),
 			}
-			b.Close(clock.Millis(i), r)
+			b.RequestFinished(clock.Millis(i), r)
 			if closed < received {
 				closed++
 				truth[r.Caller]++
@@ -67,7 +67,7 @@
 			delete(truth, c.Caller)
 		}
 		for name, n := range truth {
-			if n > closed/bound || n > s.Missable {
+			if n > closed/bound || n > s.MaxMissed {
 				t.Fatalf("got no totals of caller %s with %d of %d requests, want them", name, n, closed)
 			}
 		}
@@ -81,9 +81,9 @@
 	for w := range workers {
 		wait.Go(func() {
 			for i := range each {
-				b.Received()
-				b.Close(clock.Millis(i), access.Record{Caller: fmt.Sprint(w, i%7), Service: "bacheca", Outcome: access.Served})
-				b.Note(access.Event{Kind: access.Back})
+				b.RequestReceived()
+				b.RequestFinished(clock.Millis(i), access.Record{Caller: fmt.Sprint(w, i%7), Service: "bacheca", Outcome: access.Served})
+				b.RecordEvent(access.Event{Kind: access.Restored})
 				if i%100 == 0 {
 					b.Snapshot(clock.Millis(i), access.Filter{Since: clock.Second})
 				}
@@ -101,11 +101,11 @@
 // asks about, out of the records.
 func TestRefusalsOutliveServed(t *testing.T) {
 	b := access.New(access.Config{Records: 4})
-	b.Received()
-	b.Close(1, access.Record{ID: "refused", Outcome: access.NotRun, Reason: access.ReasonNoUpstream})
+	b.RequestReceived()
+	b.RequestFinished(1, access.Record{ID: "refused", Outcome: access.NotRun, Reason: access.ReasonNoUpstream})
 	for i := range 100 {
-		b.Received()
-		b.Close(2, access.Record{ID: fmt.Sprint(i), Outcome: access.Served, Started: 2})
+		b.RequestReceived()
+		b.RequestFinished(2, access.Record{ID: fmt.Sprint(i), Outcome: access.Served, Started: 2})
 	}
 	s := b.Snapshot(10, access.Filter{})
 	if got := s.Records[len(s.Records)-1].ID; got != "refused" || len(s.Records) != 3 {
@@ -122,8 +122,8 @@
 func TestSnapshotFilters(t *testing.T) {
 	b := access.New(access.Config{Callers: 1})
 	for i, caller := range []string{"palermo", "palermo", "hotel"} {
-		b.Received()
-		b.Close(clock.Millis(i), access.Record{
+		b.RequestReceived()
+		b.RequestFinished(clock.Millis(i), access.Record{
 			ID: fmt.Sprint(i), Caller: caller, Service: "bacheca", Upstream: fmt.Sprint("bacheca-", i), Outcome: access.Served, Started: clock.Millis(i),
 		})
 	}
@@ -152,7 +152,7 @@
 			}
 		})
 	}
-	if got := b.Snapshot(10, access.Filter{Caller: "palermo"}).Missable; got < 2 {
+	if got := b.Snapshot(10, access.Filter{Caller: "palermo"}).MaxMissed; got < 2 {
 		t.Errorf("got %d missable, want at least the 2 that palermo made", got)
 	}
 }
@@ -179,9 +179,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := access.New(access.Config{})
 			b.SetServices([]table.Service{{Name: "bacheca", Objective: table.Objective{Latency: 250}}})
-			b.Received()
+			b.RequestReceived()
 			tt.record.Service = "bacheca"
-			b.Close(0, tt.record)
+			b.RequestFinished(0, tt.record)
 			var total, failed, slow uint64
 			for _, s := range b.Snapshot(0, access.Filter{}).Burn {
 				total, failed, slow = s.Windows[0].Total, s.Windows[0].Failed, s.Windows[0].Slow
@@ -210,7 +210,7 @@
 			}
 			return ""
 		})
-		if !errors.Is(err, access.ErrFilter) {
+		if !errors.Is(err, access.ErrInvalidFilter) {
 			t.Errorf("got error %v for %s=%s, want ErrFilter", err, name, value)
 		}
 	}
@@ -227,8 +227,8 @@
 			book := access.New(access.Config{})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				book.Received()
-				book.Close(clock.Millis(i/2), access.Record{
+				book.RequestReceived()
+				book.RequestFinished(clock.Millis(i/2), access.Record{
 					ID: "id", Caller: names[i*7919%callers], Service: "bacheca", Upstream: "bacheca-1", Outcome: access.Served,
 				})
 			}
--- a/access/filter.go
+++ b/access/filter.go
@@ -9,8 +9,8 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// ErrFilter reports a filter that can't be read.
-const ErrFilter = errors.ConstError("not a filter")
+// ErrInvalidFilter reports a filter that can't be read.
+const ErrInvalidFilter = errors.ConstError("not a filter")
 
 // Filter narrows a Snapshot. An empty field lets everything pass.
 type Filter struct {
@@ -32,13 +32,13 @@
 	f := Filter{Service: get("service"), Caller: get("caller"), Upstream: get("upstream")}
 	if since := get("since"); since != "" {
 		if err := f.Since.UnmarshalText([]byte(since)); err != nil || f.Since < 0 {
-			return Filter{}, errors.Annotatef(ErrFilter, "since %q is no span such as 10m", since)
+			return Filter{}, errors.Annotatef(ErrInvalidFilter, "since %q is no span such as 10m", since)
 		}
 	}
 	if limit := get("limit"); limit != "" {
 		n, err := strconv.Atoi(limit)
 		if err != nil || n < 0 {
-			return Filter{}, errors.Annotatef(ErrFilter, "limit %q is no count", limit)
+			return Filter{}, errors.Annotatef(ErrInvalidFilter, "limit %q is no count", limit)
 		}
 		f.Limit = n
 	}
@@ -65,24 +65,24 @@
 	return values.Encode()
 }
 
-func (f Filter) passes(caller, service, upstream string) bool {
+func (f Filter) matches(caller, service, upstream string) bool {
 	return match(f.Caller, caller) && match(f.Service, service) && match(f.Upstream, upstream)
 }
 
-// passesEvent lets events that concern no upstream or service pass too: a lost
+// matchesEvent lets events that concern no upstream or service pass too: a lost
 // platform matters to all.
-func (f Filter) passesEvent(e *Event, now clock.Millis) bool {
-	return f.recent(e.At, now) &&
+func (f Filter) matchesEvent(e *Event, now clock.Millis) bool {
+	return f.isRecent(e.At, now) &&
 		(e.Service == "" || match(f.Service, e.Service)) &&
 		(e.Upstream == "" || match(f.Upstream, e.Upstream))
 }
 
-// PassesUpstream tells whether the state of an upstream is asked for.
-func (f Filter) PassesUpstream(u UpstreamState) bool {
+// MatchesUpstream tells whether the state of an upstream is asked for.
+func (f Filter) MatchesUpstream(u UpstreamState) bool {
 	return match(f.Service, u.Service) && match(f.Upstream, u.Name)
 }
 
-func (f Filter) recent(at, now clock.Millis) bool {
+func (f Filter) isRecent(at, now clock.Millis) bool {
 	return f.Since <= 0 || at >= now-f.Since
 }
 
--- a/access/memory_test.go
+++ b/access/memory_test.go
@@ -12,7 +12,7 @@
 
 // fill closes requests of many callers, services and upstreams, one in ten of
 // them refused, over three days so that each time bucket is in use.
-func fill(b *access.Book, requests, callers, services int) {
+func fill(b *access.Log, requests, callers, services int) {
 	const spread = 3 * clock.Day
 	for i := range requests {
 		service := i * 31 % services
@@ -24,8 +24,8 @@
 		if i%10 == 0 {
 			r.Outcome, r.Reason = access.NotRun, fmt.Sprint("reason-", i%7)
 		}
-		b.Received()
-		b.Close(clock.Millis(i)*spread/clock.Millis(requests), r)
+		b.RequestReceived()
+		b.RequestFinished(clock.Millis(i)*spread/clock.Millis(requests), r)
 	}
 }
 
@@ -57,8 +57,8 @@
 	b := access.New(access.Config{Records: 64})
 	r := access.Record{ID: "id", Caller: "hotel", Service: "bacheca", Upstream: "bacheca-1", Outcome: access.Served}
 	got := testing.AllocsPerRun(1000, func() {
-		b.Received()
-		b.Close(1, r)
+		b.RequestReceived()
+		b.RequestFinished(1, r)
 	})
 	if got > 0 {
 		t.Errorf("got %v allocations a record, want 0", got)
@@ -109,8 +109,8 @@
 	b.RunParallel(func(pb *testing.PB) {
 		r := access.Record{ID: "id", Caller: "caller", Service: "bacheca", Upstream: "bacheca-1", Outcome: access.Served}
 		for pb.Next() {
-			book.Received()
-			book.Close(1, r)
+			book.RequestReceived()
+			book.RequestFinished(1, r)
 		}
 	})
 }
--- a/access/reason.go
+++ b/access/reason.go
@@ -50,18 +50,18 @@
 	ReasonSlow = "slow"
 )
 
-// faultsOfCallers are the reasons that spend none of a service's budget: it
+// callerFaults are the reasons that spend none of a service's budget: it
 // could not have done better.
-var faultsOfCallers = []string{
+var callerFaults = []string{
 	ReasonCallerLimit, ReasonAccountLimit, ReasonCallerFault, ReasonCallerGone, ReasonNoRoute, ReasonNoAccount, ReasonBodyTooLarge,
 	ReasonKeyReused,
 }
 
-// FaultOfCaller tells whether a request refused for the reason was refused by
+// IsCallerFault tells whether a request refused for the reason was refused by
 // the caller's own limit or fault, so that it spends none of the service's
 // budget.
-func FaultOfCaller(reason string) bool {
-	return slices.Contains(faultsOfCallers, reason)
+func IsCallerFault(reason string) bool {
+	return slices.Contains(callerFaults, reason)
 }
 
 // sample says what the record means for its service's objective. It returns
@@ -71,7 +71,7 @@
 	switch {
 	case r.Outcome != Served:
 		s.Failed = true
-		return s, !FaultOfCaller(r.Reason)
+		return s, !IsCallerFault(r.Reason)
 	case r.Status >= http.StatusInternalServerError:
 		s.Failed, s.Reason = true, ReasonUpstreamError
 	case latency > 0 && r.Took > latency:
--- a/access/record.go
+++ b/access/record.go
@@ -63,28 +63,28 @@
 
 // The kinds of events.
 const (
-	// SetAside is noted by the gate that set its upstream aside as sick.
-	SetAside EventKind = "set-aside"
+	// Ejected is noted by the gate that set its upstream aside as sick.
+	Ejected EventKind = "set-aside"
 	// Trial is noted by the gate when a hold-off ends in trial requests.
 	Trial EventKind = "trial"
 	// Ramp is noted by the gate when slow start begins.
 	Ramp EventKind = "ramp"
-	// Back is noted by the gate when the upstream is in full use again.
-	Back EventKind = "back"
-	// KeptUnderFloor is noted by an entry that goes on using an upstream that
+	// Restored is noted by the gate when the upstream is in full use again.
+	Restored EventKind = "back"
+	// ForcedUnderFloor is noted by an entry that goes on using an upstream that
 	// is set aside, since the service's floor leaves it no choice.
-	KeptUnderFloor EventKind = "kept-under-floor"
+	ForcedUnderFloor EventKind = "kept-under-floor"
 	// PathLost is noted by an entry that can't reach the peer Node.
 	PathLost EventKind = "path-lost"
-	// PathBack is noted by an entry that reaches the peer Node again.
-	PathBack EventKind = "path-back"
+	// PathRestored is noted by an entry that reaches the peer Node again.
+	PathRestored EventKind = "path-back"
 	// Crashed is noted by the gate whose backend server's process ended under its runs.
 	Crashed EventKind = "crashed"
 	// Quarantined is noted by each node that holds back a request, which crashes the
 	// backend servers that run it.
 	Quarantined EventKind = "quarantined"
-	// Freed is noted by each node when it is held back no longer.
-	Freed EventKind = "freed"
+	// Released is noted by each node when it is held back no longer.
+	Released EventKind = "freed"
 	// Leaving is noted by the gate whose upstream gets no new work any more.
 	Leaving EventKind = "leaving"
 	// TableAccepted is noted when a table comes into force.
@@ -95,8 +95,8 @@
 	TableOlder EventKind = "table-older"
 	// PlatformLost is noted when the platform stops answering.
 	PlatformLost EventKind = "platform-lost"
-	// PlatformBack is noted when the platform answers again.
-	PlatformBack EventKind = "platform-back"
+	// PlatformRestored is noted when the platform answers again.
+	PlatformRestored EventKind = "platform-back"
 )
 
 // Event is one decision or finding that a manager may ask about.
@@ -148,13 +148,13 @@
 // The states of an upstream.
 const (
 	StateInUse       = "in-use"
-	StateSetAside    = "set-aside"
+	StateEjected     = "set-aside"
 	StateTrial       = "trial"
 	StateRamp        = "ramp"
-	StateKept        = "kept-under-floor"
+	StateForced      = "kept-under-floor"
 	StateUnreachable = "unreachable"
 	StateLeaving     = "leaving"
 	StateOff         = "off"
-	StateFull        = "over-limit"
+	StateOverLimit   = "over-limit"
 	StateUnknown     = "unknown"
 )
--- a/access/snapshot.go
+++ b/access/snapshot.go
@@ -23,8 +23,8 @@
 	Table  uint64       `json:"table"`
 	Now    clock.Millis `json:"now"`
 	Filter Filter       `json:"filter"`
-	// Life is the span since the node started; nothing is older.
-	Life clock.Millis `json:"life"`
+	// Uptime is the span since the node started; nothing is older.
+	Uptime clock.Millis `json:"life"`
 	// Span is how far back Totals reach. It is Life, or the filter's Since, or
 	// less than that if records within it were overwritten.
 	Span clock.Millis `json:"span"`
@@ -36,9 +36,9 @@
 	// life their sum is Closed.
 	Totals  []Total       `json:"totals"`
 	Callers []CallerCount `json:"callers"`
-	// Missable is how many requests at most of a caller that isn't among
+	// MaxMissed is how many requests at most of a caller that isn't among
 	// Callers stand under Others.
-	Missable  uint64          `json:"missable"`
+	MaxMissed uint64          `json:"missable"`
 	Records   []Record        `json:"records"`
 	Events    []Event         `json:"events"`
 	Upstreams []UpstreamState `json:"upstreams"`
@@ -70,9 +70,9 @@
 	Events uint64 `json:"events"`
 	// Limited counts the records that the filter's Limit left out.
 	Limited uint64 `json:"limited"`
-	// Unplaced counts requests whose service and upstream are not known any
+	// Unattributed counts requests whose service and upstream are not known any
 	// more, so that the filter may have passed them over.
-	Unplaced uint64 `json:"unplaced"`
+	Unattributed uint64 `json:"unplaced"`
 	// Unmetered counts requests that burn left out: they were of a service
 	// beyond the bound on services.
 	Unmetered uint64 `json:"unmetered"`
@@ -83,9 +83,9 @@
 
 // Snapshot copies what the filter lets pass, newest first. The now is the
 // node's clock.
-func (b *Book) Snapshot(now clock.Millis, f Filter) Snapshot {
-	s := b.copy(now, f)
-	s.Burn = b.burns(now, f)
+func (b *Log) Snapshot(now clock.Millis, f Filter) Snapshot {
+	s := b.snapshotLocked(now, f)
+	s.Burn = b.serviceBurns(now, f)
 	SortTotals(s.Totals)
 	SortCallers(s.Callers)
 	slices.SortStableFunc(s.Records, func(a, b Record) int {
@@ -98,17 +98,17 @@
 	return s
 }
 
-// copy takes what must agree with each other under one lock.
-func (b *Book) copy(now clock.Millis, f Filter) Snapshot {
+// snapshotLocked takes what must agree with each other under one lock.
+func (b *Log) snapshotLocked(now clock.Millis, f Filter) Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Snapshot{
-		Format: Format, Now: now, Filter: f, Life: now - b.start, Span: now - b.start,
+		Format: Format, Now: now, Filter: f, Uptime: now - b.start, Span: now - b.start,
 		Received: b.received, Closed: b.closed, Open: b.received - b.closed,
 		Records: []Record{}, Events: []Event{},
 		Upstreams: []UpstreamState{},
 		Dropped: Dropped{
-			Served: b.served.lost, Unserved: b.unserved.lost, Events: b.events.lost,
+			Served: b.served.overwritten, Unserved: b.unserved.overwritten, Events: b.events.overwritten,
 			Unmetered: b.meter.Unmetered(), Unmatched: b.unmatched,
 		},
 	}
@@ -116,16 +116,16 @@
 	for _, records := range []*ring[Record]{b.served, b.unserved} {
 		s.Dropped.Limited += collect(&s.Records, records, recent, now, f)
 		if f.Since > 0 {
-			s.Span = min(s.Span, f.Since, reach(records, now))
+			s.Span = min(s.Span, f.Since, coverage(records, now))
 		}
 	}
 	if f.Since <= 0 {
 		recent = b.tally
 	}
-	s.Callers, s.Missable = recent.counts(f), recent.missable()
-	s.Totals, s.Dropped.Unplaced = recent.totals(f)
-	for e := range b.events.newest {
-		if f.passesEvent(e, now) {
+	s.Callers, s.MaxMissed = recent.callerCounts(f), recent.maxMissed()
+	s.Totals, s.Dropped.Unattributed = recent.totals(f)
+	for e := range b.events.newestFirst {
+		if f.matchesEvent(e, now) {
 			s.Events = append(s.Events, *e)
 		}
 	}
@@ -137,8 +137,8 @@
 // the limit left out.
 func collect(into *[]Record, from *ring[Record], recent *tally, now clock.Millis, f Filter) (limited uint64) {
 	taken := 0
-	for r := range from.newest {
-		if !f.recent(r.end(), now) || !f.passes(r.Caller, r.Service, r.Upstream) {
+	for r := range from.newestFirst {
+		if !f.isRecent(r.end(), now) || !f.matches(r.Caller, r.Service, r.Upstream) {
 			continue
 		}
 		if f.Since > 0 {
@@ -154,34 +154,34 @@
 	return limited
 }
 
-// reach returns how far back a ring of records has lost none.
-func reach(records *ring[Record], now clock.Millis) clock.Millis {
-	if records.lost == 0 {
+// coverage returns how far back a ring of records has lost none.
+func coverage(records *ring[Record], now clock.Millis) clock.Millis {
+	if records.overwritten == 0 {
 		return now
 	}
 	oldest := now
-	for r := range records.newest {
+	for r := range records.newestFirst {
 		oldest = min(oldest, r.end())
 	}
 	return now - oldest
 }
 
-// burns lets the lock go between services, so that requests don't wait while
+// serviceBurns lets the lock go between services, so that requests don't wait while
 // thousands of them are summed.
-func (b *Book) burns(now clock.Millis, f Filter) []ServiceBurn {
+func (b *Log) serviceBurns(now clock.Millis, f Filter) []ServiceBurn {
 	b.mu.Lock()
 	names := b.meter.Services()
 	b.mu.Unlock()
 	found := []ServiceBurn{}
 	for _, name := range names {
 		if match(f.Service, name) {
-			found = append(found, b.burn(now, name))
+			found = append(found, b.serviceBurn(now, name))
 		}
 	}
 	return found
 }
 
-func (b *Book) burn(now clock.Millis, name string) ServiceBurn {
+func (b *Log) serviceBurn(now clock.Millis, name string) ServiceBurn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return ServiceBurn{
--- a/access/suspect.go
+++ b/access/suspect.go
@@ -18,14 +18,14 @@
 	// Chance is how likely it ran at all of them by accident.
 	Chance float64 `json:"chance"`
 	// Age is how long ago the last of them ended, Left how long it is held yet.
-	Age  clock.Millis `json:"age"`
-	Left clock.Millis `json:"left,omitempty"`
+	Age       clock.Millis `json:"age"`
+	Remaining clock.Millis `json:"left,omitempty"`
 }
 
 // The verdicts on a suspect.
 const (
-	// SuspectTried means that it is sent, one send at a time.
-	SuspectTried = "suspected"
-	// SuspectHeld means that it isn't sent.
-	SuspectHeld = "quarantined"
+	// VerdictSuspected means that it is sent, one send at a time.
+	VerdictSuspected = "suspected"
+	// VerdictQuarantined means that it isn't sent.
+	VerdictQuarantined = "quarantined"
 )
--- a/access/tally.go
+++ b/access/tally.go
@@ -11,9 +11,9 @@
 // Others stands for the callers, services and upstreams beyond a bound.
 const Others = "(other)"
 
-// cellsEach is how many cells of totals there may be for each caller kept
+// cellsPerCaller is how many cells of totals there may be for each caller kept
 // apart, on average: some three services of three upstreams, and outcomes.
-const cellsEach = 16
+const cellsPerCaller = 16
 
 // Total counts the requests of one caller to one service that ended at one
 // upstream with one outcome and reason.
@@ -50,15 +50,15 @@
 	took  clock.Millis
 }
 
-// tracked is a caller whose totals are kept apart.
-type tracked struct {
+// trackedCaller is a caller whose totals are kept apart.
+type trackedCaller struct {
 	name string
 	// weight is the space-saving counter: the caller's requests under its
 	// name, plus missed.
-	weight uint64
-	missed uint64
-	cells  map[cellKey]cell
-	at     int
+	weight    uint64
+	missed    uint64
+	cells     map[cellKey]cell
+	heapIndex int
 }
 
 // tally keeps totals by caller in bounded memory by the space-saving
@@ -67,17 +67,17 @@
 // and none misses more than 1/n of all requests. What isn't kept apart is
 // under Others, so that the sum of all totals is the number of records.
 type tally struct {
-	bound   int
-	callers map[string]*tracked
-	order   lightest
-	others  map[cellKey]cell
-	cells   int
+	bound    int
+	callers  map[string]*trackedCaller
+	byWeight callerHeap
+	others   map[cellKey]cell
+	cells    int
 }
 
 func newTally(callers int) *tally {
 	return &tally{
 		bound:   callers,
-		callers: make(map[string]*tracked),
+		callers: make(map[string]*trackedCaller),
 		others:  make(map[cellKey]cell),
 	}
 }
@@ -85,20 +85,20 @@
 func (t *tally) add(r *Record) {
 	c := t.track(r.Caller)
 	c.weight++
-	heap.Fix(&t.order, c.at)
+	heap.Fix(&t.byWeight, c.heapIndex)
 	key := cellKey{service: r.Service, upstream: r.Upstream, outcome: r.Outcome, reason: r.Reason}
 	t.put(c.cells, key, cell{count: 1, took: r.Took})
 }
 
 // track returns the caller's entry; it takes the place of the lightest one if
 // there is no room.
-func (t *tally) track(name string) *tracked {
+func (t *tally) track(name string) *trackedCaller {
 	if c := t.callers[name]; c != nil {
 		return c
 	}
-	c := &tracked{name: name, cells: make(map[cellKey]cell, 1)}
+	c := &trackedCaller{name: name, cells: make(map[cellKey]cell, 1)}
 	if len(t.callers) >= t.bound {
-		out := heap.Pop(&t.order).(*tracked)
+		out := heap.Pop(&t.byWeight).(*trackedCaller)
 		delete(t.callers, out.name)
 		t.cells -= len(out.cells)
 		for key, v := range out.cells {
@@ -107,14 +107,14 @@
 		c.weight, c.missed = out.weight, out.weight
 	}
 	t.callers[name] = c
-	heap.Push(&t.order, c)
+	heap.Push(&t.byWeight, c)
 	return c
 }
 
 // put adds to a cell. Beyond the bound on cells only the outcome is kept.
 func (t *tally) put(cells map[cellKey]cell, key cellKey, v cell) {
 	if _, known := cells[key]; !known {
-		if t.cells >= t.bound*cellsEach {
+		if t.cells >= t.bound*cellsPerCaller {
 			key = cellKey{service: Others, upstream: Others, outcome: key.outcome}
 		}
 		if _, known := cells[key]; !known {
@@ -141,7 +141,7 @@
 				Caller: caller, Service: key.service, Upstream: key.upstream,
 				Outcome: key.outcome, Reason: key.reason, Count: v.count, Took: v.took,
 			}
-			if f.passes(caller, key.service, key.upstream) {
+			if f.matches(caller, key.service, key.upstream) {
 				found = append(found, total)
 			}
 		}
@@ -153,8 +153,8 @@
 	return found, unplaced
 }
 
-// counts returns how exact the totals of the callers kept apart are.
-func (t *tally) counts(f Filter) []CallerCount {
+// callerCounts returns how exact the totals of the callers kept apart are.
+func (t *tally) callerCounts(f Filter) []CallerCount {
 	found := make([]CallerCount, 0, len(t.callers))
 	for name, c := range t.callers {
 		if match(f.Caller, name) {
@@ -164,13 +164,13 @@
 	return found
 }
 
-// missable is how many requests at most of a caller not kept apart are under
+// maxMissed is how many requests at most of a caller not kept apart are under
 // Others.
-func (t *tally) missable() uint64 {
+func (t *tally) maxMissed() uint64 {
 	if len(t.callers) < t.bound {
 		return 0
 	}
-	return t.order[0].weight
+	return t.byWeight[0].weight
 }
 
 // SortTotals puts the largest totals first.
@@ -194,34 +194,34 @@
 	})
 }
 
-// lightest is a heap with the caller of the least weight first.
-type lightest []*tracked
+// callerHeap is a heap with the caller of the least weight first.
+type callerHeap []*trackedCaller
 
-func (l lightest) Len() int { return len(l) }
+func (l callerHeap) Len() int { return len(l) }
 
 // Less settles equal weights by name, so that the same requests give the same
 // totals on every run.
-func (l lightest) Less(i, j int) bool {
+func (l callerHeap) Less(i, j int) bool {
 	if l[i].weight != l[j].weight {
 		return l[i].weight < l[j].weight
 	}
 	return l[i].name < l[j].name
 }
 
-func (l lightest) Swap(i, j int) {
+func (l callerHeap) Swap(i, j int) {
 	l[i], l[j] = l[j], l[i]
-	l[i].at, l[j].at = i, j
+	l[i].heapIndex, l[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (l *lightest) Push(x any) {
-	c := x.(*tracked)
-	c.at = len(*l)
+func (l *callerHeap) Push(x any) {
+	c := x.(*trackedCaller)
+	c.heapIndex = len(*l)
 	*l = append(*l, c)
 }
 
 // Pop implements heap.Interface.
-func (l *lightest) Pop() any {
+func (l *callerHeap) Pop() any {
 	last := len(*l) - 1
 	c := (*l)[last]
 	(*l)[last] = nil
--- a/access/verdict.go
+++ b/access/verdict.go
@@ -6,7 +6,7 @@
 func StateOf(verdict health.State) string {
 	switch verdict {
 	case health.Ejected:
-		return StateSetAside
+		return StateEjected
 	case health.Trial:
 		return StateTrial
 	case health.Ramp:
--- a/caller/conn.go
+++ b/caller/conn.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// mostAhead bounds, in bytes, what is read ahead of a connection's next
+	// maxReadAhead bounds, in bytes, what is read ahead of a connection's next
 	// requests. A caller that sends more isn't watched until they are read.
-	mostAhead = 64 << 10
+	maxReadAhead = 64 << 10
 	// readSize is what one read asks for.
 	readSize = 4 << 10
 )
@@ -37,17 +37,17 @@
 type Conn struct {
 	net.Conn
 
-	// ahead was read while a request was handled, err ended that.
-	ahead []byte
-	err   error
-	part  []byte // what a watch reads into
+	// buffered was read while a request was handled, err ended that.
+	buffered   []byte
+	err        error
+	readBuffer []byte // what a watch reads into
 }
 
 // Read returns what was read ahead, then reads the connection.
 func (c *Conn) Read(p []byte) (int, error) {
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
+	if len(c.buffered) > 0 {
+		n := copy(p, c.buffered)
+		c.buffered = c.buffered[n:]
 		return n, nil
 	}
 	if c.err != nil {
@@ -77,12 +77,12 @@
 }
 
 func (c *Conn) readAhead(gone func()) {
-	if c.part == nil {
-		c.part = make([]byte, readSize)
+	if c.readBuffer == nil {
+		c.readBuffer = make([]byte, readSize)
 	}
-	for c.err == nil && len(c.ahead) < mostAhead {
-		n, err := c.Conn.Read(c.part)
-		c.ahead = append(c.ahead, c.part[:n]...)
+	for c.err == nil && len(c.buffered) < maxReadAhead {
+		n, err := c.Conn.Read(c.readBuffer)
+		c.buffered = append(c.buffered, c.readBuffer[:n]...)
 		var network net.Error
 		if errors.As(err, &network) && network.Timeout() {
 			return // the watch was stopped
--- a/capacity/access.go
+++ b/capacity/access.go
@@ -48,16 +48,16 @@
 func callersKept() []int { return []int{250, 500, 1000, 2000} }
 
 // book returns a book with bounds on records and callers that has seen requests.
-func book(bound, callers, requests, services int) *access.Book {
+func book(bound, callers, requests, services int) *access.Log {
 	b := access.New(access.Config{Records: bound, Events: 1, Callers: callers})
 	enter(b, records(requests, 4*callers, services))
 	return b
 }
 
-func enter(b *access.Book, all []access.Record) {
+func enter(b *access.Log, all []access.Record) {
 	for i, r := range all {
-		b.Received()
-		b.Close(hour+clock.Millis(i%1000), r)
+		b.RequestReceived()
+		b.RequestFinished(hour+clock.Millis(i%1000), r)
 	}
 }
 
--- a/capacity/admins.go
+++ b/capacity/admins.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func snapshotBytes(b *access.Book, f access.Filter) (float64, error) {
+func snapshotBytes(b *access.Log, f access.Filter) (float64, error) {
 	body, err := json.Marshal(b.Snapshot(2*hour, f))
 	return float64(len(body)), err
 }
@@ -103,7 +103,7 @@
 	return held(func() (any, error) {
 		set := metrics.New(metrics.Config{Book: ledger{}, State: view(0)})
 		for i := range upstreams {
-			set.Close(hour, access.Record{
+			set.RequestFinished(hour, access.Record{
 				Service: fmt.Sprintf("service-%d", i/perService), Upstream: fmt.Sprintf("upstream-%d", i),
 				Outcome: access.Served, Attempts: 1,
 			})
--- a/capacity/entries.go
+++ b/capacity/entries.go
@@ -41,7 +41,7 @@
 			Sizes: inTable, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
 				return withEntry(n/perService, perService, func(e *entry.Entry, _ *table.Table) (float64, error) {
-					return spent(func() error { e.Path("10.0.0.1:7000", true); return nil })
+					return spent(func() error { e.UpdatePath("10.0.0.1:7000", true); return nil })
 				})
 			},
 		},
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Settle does nothing.
-func (prompt) Settle(wire.RequestID, uint8) {}
+// Resolve does nothing.
+func (prompt) Resolve(wire.RequestID, uint8) {}
 
 // Withdraw takes nothing back.
 func (prompt) Withdraw(wire.RequestID, uint8) bool { return false }
@@ -86,35 +86,35 @@
 // Abandon does nothing.
 func (prompt) Abandon(wire.RequestID, uint8) {}
 
-// Keep has no link.
-func (prompt) Keep() {}
+// EnsureLink has no link.
+func (prompt) EnsureLink() {}
 
 // Forget does nothing.
 func (prompt) Forget(wire.RequestID, uint8) {}
 
 // Void reaches nobody.
-func (prompt) Enquire(*wire.Enquiry, func(*wire.Hold)) error { return link.ErrNoLink }
+func (prompt) ProbeCapacity(*wire.Enquiry, func(*wire.Hold)) error { return link.ErrNoLink }
 
-// Waive does nothing.
-func (prompt) Waive(*wire.Waive) {}
+// ReleaseReservation does nothing.
+func (prompt) ReleaseReservation(*wire.Waive) {}
 
-// Void asks nobody.
-func (prompt) Void(*wire.Void, clock.Millis, link.VoidWaiter) error { return link.ErrNoLink }
+// RevokeKey asks nobody.
+func (prompt) RevokeKey(*wire.Void, clock.Millis, link.VoidWaiter) error { return link.ErrNoLink }
 
-// ForgetVoid has nothing to drop.
-func (prompt) ForgetVoid(wire.RequestID) {}
+// ForgetRevocation has nothing to drop.
+func (prompt) ForgetRevocation(wire.RequestID) {}
 
 // ledger is a journal that keeps nothing.
 type ledger struct{}
 
-// Received does nothing.
-func (ledger) Received() {}
+// RequestReceived does nothing.
+func (ledger) RequestReceived() {}
 
-// Close does nothing.
-func (ledger) Close(clock.Millis, access.Record) {}
+// RequestFinished does nothing.
+func (ledger) RequestFinished(clock.Millis, access.Record) {}
 
-// Note does nothing.
-func (ledger) Note(access.Event) {}
+// RecordEvent does nothing.
+func (ledger) RecordEvent(access.Event) {}
 
 // build makes a table larger than one value of the platform, too.
 func build(services, each int) (*table.Table, error) {
@@ -141,8 +141,8 @@
 
 func newEntry(pool *ants.Pool) *entry.Entry {
 	return entry.New(entry.Config{
-		Domain: "domain-1", Incarnation: 1, Seed: 1, Now: clock.NewSystem().Now, Pool: pool, Journal: ledger{},
-		Target: func(table.Upstream) entry.Target { return prompt{} }, Log: lines.Silent(),
+		Domain: "domain-1", Incarnation: 1, Seed: 1, Now: clock.NewSystem().Now, Pool: pool, Recorder: ledger{},
+		GateClient: func(table.Upstream) entry.GateClient { return prompt{} }, Log: lines.Silent(),
 	})
 }
 
--- a/capacity/links.go
+++ b/capacity/links.go
@@ -165,7 +165,7 @@
 		// Two heartbeats in each interval of a link, one each way.
 		opened := handler.after(2 * n)
 		for _, p := range peers {
-			p.Keep()
+			p.EnsureLink()
 		}
 		<-opened
 		before := a.carried.Load()
--- a/capacity/peers.go
+++ b/capacity/peers.go
@@ -107,7 +107,7 @@
 	}
 	watch := newEnd(0)
 	woken := peer(a.address, n+1, interval, clock.NewSystem().Now, watch)
-	woken.Keep()
+	woken.EnsureLink()
 	return running(append(slices.Clone(peers), woken), func() (float64, error) {
 		<-watch.after(intervals)
 		open := 0
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -121,7 +121,7 @@
 	d.say("%s turns gray: it fails %.0f%% of its requests, yet answers every probe.", gray, grayShare*100)
 	began := time.Now()
 	d.fleet.Backends[gray].SetFault(standin.Fault{Kind: standin.Fails, Share: grayShare})
-	if err := d.await(ctx, gray, access.StateSetAside); err != nil {
+	if err := d.await(ctx, gray, access.StateEjected); err != nil {
 		return errors.Trace(err)
 	}
 	d.say("%s was set aside by its gate %s later.", gray, time.Since(began).Round(time.Millisecond))
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -15,12 +15,12 @@
 	if e.config.Service != "" {
 		return e.config.Service
 	}
-	name, _ := field(&ctx.Request.Header, HeaderCaller)
+	name, _ := headerValue(&ctx.Request.Header, HeaderCaller)
 	if len(name) == 0 {
 		return ctx.RemoteIP().String()
 	}
-	if len(name) > longestCaller {
-		name = name[:longestCaller]
+	if len(name) > maxCallerLength {
+		name = name[:maxCallerLength]
 	}
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r > '~' {
@@ -31,7 +31,7 @@
 }
 
 // admit finds the service and checks the limits.
-func (r *request) admit() (final, bool) {
+func (r *request) admit() (finalAnswer, bool) {
 	t := r.entry.table.Load()
 	if t == nil {
 		return refused(fasthttp.StatusServiceUnavailable, access.ReasonNoTable, clock.Second), false
@@ -41,21 +41,21 @@
 		return refused(fasthttp.StatusNotFound, access.ReasonNoRoute, 0), false
 	}
 	r.table, r.route = t, route
-	if !r.identify() {
+	if !r.authenticate() {
 		return refused(fasthttp.StatusUnauthorized, access.ReasonNoAccount, 0), false
 	}
-	r.target = r.entry.spread.Service(route)
-	r.service = (*r.entry.services.Load())[r.target]
+	r.serviceName = r.entry.splitter.PickService(route)
+	r.service = (*r.entry.services.Load())[r.serviceName]
 	if r.service == nil {
 		return refused(fasthttp.StatusServiceUnavailable, access.ReasonNoTable, clock.Second), false
 	}
-	r.config, r.baseline = r.service.admit(r.started)
-	r.deadline = r.started + r.budget()
+	r.config, r.baseline = r.service.startRequest(r.started)
+	r.deadline = r.started + r.timeout()
 	r.repeatable = route.MayRepeat(r.method)
 	if grant := r.entry.allow(r.started, &r.config, r.caller); !grant.OK {
 		return refused(fasthttp.StatusTooManyRequests, limitReason(grant.By), grant.RetryAfter), false
 	}
-	return final{}, true
+	return finalAnswer{}, true
 }
 
 func limitReason(by string) string {
@@ -65,15 +65,15 @@
 	return access.ReasonServiceLimit
 }
 
-// budget is the shortest of the route's timeout, or the service's deadline
+// timeout is the shortest of the route's timeout, or the service's deadline
 // without one, and what the caller will wait.
-func (r *request) budget() clock.Millis {
+func (r *request) timeout() clock.Millis {
 	budget := r.config.Deadline
 	if r.route.Timeout > 0 {
 		budget = r.route.Timeout
 	}
-	text, _ := field(&r.ctx.Request.Header, r.entry.config.Headers.Deadline)
-	if own, ok := milliseconds(text); ok {
+	text, _ := headerValue(&r.ctx.Request.Header, r.entry.config.Headers.Deadline)
+	if own, ok := parseMillis(text); ok {
 		return min(own, budget)
 	}
 	return budget
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -12,7 +12,7 @@
 )
 
 // write gives the caller the final answer: the upstream's whole, or our own.
-func (r *request) write(f *final) {
+func (r *request) write(f *finalAnswer) {
 	ctx := r.ctx
 	ctx.Response.Reset()
 	ctx.Response.Header.DisableNormalizing()
@@ -23,7 +23,7 @@
 		}
 		ctx.Response.SetBodyRaw(f.reply.Body)
 	} else {
-		r.explain(f)
+		r.writeRefusal(f)
 		if name := r.entry.config.Headers.Request; name != "" && r.label != "" {
 			ctx.Response.Header.Set(name, r.label)
 		}
@@ -39,22 +39,22 @@
 	}
 }
 
-func (r *request) explain(f *final) {
+func (r *request) writeRefusal(f *finalAnswer) {
 	ctx := r.ctx
 	ctx.SetContentType("text/plain; charset=utf-8")
-	ctx.SetBodyString(sentence(f) + "\n")
+	ctx.SetBodyString(refusalText(f) + "\n")
 	if f.status == fasthttp.StatusUnauthorized {
 		ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, r.entry.config.Headers.KeyScheme)
 	}
 	if f.retryAfter > 0 {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, r.retryAfter(f.retryAfter))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, r.formatRetryAfter(f.retryAfter))
 		ctx.Response.Header.Set(HeaderRetryAfter, strconv.FormatInt(int64(f.retryAfter), 10))
 	}
 }
 
-// retryAfter writes when to come back as callers read it.
-func (r *request) retryAfter(span clock.Millis) string {
-	if r.entry.config.Headers.Fractions {
+// formatRetryAfter writes when to come back as callers read it.
+func (r *request) formatRetryAfter(span clock.Millis) string {
+	if r.entry.config.Headers.FractionalSeconds {
 		return strconv.FormatFloat(span.Seconds(), 'f', -1, 64)
 	}
 	return strconv.FormatInt(wholeSeconds(span), 10)
@@ -65,7 +65,7 @@
 	return int64((span + clock.Second - 1) / clock.Second)
 }
 
-func sentence(f *final) string {
+func refusalText(f *finalAnswer) string {
 	if f.outcome == access.Unknown {
 		return "The request may have run; its outcome is unknown (" + f.reason + "). It will not be run again."
 	}
@@ -76,22 +76,22 @@
 // that the request came from. Those of the one connection, our own and the key of a
 // client account stay behind.
 func (r *request) forwardedHeaders() wire.Headers {
-	headers := make(wire.Headers, 0, usualHeaders)
+	headers := make(wire.Headers, 0, headersCapacity)
 	for name, value := range r.ctx.Request.Header.All() {
-		if forwarded(name) && !r.isKey(name, value) {
+		if isForwarded(name) && !r.isKeyHeader(name, value) {
 			headers = headers.Add(name, value)
 		}
 	}
 	return headers.Add(forwardedFor, []byte(r.ctx.RemoteIP().String()))
 }
 
-// usualHeaders is the room for the headers of a browser's request.
-const usualHeaders = 512
+// headersCapacity is the room for the headers of a browser's request.
+const headersCapacity = 512
 
 // ownPrefix begins the names of our own headers.
 var ownPrefix = []byte("fuchsiapick-")
 
-func forwarded(name []byte) bool {
+func isForwarded(name []byte) bool {
 	if len(name) >= len(ownPrefix) && bytes.EqualFold(name[:len(ownPrefix)], ownPrefix) {
 		return false
 	}
--- a/entry/budget_test.go
+++ b/entry/budget_test.go
@@ -44,7 +44,7 @@
 			refusesBy(s.ways["a"], tt.reason, new(int))
 			s.join("b")
 			s.publish()
-			s.entry.Heard(wire.Upstream{Name: "b", Share: 1, Severity: 0.45}) // tried last
+			s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.45}) // tried last
 			s.ways["b"].answer = func(m *wire.Dispatch) *wire.Reply {
 				if m.Retry {
 					retries++
@@ -72,10 +72,10 @@
 	refusesBy(s.ways["a"], wire.ReasonShed, new(int))
 	refusesBy(s.ways["b"], wire.ReasonBudget, &denied)
 	refusesBy(s.ways["c"], wire.ReasonBudget, &denied)
-	s.entry.Heard(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
-	s.entry.Heard(wire.Upstream{Name: "b", Share: 1, Severity: 0.2})
-	s.entry.Heard(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
-	s.entry.Heard(wire.Upstream{Name: "d", Share: 1, Severity: 0.45})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.2})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "d", Share: 1, Severity: 0.45})
 	status, body := post(s.entry)
 	if status != 200 || body != "d" {
 		t.Errorf("got %d %q, want it served by d", status, body)
@@ -96,9 +96,9 @@
 	refusesBy(s.ways["a"], wire.ReasonShed, new(int))
 	refusesBy(s.ways["b"], wire.ReasonBudget, new(int))
 	refusesBy(s.ways["c"], wire.ReasonBudget, new(int))
-	s.entry.Heard(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
-	s.entry.Heard(wire.Upstream{Name: "b", Share: 1, Severity: 0.3})
-	s.entry.Heard(wire.Upstream{Name: "c", Share: 1, Severity: 0.3})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.3})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.3})
 	response := send(s.entry)
 	if got := response.StatusCode(); got != 503 {
 		t.Errorf("got %d, want 503", got)
@@ -125,7 +125,7 @@
 		isRetry = m.Retry
 		return &wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.Answered, Status: 200, Upstream: wire.Upstream{Name: "b", Share: 1}}
 	}
-	s.entry.Heard(wire.Upstream{Name: "b", Share: 1, Severity: 0.45}) // tried last
+	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.45}) // tried last
 	if status, _ := post(s.entry); status != 200 || !isRetry {
 		t.Errorf("got %d, sent as a retry: %v; want it served as one", status, isRetry)
 	}
@@ -143,9 +143,9 @@
 		s.join(name)
 	}
 	s.publish()
-	s.entry.Heard(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
-	s.entry.Heard(wire.Upstream{Name: "b", Share: 1, Severity: 0.1})
-	s.entry.Heard(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.1})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
 	s.ways["a"].answer = func(m *wire.Dispatch) *wire.Reply {
 		return &wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.Answered, Status: 500, Upstream: wire.Upstream{Name: "a", Share: 1, Severity: 0.6}}
 	}
@@ -170,15 +170,15 @@
 	s.publish()
 	for i, name := range []string{"a", "b", "c", "d", "e", "f"} {
 		refusesBy(s.ways[name], wire.ReasonAside, new(int))
-		s.entry.Heard(wire.Upstream{Name: name, Share: 1, Severity: 0.01 * float64(i)})
+		s.entry.UpdateUpstream(wire.Upstream{Name: name, Share: 1, Severity: 0.01 * float64(i)})
 	}
 	s.ways["g"].answer = func(m *wire.Dispatch) *wire.Reply {
 		return &wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.Answered, Status: 500, Upstream: wire.Upstream{Name: "g", Share: 1}}
 	}
 	refusesBy(s.ways["h"], wire.ReasonFull, new(int))
-	s.entry.Heard(wire.Upstream{Name: "g", Share: 1, Severity: 0.3})
-	s.entry.Heard(wire.Upstream{Name: "h", Share: 1, Severity: 0.4})
-	s.entry.Heard(wire.Upstream{Name: "i", Share: 1, Severity: 0.45})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "g", Share: 1, Severity: 0.3})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "h", Share: 1, Severity: 0.4})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "i", Share: 1, Severity: 0.45})
 	if status, body := post(s.entry); status != 200 || body != "i" {
 		t.Errorf("got %d %q, want it served by i", status, body)
 	}
--- a/entry/enquire.go
+++ b/entry/enquire.go
@@ -11,127 +11,127 @@
 )
 
 const (
-	// largeBody is the size, in bytes, from which a gate in another failure
+	// largeBodySize is the size, in bytes, from which a gate in another failure
 	// domain is asked for a slot first, so that the body crosses once.
-	largeBody = 1 << 10
-	// enquiryTime is how long an answer may take before the gate counts as out of
+	largeBodySize = 1 << 10
+	// probeTimeout is how long an answer may take before the gate counts as out of
 	// reach.
-	enquiryTime = 100 * clock.Millis(1)
-	// betterTime is how long after the first slot others may still come that are
+	probeTimeout = 100 * clock.Millis(1)
+	// betterSlotWindow is how long after the first slot others may still come that are
 	// at a sounder upstream: two round trips between failure domains and a node
 	// that is busy.
-	betterTime = 8 * clock.Millis(1)
+	betterSlotWindow = 8 * clock.Millis(1)
 )
 
-// enquires reports whether the gate is to be asked before the request is sent.
-func (r *request) enquires(a *attempt) bool {
-	return a.bounded && !a.isHeld && len(r.body) >= largeBody &&
+// needsProbe reports whether the gate is to be asked before the request is sent.
+func (r *request) needsProbe(a *attempt) bool {
+	return a.noWait && !a.isReserved && len(r.body) >= largeBodySize &&
 		a.upstream.Domain != r.entry.config.Domain
 }
 
-// enquire asks the gate for a free slot. Without one the result says why, and
+// probeGate asks the gate for a free slot. Without one the result says why, and
 // nothing was sent.
-func (r *request) enquire(a *attempt) (result, bool) {
-	s := r.survey([]attempt{*a}, 0, false)
-	if s.held < 0 {
+func (r *request) probeGate(a *attempt) (result, bool) {
+	s := r.probeCandidates([]attempt{*a}, 0, false)
+	if s.reserved < 0 {
 		return s.refusals[0], false
 	}
 	return result{}, true
 }
 
-// survey is an enquiry at several gates at once.
-type survey struct {
+// candidateProbe is an enquiry at several gates at once.
+type candidateProbe struct {
 	request  *request
-	places   []attempt
-	answers  chan answered
+	attempts []attempt
+	answers  chan probeAnswer
 	refusals []result
 	done     []bool
-	left     int
-	held     int // the place whose slot is taken, -1 without one
+	pending  int
+	reserved int // the place whose slot is taken, -1 without one
 	cost     float64
 }
 
-type answered struct {
-	place int
-	hold  *wire.Hold
+type probeAnswer struct {
+	index int
+	reply *wire.Hold
 }
 
-// survey asks gates for a slot and waits for one: the first that comes, or the
+// probeCandidates asks gates for a slot and waits for one: the first that comes, or the
 // soundest of those that come together. Slots that are not taken are waived.
-func (r *request) survey(places []attempt, patience clock.Millis, soundest bool) *survey {
-	s := &survey{
-		request: r, places: places, answers: make(chan answered, len(places)),
-		refusals: make([]result, len(places)), done: make([]bool, len(places)), left: len(places), held: -1,
+func (r *request) probeCandidates(places []attempt, patience clock.Millis, soundest bool) *candidateProbe {
+	s := &candidateProbe{
+		request: r, attempts: places, answers: make(chan probeAnswer, len(places)),
+		refusals: make([]result, len(places)), done: make([]bool, len(places)), pending: len(places), reserved: -1,
 	}
 	for i := range places {
 		s.send(i, patience)
 	}
-	timer := time.NewTimer((patience + enquiryTime).Duration())
+	timer := time.NewTimer((patience + probeTimeout).Duration())
 	defer timer.Stop()
-	for s.left > 0 {
+	for s.pending > 0 {
 		select {
 		case a := <-s.answers:
-			if !s.take(a) {
+			if !s.handleAnswer(a) {
 				continue
 			}
 			if !soundest {
-				s.left = 0
+				s.pending = 0
 				break
 			}
-			timer.Reset(betterTime.Duration())
+			timer.Reset(betterSlotWindow.Duration())
 		case <-timer.C:
-			s.left = 0
-		case <-r.left:
-			s.left, s.held = 0, -1
+			s.pending = 0
+		case <-r.callerGone:
+			s.pending, s.reserved = 0, -1
 		}
 	}
-	s.waive()
+	s.releaseUnused()
 	return s
 }
 
-func (s *survey) send(i int, patience clock.Millis) {
-	r, a := s.request, &s.places[i]
+func (s *candidateProbe) send(i int, patience clock.Millis) {
+	r, a := s.request, &s.attempts[i]
 	s.refusals[i] = result{kind: retry.NotRun, reason: access.ReasonUnreachable}
-	err := a.member.target.Enquire(&wire.Enquiry{
-		ID: r.id, Attempt: a.number, Upstream: a.upstream.Name, Repeatable: r.repeatable, Retry: r.arrived, Forced: a.forced,
+	err := a.member.gate.ProbeCapacity(&wire.Enquiry{
+		ID: r.id, Attempt: a.number, Upstream: a.upstream.Name, Repeatable: r.repeatable, Retry: r.reachedUpstream, Forced: a.forced,
 		Priority: r.priority(), Budget: r.deadline - r.entry.config.Now(), Patience: patience,
-	}, func(h *wire.Hold) { s.answers <- answered{i, h} })
+	}, func(h *wire.Hold) { s.answers <- probeAnswer{i, h} })
 	if err != nil { // the path is lost: the gate can't be asked
 		s.done[i] = true
-		s.left--
+		s.pending--
 	}
 }
 
-// take takes in an answer and reports whether it is a slot to take.
-func (s *survey) take(a answered) bool {
-	s.left--
-	if a.hold == nil {
-		s.done[a.place] = true
+// handleAnswer takes in an answer and reports whether it is a slot to take.
+func (s *candidateProbe) handleAnswer(a probeAnswer) bool {
+	s.pending--
+	if a.reply == nil {
+		s.done[a.index] = true
 		return false
 	}
-	if !a.hold.Held {
-		s.done[a.place] = true
-		s.refusals[a.place] = result{
-			kind: retry.NotRun, reason: string(a.hold.Reason), after: a.hold.RetryAfter,
-			full: a.hold.Reason == wire.ReasonFull || a.hold.Reason == wire.ReasonLate,
+	if !a.reply.Held {
+		s.done[a.index] = true
+		s.refusals[a.index] = result{
+			kind: retry.NotRun, reason: string(a.reply.Reason), retryAfter: a.reply.RetryAfter,
+			full: a.reply.Reason == wire.ReasonFull || a.reply.Reason == wire.ReasonLate,
 		}
 		return false
 	}
-	near := s.places[a.place].upstream.Domain == s.request.entry.config.Domain
-	if cost := choice.ProbedCost(a.hold.Upstream.Severity, near); s.held < 0 || cost < s.cost {
-		s.held, s.cost = a.place, cost
+	near := s.attempts[a.index].upstream.Domain == s.request.entry.config.Domain
+	if cost := choice.ProbedCost(a.reply.Upstream.Severity, near); s.reserved < 0 || cost < s.cost {
+		s.reserved, s.cost = a.index, cost
 	}
 	return true
 }
 
-// waive lets go of the slots that are not taken, or still asked for.
-func (s *survey) waive() {
+// releaseUnused lets go of the slots that are not taken, or still asked for.
+func (s *candidateProbe) releaseUnused() {
 	r := s.request
-	for i := range s.places {
-		if i == s.held || s.done[i] {
+	for i := range s.attempts {
+		if i == s.reserved || s.done[i] {
 			continue
 		}
-		a := &s.places[i]
-		a.member.target.Waive(&wire.Waive{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
+		a := &s.attempts[i]
+		a.member.gate.ReleaseReservation(&wire.Waive{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -24,36 +24,36 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Target is the way to one node's gates: a peer, or this node itself.
-type Target interface {
+// GateClient is the way to one node's gates: a peer, or this node itself.
+type GateClient interface {
 	// Dispatch sends a request. After an error nothing was sent.
 	Dispatch(d *wire.Dispatch, w link.Waiter) error
-	Settle(id wire.RequestID, attempt uint8)
+	Resolve(id wire.RequestID, attempt uint8)
 	Forget(id wire.RequestID, attempt uint8)
 	// Withdraw takes back a dispatch that still waits for a link, and reports
 	// whether it did.
 	Withdraw(id wire.RequestID, attempt uint8) bool
 	// Abandon says that the caller has left, and forgets the dispatch.
 	Abandon(id wire.RequestID, attempt uint8)
-	// Keep asks for an open link, to hear the state of the node's upstreams.
-	Keep()
-	// Enquire asks the gate for a slot and tells its answer, if one comes, perhaps
+	// EnsureLink asks for an open link, to hear the state of the node's upstreams.
+	EnsureLink()
+	// ProbeCapacity asks the gate for a slot and tells its answer, if one comes, perhaps
 	// after the enquiry's patience; nil where it couldn't be asked. After an error
 	// nothing is asked.
-	Enquire(e *wire.Enquiry, told func(*wire.Hold)) error
-	// Waive lets go of a slot that was asked for.
-	Waive(w *wire.Waive)
-	// Void asks the node what it knows of a resend's key. After an error the
+	ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error
+	// ReleaseReservation lets go of a slot that was asked for.
+	ReleaseReservation(w *wire.Waive)
+	// RevokeKey asks the node what it knows of a resend's key. After an error the
 	// waiter isn't told.
-	Void(v *wire.Void, patience clock.Millis, w link.VoidWaiter) error
-	ForgetVoid(id wire.RequestID)
+	RevokeKey(v *wire.Void, patience clock.Millis, w link.VoidWaiter) error
+	ForgetRevocation(id wire.RequestID)
 }
 
-// Journal takes in accounts and events.
-type Journal interface {
-	Received()
-	Close(now clock.Millis, r access.Record)
-	Note(e access.Event)
+// Recorder takes in accounts and events.
+type Recorder interface {
+	RequestReceived()
+	RequestFinished(now clock.Millis, r access.Record)
+	RecordEvent(e access.Event)
 }
 
 // Config configures an Entry.
@@ -69,11 +69,11 @@
 	Seed        uint64
 	Now         func() clock.Millis
 	Pool        *ants.Pool
-	Journal     Journal
-	// Target returns the way to the node beside an upstream.
-	Target func(u table.Upstream) Target
-	// Crashes may be nil.
-	Crashes Crashes
+	Recorder    Recorder
+	// GateClient returns the way to the node beside an upstream.
+	GateClient func(u table.Upstream) GateClient
+	// CrashTracker may be nil.
+	CrashTracker CrashTracker
 	// Quotas may be nil: client accounts have no limits then.
 	Quotas Quotas
 	// KeyMargin is by how much the age of an idempotency key may be
@@ -84,27 +84,27 @@
 
 // Entry serves callers. It is safe for concurrent use.
 type Entry struct {
-	config   Config
-	sequence atomic.Uint64
-	busy     atomic.Int64
-	leaving  atomic.Bool
-	routed   atomic.Int64 // when the routes changed last
+	config          Config
+	sequence        atomic.Uint64
+	inFlight        atomic.Int64
+	leaving         atomic.Bool
+	routesChangedAt atomic.Int64 // when the routes changed last
 
-	table    atomic.Pointer[table.Table]
-	callers  atomic.Pointer[map[string]float64] // their own rates
-	services atomic.Pointer[map[string]*service]
-	spread   *Spread
-	failures *failures
-	paces    *paces
-	trials   trials
+	table        atomic.Pointer[table.Table]
+	callerRates  atomic.Pointer[map[string]float64] // their own rates
+	services     atomic.Pointer[map[string]*service]
+	splitter     *Splitter
+	failureTimes *failureTimes
+	profiles     *latencyProfiles
+	trialLocks   trialLocks
 
 	mu    sync.Mutex // guards rates
 	rates *limit.Rates
 }
 
-// mostCallers bounds the callers whose rates are remembered; the one heard
+// maxCallers bounds the callers whose rates are remembered; the one heard
 // least lately is forgotten first.
-const mostCallers = 50_000
+const maxCallers = 50_000
 
 // New returns an entry without a table: it refuses requests until Update.
 func New(c Config) *Entry {
@@ -114,9 +114,9 @@
 	if c.Headers == (Headers{}) {
 		c.Headers = DefaultHeaders()
 	}
-	e := &Entry{config: c, spread: NewSpread(c.Seed), failures: &failures{}, paces: newPaces(), trials: trials{running: map[quarantine.Fingerprint]chan struct{}{}}, rates: limit.NewRates(limit.RatesConfig{Seed: c.Seed, Callers: mostCallers})}
+	e := &Entry{config: c, splitter: NewSplitter(c.Seed), failureTimes: &failureTimes{}, profiles: newLatencyProfiles(), trialLocks: trialLocks{running: map[quarantine.Fingerprint]chan struct{}{}}, rates: limit.NewRates(limit.RatesConfig{Seed: c.Seed, Callers: maxCallers})}
 	e.services.Store(&map[string]*service{})
-	e.callers.Store(&map[string]float64{})
+	e.callerRates.Store(&map[string]float64{})
 	return e
 }
 
@@ -128,27 +128,27 @@
 		s, ok := old[c.Name]
 		if !ok {
 			seed := e.config.Seed + uint64(len(next))
-			s = newService(c, e.config.Domain, seed, e.config.Journal, e.config.Log)
+			s = newService(c, e.config.Domain, seed, e.config.Recorder, e.config.Log)
 		}
-		s.update(c, e.config.Target)
-		s.enrol(e.config.Now(), c, e.config.Target)
+		s.update(c, e.config.GateClient)
+		s.updateMembership(e.config.Now(), c, e.config.GateClient)
 		next[c.Name] = s
 	}
 	callers := make(map[string]float64, len(t.Callers))
 	for _, c := range t.Callers {
 		callers[c.Name] = c.Rate
 	}
-	e.callers.Store(&callers)
-	e.noteRoutes(e.table.Load(), t)
+	e.callerRates.Store(&callers)
+	e.recordRouteChange(e.table.Load(), t)
 	e.services.Store(&next)
 	e.table.Store(t)
-	e.paces.forget(func(service string) bool { _, ok := next[service]; return ok })
+	e.profiles.prune(func(service string) bool { _, ok := next[service]; return ok })
 }
 
-// Heard takes in what a gate says of its upstream.
-func (e *Entry) Heard(u wire.Upstream) {
+// UpdateUpstream takes in what a gate says of its upstream.
+func (e *Entry) UpdateUpstream(u wire.Upstream) {
 	if s, ok := e.serviceOf(u.Name); ok {
-		s.heard(e.config.Now(), u)
+		s.updateUpstream(e.config.Now(), u)
 	}
 }
 
@@ -166,24 +166,24 @@
 	return s, found
 }
 
-// Invited takes in a gate's wish for a request.
-func (e *Entry) Invited(i *wire.Invitation) {
+// HandleWorkRequest takes in a gate's wish for a request.
+func (e *Entry) HandleWorkRequest(i *wire.Invitation) {
 	if s, ok := e.serviceOf(i.Upstream); ok {
-		s.invited(e.config.Now(), i)
+		s.handleWorkRequest(e.config.Now(), i)
 	}
 }
 
-// Path takes in whether a node can be reached from here.
-func (e *Entry) Path(node string, lost bool) {
+// UpdatePath takes in whether a node can be reached from here.
+func (e *Entry) UpdatePath(node string, lost bool) {
 	for _, s := range *e.services.Load() {
-		s.path(node, lost)
+		s.updatePath(node, lost)
 	}
 }
 
-// Instance takes in what the instance list says of a node.
-func (e *Entry) Instance(node string, leaving bool) {
+// UpdateInstance takes in what the instance list says of a node.
+func (e *Entry) UpdateInstance(node string, leaving bool) {
 	for _, s := range *e.services.Load() {
-		s.instance(node, leaving)
+		s.updateInstance(node, leaving)
 	}
 }
 
@@ -193,9 +193,9 @@
 	e.leaving.Store(true)
 }
 
-// Busy returns how many requests are in flight.
-func (e *Entry) Busy() int {
-	return int(e.busy.Load())
+// InFlight returns how many requests are in flight.
+func (e *Entry) InFlight() int {
+	return int(e.inFlight.Load())
 }
 
 // States describes all upstreams as this entry sees them.
@@ -217,12 +217,12 @@
 
 // Serve answers one request of a caller. A full pool refuses at once.
 func (e *Entry) Serve(ctx *fasthttp.RequestCtx) {
-	e.busy.Add(1)
-	defer e.busy.Add(-1)
-	defer e.closing(ctx)
-	e.config.Journal.Received()
+	e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
+	defer e.closeIfLeaving(ctx)
+	e.config.Recorder.RequestReceived()
 	r := e.newRequest(ctx)
-	defer r.watch()()
+	defer r.watchCaller()()
 	done := make(chan struct{})
 	err := e.config.Pool.Submit(func() {
 		defer close(done)
@@ -235,15 +235,15 @@
 	<-done
 }
 
-func (e *Entry) closing(ctx *fasthttp.RequestCtx) {
+func (e *Entry) closeIfLeaving(ctx *fasthttp.RequestCtx) {
 	if e.leaving.Load() {
 		ctx.SetConnectionClose()
 	}
 }
 
-// Malformed answers what the HTTP library could not read as a request.
-func (e *Entry) Malformed(ctx *fasthttp.RequestCtx, err error) {
-	e.config.Journal.Received()
+// ServeMalformed answers what the HTTP library could not read as a request.
+func (e *Entry) ServeMalformed(ctx *fasthttp.RequestCtx, err error) {
+	e.config.Recorder.RequestReceived()
 	r := e.newRequest(ctx)
 	status, reason := fasthttp.StatusBadRequest, access.ReasonCallerFault
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
@@ -255,7 +255,7 @@
 
 // allow asks the limits: a caller's own, over all services, then the service's.
 func (e *Entry) allow(now clock.Millis, s *table.Service, caller string) limit.Grant {
-	own, has := (*e.callers.Load())[caller]
+	own, has := (*e.callerRates.Load())[caller]
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if has {
@@ -266,7 +266,7 @@
 	return e.rates.Allow(now, s.Name, s.Rate, caller, s.CallerRate)
 }
 
-func milliseconds(text []byte) (clock.Millis, bool) {
+func parseMillis(text []byte) (clock.Millis, bool) {
 	if len(text) == 0 {
 		return 0, false
 	}
--- a/entry/failures.go
+++ b/entry/failures.go
@@ -6,22 +6,22 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// failuresKept is how many instants of failed requests are remembered: at ten a
+// maxFailureTimes is how many instants of failed requests are remembered: at ten a
 // second some seconds, longer than a backend server runs one request.
-const failuresKept = 64
+const maxFailureTimes = 64
 
-// failures remembers when requests that came to this entry failed last.
-type failures struct {
-	mu   sync.Mutex
-	at   [failuresKept]clock.Millis
-	next int
+// failureTimes remembers when requests that came to this entry failed last.
+type failureTimes struct {
+	mu    sync.Mutex
+	times [maxFailureTimes]clock.Millis
+	next  int
 }
 
-func (f *failures) note(now clock.Millis) {
+func (f *failureTimes) record(now clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at[f.next] = max(now, 1)
-	f.next = (f.next + 1) % failuresKept
+	f.times[f.next] = max(now, 1)
+	f.next = (f.next + 1) % maxFailureTimes
 }
 
 // FailedWithin reports whether a request that came to this entry failed within a
@@ -31,9 +31,9 @@
 // of an upstream that is failing itself last some milliseconds, in which hardly
 // any falls.
 func (e *Entry) FailedWithin(from, to clock.Millis) bool {
-	e.failures.mu.Lock()
-	defer e.failures.mu.Unlock()
-	for _, at := range e.failures.at {
+	e.failureTimes.mu.Lock()
+	defer e.failureTimes.mu.Unlock()
+	for _, at := range e.failureTimes.times {
 		if at >= max(from, 1) && at <= to {
 			return true
 		}
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -11,30 +11,30 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// identify finds the client account that the request's key belongs to. It returns false
+// authenticate finds the client account that the request's key belongs to. It returns false
 // where the route asks for a key and there is none that an account holds.
-func (r *request) identify() bool {
-	value, count := field(&r.ctx.Request.Header, fasthttp.HeaderAuthorization)
-	key, ok := r.entry.config.Headers.key(value)
+func (r *request) authenticate() bool {
+	value, count := headerValue(&r.ctx.Request.Header, fasthttp.HeaderAuthorization)
+	key, ok := r.entry.config.Headers.parseKey(value)
 	if ok && count == 1 {
 		r.account, _ = r.table.Account(key)
 	}
 	return r.account != nil || !r.table.NeedsKey(r.route)
 }
 
-// key reads the key of a client account from the value of Authorization.
-func (h *Headers) key(value []byte) ([]byte, bool) {
+// parseKey reads the key of a client account from the value of Authorization.
+func (h *Headers) parseKey(value []byte) ([]byte, bool) {
 	scheme, key, ok := bytes.Cut(value, []byte{' '})
 	return bytes.TrimSpace(key), ok && bytes.EqualFold(scheme, []byte(h.KeyScheme))
 }
 
-// isKey reports whether a header may hold the key of a client account, which no upstream
+// isKeyHeader reports whether a header may hold the key of a client account, which no upstream
 // is to see. Where there are no accounts the header is the upstream's own matter.
-func (r *request) isKey(name, value []byte) bool {
+func (r *request) isKeyHeader(name, value []byte) bool {
 	if !r.table.HasKeys() || !bytes.EqualFold(name, []byte(fasthttp.HeaderAuthorization)) {
 		return false
 	}
-	_, ok := r.entry.config.Headers.key(value)
+	_, ok := r.entry.config.Headers.parseKey(value)
 	return ok || r.table.NeedsKey(r.route)
 }
 
@@ -46,9 +46,9 @@
 	return r.account.Name
 }
 
-// accountable is whom the record of the request names: the client account, or else what
+// recordedCaller is whom the record of the request names: the client account, or else what
 // the caller calls itself.
-func (r *request) accountable() string {
+func (r *request) recordedCaller() string {
 	if r.account == nil {
 		return r.caller
 	}
@@ -69,42 +69,42 @@
 	// Admit waits until it is known whether one more request may be sent, or until left
 	// is closed.
 	Admit(a *table.Account, left <-chan struct{}) Admission
-	// Return takes back the admission of a request that was not run.
-	Return(a *table.Account)
+	// Refund takes back the admission of a request that was not run.
+	Refund(a *table.Account)
 }
 
 // Admission is the answer to one request of a client account.
 type Admission struct {
 	OK bool
-	// IsOver says that the account is over its quota; without it and OK it could not be
+	// OverQuota says that the account is over its quota; without it and OK it could not be
 	// found out.
-	IsOver     bool
+	OverQuota  bool
 	RetryAfter clock.Millis
 }
 
-// withinQuota asks whether the client account may send one more request.
-func (r *request) withinQuota() (final, bool) {
+// checkQuota asks whether the client account may send one more request.
+func (r *request) checkQuota() (finalAnswer, bool) {
 	quotas := r.entry.config.Quotas
 	if quotas == nil || r.account == nil || r.route.Public {
-		return final{}, true
+		return finalAnswer{}, true
 	}
-	if r.hasLeft() {
+	if r.isCallerGone() {
 		return refused(fasthttp.StatusServiceUnavailable, string(wire.ReasonLeft), 0), false
 	}
-	switch admission := quotas.Admit(r.account, r.left); {
+	switch admission := quotas.Admit(r.account, r.callerGone); {
 	case admission.OK:
 		r.isCharged = true
-		return final{}, true
-	case admission.IsOver:
+		return finalAnswer{}, true
+	case admission.OverQuota:
 		return refused(fasthttp.StatusTooManyRequests, access.ReasonAccountLimit, admission.RetryAfter), false
 	default:
 		return refused(fasthttp.StatusServiceUnavailable, access.ReasonQuotaUnknown, admission.RetryAfter), false
 	}
 }
 
-// giveBack returns the request's admission where nothing has run.
-func (r *request) giveBack(f *final) {
+// refundQuota returns the request's admission where nothing has run.
+func (r *request) refundQuota(f *finalAnswer) {
 	if r.isCharged && f.outcome == access.NotRun {
-		r.entry.config.Quotas.Return(r.account)
+		r.entry.config.Quotas.Refund(r.account)
 	}
 }
--- a/entry/identity_test.go
+++ b/entry/identity_test.go
@@ -41,9 +41,9 @@
 		{Name: "c1", Node: "c1", Domain: "palermo", Weight: 100, Slots: 9},
 	}}
 	e := entry.New(entry.Config{
-		Domain: "palermo", Now: clock.NewSystem().Now, Pool: newPool(t), Journal: journal{}, Log: lines.Silent(),
-		Headers: entry.DefaultHeaders(),
-		Target:  func(table.Upstream) entry.Target { return d },
+		Domain: "palermo", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: lines.Silent(),
+		Headers:    entry.DefaultHeaders(),
+		GateClient: func(table.Upstream) entry.GateClient { return d },
 	})
 	e.Update(table.Index(table.Table{
 		Format: table.Format, Version: 1, Services: []table.Service{s},
--- a/entry/invitation_test.go
+++ b/entry/invitation_test.go
@@ -21,8 +21,8 @@
 		s.join(name)
 	}
 	s.publish()
-	s.entry.Heard(wire.Upstream{Name: "c", Share: 1, Severity: 0.4})
-	s.entry.Invited(&wire.Invitation{Upstream: "c", For: clock.Second})
+	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.4})
+	s.entry.HandleWorkRequest(&wire.Invitation{Upstream: "c", For: clock.Second})
 	if status, _ := post(s.entry); status != 200 {
 		t.Fatalf("got %d, want 200", status)
 	}
@@ -73,8 +73,8 @@
 	system := clock.NewSystem().Now
 	c.entry = entry.New(entry.Config{
 		Domain: "catania", Now: func() clock.Millis { return system() + clock.Hour },
-		Pool: newPool(t), Journal: journal{}, Log: lines.Silent(),
-		Target: func(u table.Upstream) entry.Target { return c.ways[u.Name] },
+		Pool: newPool(t), Recorder: journal{}, Log: lines.Silent(),
+		GateClient: func(u table.Upstream) entry.GateClient { return c.ways[u.Name] },
 	})
 	return c
 }
--- a/entry/leave.go
+++ b/entry/leave.go
@@ -6,28 +6,28 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Watched is a caller's connection that tells when the caller closes it while
+// CloseNotifier is a caller's connection that tells when the caller closes it while
 // its request is under way.
-type Watched interface {
+type CloseNotifier interface {
 	// Watch calls gone at most once, until stop is called.
 	Watch(gone func()) (stop func())
 }
 
-// watch makes the request know when its caller leaves: what nobody waits for
+// watchCaller makes the request know when its caller leaves: what nobody waits for
 // any more must not take an upstream's time. It returns what ends the watch.
-func (r *request) watch() (stop func()) {
-	conn, ok := r.ctx.Conn().(Watched)
+func (r *request) watchCaller() (stop func()) {
+	conn, ok := r.ctx.Conn().(CloseNotifier)
 	if !ok {
 		return func() {}
 	}
 	left := make(chan struct{})
-	r.left = left
+	r.callerGone = left
 	return conn.Watch(func() { close(left) })
 }
 
-func (r *request) hasLeft() bool {
+func (r *request) isCallerGone() bool {
 	select {
-	case <-r.left:
+	case <-r.callerGone:
 		return true
 	default:
 		return false
--- a/entry/member.go
+++ b/entry/member.go
@@ -13,15 +13,15 @@
 
 // member is one upstream as this entry sees it.
 type member struct {
-	upstream table.Upstream
-	target   Target
-	state    wire.Upstream
-	heard    clock.Millis // when state was heard
-	lost     bool
-	gone     bool // the instance list says that it is leaving
-	sent     int  // dispatches of this entry without an outcome
-	// invited is until when its gate's wish for a request stands.
-	invited clock.Millis
+	upstream    table.Upstream
+	gate        GateClient
+	state       wire.Upstream
+	updatedAt   clock.Millis // when state was heard
+	unreachable bool
+	leaving     bool // the instance list says that it is leaving
+	inFlight    int  // dispatches of this entry without an outcome
+	// workRequestUntil is until when its gate's wish for a request stands.
+	workRequestUntil clock.Millis
 }
 
 // verdict is the gate's as last heard. A hold-off that has run out since is a
@@ -29,31 +29,31 @@
 // heartbeat says so.
 func (m *member) verdict(now clock.Millis) health.State {
 	state := health.State(m.state.State)
-	if state == health.Ejected && now >= m.heard+m.state.Until {
+	if state == health.Ejected && now >= m.updatedAt+m.state.Until {
 		return health.Trial
 	}
 	return state
 }
 
-// setAside reports a verdict that the floor decides about.
-func (m *member) setAside(now clock.Millis) bool {
+// hasEjectVerdict reports a verdict that the floor decides about.
+func (m *member) hasEjectVerdict(now clock.Millis) bool {
 	state := m.verdict(now)
 	return state == health.Ejected || state == health.Trial
 }
 
-// isAside reports a verdict that the floor decides about.
-func (m *member) isAside(now clock.Millis, brief bool) bool {
+// isEjected reports a verdict that the floor decides about.
+func (m *member) isEjected(now clock.Millis, brief bool) bool {
 	if brief {
 		return m.severity(now, brief) >= grade.EjectThreshold
 	}
-	return m.setAside(now)
+	return m.hasEjectVerdict(now)
 }
 
 // severity is the gate's as last heard. That of a brief episode draws back to
 // what is usual while nothing is heard.
 func (m *member) severity(now clock.Millis, brief bool) float64 {
 	if brief {
-		return grade.Drift(m.state.Severity, now-m.heard)
+		return grade.Drift(m.state.Severity, now-m.updatedAt)
 	}
 	return m.state.Severity
 }
@@ -63,48 +63,48 @@
 		Domain:   m.upstream.Domain,
 		Weight:   m.upstream.Weight,
 		Slots:    m.upstream.Slots,
-		InFlight: max(m.sent, choice.DecayLoad(m.state.InFlight+m.state.Waiting, now-m.heard)),
-		Share:    m.share(now) * m.relative(best),
+		InFlight: max(m.inFlight, choice.DecayLoad(m.state.InFlight+m.state.Waiting, now-m.updatedAt)),
+		Share:    m.slowStartShare(now) * m.failureWeight(best),
 		Usable:   usable,
 	}
 }
 
-// share is the part of its work that slow start grants it. Its gate's last word may be
+// slowStartShare is the part of its work that slow start grants it. Its gate's last word may be
 // of a hold-off, in which that is none, and which has run out since.
-func (m *member) share(now clock.Millis) float64 {
+func (m *member) slowStartShare(now clock.Millis) float64 {
 	if m.verdict(now) == health.Trial {
 		return max(m.state.Share, health.TrialShare)
 	}
 	return m.state.Share
 }
 
-// notably is the difference between two shares of failures at which it counts:
+// minFailureExcess is the difference between two shares of failures at which it counts:
 // far above the scatter of healthy upstreams, whose shares are about 0.01.
-const notably = 0.2
+const minFailureExcess = 0.2
 
-// relative is the part of its work that an upstream gets, given the service's
+// failureWeight is the part of its work that an upstream gets, given the service's
 // lowest share of failures. It guards against what the verdict leaves alone: when
 // most upstreams of a service are gray at once, that counts as its usual state,
 // and none is set aside. Work still goes where it succeeds, and where all fail
 // alike, as in a fault common to the service, nothing changes.
-func (m *member) relative(best float64) float64 {
+func (m *member) failureWeight(best float64) float64 {
 	own := m.state.Own
-	if excess := own.Failed - best; own.Known && excess > notably {
+	if excess := own.Failed - best; own.Known && excess > minFailureExcess {
 		return 1 - min(excess, 1)
 	}
 	return 1
 }
 
-func (m *member) describe(now clock.Millis, use floor.Use) string {
+func (m *member) stateName(now clock.Millis, use floor.Use) string {
 	switch {
 	case m.upstream.Weight == 0:
 		return access.StateOff
-	case m.state.Leaving || m.gone:
+	case m.state.Leaving || m.leaving:
 		return access.StateLeaving
-	case m.lost || m.state.Down:
+	case m.unreachable || m.state.Down:
 		return access.StateUnreachable
 	case use == floor.Forced:
-		return access.StateKept
+		return access.StateForced
 	}
 	return access.StateOf(m.verdict(now))
 }
--- a/entry/move.go
+++ b/entry/move.go
@@ -6,78 +6,78 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// next is a place that is kept for the request's next try.
-type next struct {
+// reservation is a place that is kept for the request's next try.
+type reservation struct {
 	attempt attempt
 	untried int
-	isKept  bool
+	valid   bool
 }
 
-// moveOn looks for a place at another upstream for a request whose run most likely comes to
+// retryElsewhere looks for a place at another upstream for a request whose run most likely comes to
 // no end. The run is given up only once there is one: without it, waiting on is the better
 // chance.
-func (r *request) moveOn(w *waiter, untried int) (result, bool) {
-	if !r.isMovable(untried) {
+func (r *request) retryElsewhere(w *waiter, untried int) (result, bool) {
+	if !r.isRetryEligible(untried) {
 		return result{}, false
 	}
 	now := r.entry.config.Now()
-	arrived := r.arrived
-	r.arrived = true // a second run is one more of the retry budget
-	a, left, ok := r.gather(now, mostSurveyed, 0)
-	r.arrived = arrived
+	arrived := r.reachedUpstream
+	r.reachedUpstream = true // a second run is one more of the retry budget
+	a, left, ok := r.reserveSlot(now, maxProbedGates, 0)
+	r.reachedUpstream = arrived
 	if !ok {
 		return result{}, false
 	}
 	if e, came := w.poll(); came && e.kind != stalled {
-		r.waive(&a)
-		if out, ok := r.told(e); ok {
+		r.releaseSlot(&a)
+		if out, ok := r.resultOfEvent(e); ok {
 			return out, true
 		}
 		return result{}, false
 	}
 	out := result{kind: retry.Failed, reason: string(wire.ReasonStalled)}
-	if !r.mayMove(&out, left) {
-		r.waive(&a)
+	if !r.canRetryElsewhere(&out, left) {
+		r.releaseSlot(&a)
 		return result{}, false
 	}
-	r.next = next{attempt: a, untried: left, isKept: true}
+	r.reservation = reservation{attempt: a, untried: left, valid: true}
 	return out, true
 }
 
-// mayMove decides about the retry that moving the request is. A run that was given up for one
+// canRetryElsewhere decides about the retry that moving the request is. A run that was given up for one
 // that is denied would be lost.
-func (r *request) mayMove(o *result, untried int) bool {
-	a := r.attempted(o, untried+1) // the place itself is one that wasn't tried
+func (r *request) canRetryElsewhere(o *result, untried int) bool {
+	a := r.retryAttempt(o, untried+1) // the place itself is one that wasn't tried
 	a.Runs++
-	return r.service.retry(r.entry.config.Now(), a).Retry
+	return r.service.decideRetry(r.entry.config.Now(), a).Retry
 }
 
-// isMovable reports whether the request may be sent to one more upstream while its run is
+// isRetryEligible reports whether the request may be sent to one more upstream while its run is
 // under way, and has time for it.
-func (r *request) isMovable(untried int) bool {
+func (r *request) isRetryEligible(untried int) bool {
 	isBound := r.route.Attempts > 0 && r.ran+1 >= r.route.Attempts
-	if r.config.Caution != table.Brief || !r.repeatable || isBound || r.placesLeft(untried) <= 0 {
+	if r.config.Caution != table.Brief || !r.repeatable || isBound || r.candidatesLeft(untried) <= 0 {
 		return false
 	}
-	return r.deadline-r.entry.config.Now() > r.usual().Median
+	return r.deadline-r.entry.config.Now() > r.typicalLatency().Median
 }
 
-// takeNext returns the place that is kept, once.
-func (r *request) takeNext() (next, bool) {
-	n := r.next
-	r.next = next{}
-	return n, n.isKept
+// takeReservation returns the place that is kept, once.
+func (r *request) takeReservation() (reservation, bool) {
+	n := r.reservation
+	r.reservation = reservation{}
+	return n, n.valid
 }
 
-// dropNext lets go of the place that is kept, if there is one.
-func (r *request) dropNext() {
-	if n, ok := r.takeNext(); ok {
-		r.waive(&n.attempt)
+// dropReservation lets go of the place that is kept, if there is one.
+func (r *request) dropReservation() {
+	if n, ok := r.takeReservation(); ok {
+		r.releaseSlot(&n.attempt)
 	}
 }
 
-// waive lets go of a place that was kept.
-func (r *request) waive(a *attempt) {
-	a.member.target.Waive(&wire.Waive{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
-	r.service.ended(r.entry.config.Now(), a.member, &result{})
+// releaseSlot lets go of a place that was kept.
+func (r *request) releaseSlot(a *attempt) {
+	a.member.gate.ReleaseReservation(&wire.Waive{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
+	r.service.endAttempt(r.entry.config.Now(), a.member, &result{})
 }
--- a/entry/move_test.go
+++ b/entry/move_test.go
@@ -33,8 +33,8 @@
 	second := &desk{name: "second", hold: refuses("second", wire.ReasonFull)}
 	third := &desk{name: "third", hold: holds("third", 0.1)}
 	e := beforeRepeatable(t, first, second, third)
-	e.Heard(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
-	e.Heard(wire.Upstream{Name: "third", Share: 1, InFlight: 5})
+	e.UpdateUpstream(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
+	e.UpdateUpstream(wire.Upstream{Name: "third", Share: 1, InFlight: 5})
 	status, by := post(e)
 	if status != 200 || by != "third" {
 		t.Errorf("got %d from %q, want 200 from the third", status, by)
@@ -53,7 +53,7 @@
 		first := &desk{name: "first", take: stalls(answer)}
 		second := &desk{name: "second", hold: refuses("second", reason)}
 		e := beforeRepeatable(t, first, second)
-		e.Heard(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
+		e.UpdateUpstream(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
 		status, by := post(e)
 		if status != 200 || by != "first" || first.abandoned != 0 {
 			t.Errorf("%s: got %d from %q, given up %d times; want the first one's answer", reason, status, by, first.abandoned)
@@ -79,7 +79,7 @@
 		holds("second", 0.1)(e, told)
 	}}
 	e := beforeRepeatable(t, first, second)
-	e.Heard(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
+	e.UpdateUpstream(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
 	status, by := post(e)
 	if status != 200 || by != "first" {
 		t.Errorf("got %d from %q, want 200 from the first", status, by)
@@ -151,7 +151,7 @@
 			c.leave()
 		}}
 		e := beforeRepeatable(t, first, second)
-		e.Heard(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
+		e.UpdateUpstream(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
 		var ctx fasthttp.RequestCtx
 		ctx.Init2(c, nil, false)
 		sendOn(&ctx, e)
--- a/entry/request.go
+++ b/entry/request.go
@@ -41,9 +41,9 @@
 	Deadline string
 	// KeyScheme stands before the key of a client account in Authorization.
 	KeyScheme string
-	// Fractions says that callers read fractions of a second in Retry-After: in
+	// FractionalSeconds says that callers read fractions of a second in Retry-After: in
 	// whole seconds, those refused together would come back together.
-	Fractions bool
+	FractionalSeconds bool
 }
 
 // DefaultHeaders are those of callers that know this project.
@@ -53,23 +53,23 @@
 
 // Reasons of the entry itself, beside those that reports know.
 const (
-	// reasonSilent means that neither an answer nor a settlement came in time.
-	reasonSilent = "no-answer"
-	// reasonReplaced means that the gate which had the request is gone.
-	reasonReplaced = "node-replaced"
+	// reasonNoAnswer means that neither an answer nor a settlement came in time.
+	reasonNoAnswer = "no-answer"
+	// reasonNodeReplaced means that the gate which had the request is gone.
+	reasonNodeReplaced = "node-replaced"
 )
 
 const (
-	longestCaller = 64
-	// settleShare is the part of the deadline kept back to ask the gate what
+	maxCallerLength = 64
+	// resolveShare is the part of the deadline kept back to ask the gate what
 	// became of a request that got no answer, so that fewer end as unknown.
-	settleShare = 8
-	// patience is how many times the usual latency a try lasts at least: of
+	resolveShare = 8
+	// latencyMultiple is how many times the usual latency a try lasts at least: of
 	// answers as widely spread as those of real services few take longer.
-	patience = 8
-	// settleMost bounds it: a settlement takes one round trip, 2 ms between
+	latencyMultiple = 8
+	// maxResolveTimeout bounds it: a settlement takes one round trip, 2 ms between
 	// failure domains, and the rest is for a busy node.
-	settleMost = clock.Millis(40)
+	maxResolveTimeout = clock.Millis(40)
 )
 
 // request is one request of a caller on its way.
@@ -82,50 +82,50 @@
 	method  string
 	started clock.Millis
 
-	table      *table.Table
-	route      *table.Route
-	account    *table.Account // nil without a key
-	isCharged  bool           // counted against the account's quota
-	target     string         // the service that the route leads to
-	service    *service
-	config     table.Service
-	baseline   wire.Baseline
-	deadline   clock.Millis // an instant
-	repeatable bool
+	table       *table.Table
+	route       *table.Route
+	account     *table.Account // nil without a key
+	isCharged   bool           // counted against the account's quota
+	serviceName string         // the service that the route leads to
+	service     *service
+	config      table.Service
+	baseline    wire.Baseline
+	deadline    clock.Millis // an instant
+	repeatable  bool
 
-	headers  wire.Headers
-	body     []byte
-	tried    []*member
-	attempts uint8 // numbers given to attempts, asked for or sent
-	sends    int
-	refused  int // attempts that reached no upstream, since the last that did
-	shed     int // attempts that an upstream refused itself
-	ran      int // attempts that an upstream ran, or may have run
-	progress progress
-	next     next
-	trail    trail
-	why      retry.Reason // of not being sent again
-	waited   clock.Millis // until the last try
-	failed   *wire.Reply  // the last upstream's own answer, an error
-	forced   bool
-	left     <-chan struct{} // closed when the caller has left
-	// begun means that an upstream may have run the request: it can't be
+	headers       wire.Headers
+	body          []byte
+	tried         []*member
+	attempts      uint8 // numbers given to attempts, asked for or sent
+	sends         int
+	refused       int // attempts that reached no upstream, since the last that did
+	shed          int // attempts that an upstream refused itself
+	ran           int // attempts that an upstream ran, or may have run
+	selection     selectionState
+	reservation   reservation
+	attemptLog    attemptLog
+	noRetryReason retry.Reason // of not being sent again
+	waited        clock.Millis // until the last try
+	errorReply    *wire.Reply  // the last upstream's own answer, an error
+	forced        bool
+	callerGone    <-chan struct{} // closed when the caller has left
+	// mayHaveRun means that an upstream may have run the request: it can't be
 	// refused as not run any more.
-	begun bool
-	// arrived means that an upstream has got the request, be it to refuse it: each
+	mayHaveRun bool
+	// reachedUpstream means that an upstream has got the request, be it to refuse it: each
 	// further dispatch is a retry.
-	arrived bool
-	// denied is when a retry may be granted that a gate's quota had no room for; 0
+	reachedUpstream bool
+	// budgetRetryAfter is when a retry may be granted that a gate's quota had no room for; 0
 	// without one.
-	denied clock.Millis
-	last   table.Upstream // tried last
-	sent   sent
+	budgetRetryAfter clock.Millis
+	lastUpstream     table.Upstream // tried last
+	idempotency      idempotency
 	// fingerprint is worked out when it is needed first.
 	fingerprint quarantine.Fingerprint
 }
 
-// final is the answer that the caller gets.
-type final struct {
+// finalAnswer is the answer that the caller gets.
+type finalAnswer struct {
 	outcome    access.Outcome
 	status     int
 	reason     string
@@ -134,12 +134,12 @@
 	replay     bool // of an earlier send of the same key
 }
 
-func refused(status int, reason string, after clock.Millis) final {
-	return final{outcome: access.NotRun, status: status, reason: reason, retryAfter: after}
+func refused(status int, reason string, after clock.Millis) finalAnswer {
+	return finalAnswer{outcome: access.NotRun, status: status, reason: reason, retryAfter: after}
 }
 
 func (e *Entry) newRequest(ctx *fasthttp.RequestCtx) *request {
-	label, _ := field(&ctx.Request.Header, e.config.Headers.Request)
+	label, _ := headerValue(&ctx.Request.Header, e.config.Headers.Request)
 	return &request{
 		entry:   e,
 		ctx:     ctx,
@@ -156,11 +156,11 @@
 		r.finish(refusal)
 		return
 	}
-	if refusal, ok := r.withinQuota(); !ok {
+	if refusal, ok := r.checkQuota(); !ok {
 		r.finish(refusal)
 		return
 	}
-	if answer, ok := r.settled(); ok {
+	if answer, ok := r.checkResend(); ok {
 		r.finish(answer)
 		return
 	}
@@ -172,14 +172,14 @@
 }
 
 // run tries upstreams until the request has a final answer.
-func (r *request) run() final {
-	if r.hasLeft() {
+func (r *request) run() finalAnswer {
+	if r.isCallerGone() {
 		return refused(fasthttp.StatusServiceUnavailable, string(wire.ReasonLeft), 0)
 	}
 	for {
 		now := r.entry.config.Now()
-		if standing := r.standing(); standing.Verdict != quarantine.Free {
-			r.dropNext()
+		if standing := r.quarantineStatus(); standing.Verdict != quarantine.Free {
+			r.dropReservation()
 			if answer, done := r.tryAsSuspect(now, standing); done {
 				return answer
 			}
@@ -187,91 +187,91 @@
 		}
 		choice, untried, ok := r.choose(now)
 		if !ok {
-			return r.nowhere(now)
+			return r.noUpstreamLeft(now)
 		}
 		result := r.try(now, choice, untried)
-		r.note(&choice, &result, now)
-		untried = r.countAnew(&choice, &result, untried)
-		if answer, done := r.judge(result, untried); done {
+		r.recordAttempt(&choice, &result, now)
+		untried = r.recountUntried(&choice, &result, untried)
+		if answer, done := r.handleResult(result, untried); done {
 			return answer
 		}
 	}
 }
 
-// countAnew is how many upstreams are left to try after a gate has refused the request by
+// recountUntried is how many upstreams are left to try after a gate has refused the request by
 // its verdict. The floor may keep that one in use, or another in its place: what was
 // counted before the verdict was known would refuse a request that can be served.
-func (r *request) countAnew(a *attempt, o *result, untried int) int {
+func (r *request) recountUntried(a *attempt, o *result, untried int) int {
 	if r.config.Caution == table.Brief || o.kind != retry.NotRun || o.reason != string(wire.ReasonAside) {
 		return untried
 	}
 	now := r.entry.config.Now()
-	if !a.forced && r.service.keeps(now, a.member) {
+	if !a.forced && r.service.isForced(now, a.member) {
 		r.tried = slices.DeleteFunc(r.tried, func(m *member) bool { return m == a.member })
 	}
-	return r.service.untried(now, r.repeatable, r.tried)
+	return r.service.countUntried(now, r.repeatable, r.tried)
 }
 
-// nowhere is the final answer when no upstream is left to try.
-func (r *request) nowhere(now clock.Millis) final {
-	if r.denied > 0 {
-		r.why = retry.NoBudget
-		return r.unserved(string(wire.ReasonBudget), r.service.spread(r.denied))
+// noUpstreamLeft is the final answer when no upstream is left to try.
+func (r *request) noUpstreamLeft(now clock.Millis) finalAnswer {
+	if r.budgetRetryAfter > 0 {
+		r.noRetryReason = retry.NoBudget
+		return r.unserved(string(wire.ReasonBudget), r.service.spreadRetryAfter(r.budgetRetryAfter))
 	}
-	return r.unserved(access.ReasonNoUpstream, r.service.comeBack(now))
+	return r.unserved(access.ReasonNoUpstream, r.service.retryAfter(now))
 }
 
 // unserved is the final answer of a request that no upstream has served: an upstream's
 // own answer, though an error, says more than ours.
-func (r *request) unserved(reason string, after clock.Millis) final {
+func (r *request) unserved(reason string, after clock.Millis) finalAnswer {
 	switch {
-	case r.failed != nil:
-		return final{outcome: access.Served, status: r.failed.Status, reply: r.failed, reason: access.ReasonUpstreamError, replay: r.failed.Replay}
-	case r.begun:
+	case r.errorReply != nil:
+		return finalAnswer{outcome: access.Served, status: r.errorReply.Status, reply: r.errorReply, reason: access.ReasonUpstreamError, replay: r.errorReply.Replay}
+	case r.mayHaveRun:
 		return r.unknown(reason)
 	default:
 		return refused(fasthttp.StatusServiceUnavailable, reason, after)
 	}
 }
 
-// judge turns the result of a try into the final answer, or lets the next try
+// handleResult turns the result of a try into the final answer, or lets the next try
 // go on.
-func (r *request) judge(o result, untried int) (final, bool) {
-	r.count(&o)
-	r.learn(&o)
+func (r *request) handleResult(o result, untried int) (finalAnswer, bool) {
+	r.recordResult(&o)
+	r.updateProfile(&o)
 	if o.served {
-		return final{outcome: access.Served, status: o.reply.Status, reply: o.reply, replay: o.reply.Replay}, true
+		return finalAnswer{outcome: access.Served, status: o.reply.Status, reply: o.reply, replay: o.reply.Replay}, true
 	}
-	if answer, ok := r.keyed(&o); ok {
+	if answer, ok := r.keyRefusal(&o); ok {
 		return answer, true
 	}
 	if o.reason == string(wire.ReasonQuarantined) {
 		return r.quarantined(), true
 	}
 	if o.kind != retry.NotRun {
-		r.begun = true
+		r.mayHaveRun = true
 		r.ran++
-		r.failed = nil
+		r.errorReply = nil
 		if o.reply != nil && o.reply.Outcome == wire.Answered {
-			r.failed = o.reply
+			r.errorReply = o.reply
 		}
 	}
-	if r.hasLeft() {
+	if r.isCallerGone() {
 		return r.unknown(string(wire.ReasonLeft)), true
 	}
-	if r.next.isKept || r.asksOn(&o) {
-		return final{}, false
+	if r.reservation.valid || r.continueSelection(&o) {
+		return finalAnswer{}, false
 	}
-	decision := r.service.retry(r.entry.config.Now(), r.attempted(&o, untried))
+	decision := r.service.decideRetry(r.entry.config.Now(), r.retryAttempt(&o, untried))
 	if decision.Retry {
-		return final{}, false
+		return finalAnswer{}, false
 	}
-	r.verdictOnRetry(decision)
-	return r.unserved(o.reason, max(decision.RetryAfter, o.after)), true
+	r.recordNoRetry(decision)
+	return r.unserved(o.reason, max(decision.RetryAfter, o.retryAfter)), true
 }
 
-// attempted describes the last try for the decision on another one.
-func (r *request) attempted(o *result, untried int) retry.Attempt {
+// retryAttempt describes the last try for the decision on another one.
+func (r *request) retryAttempt(o *result, untried int) retry.Attempt {
 	return retry.Attempt{
 		Result:         o.kind,
 		RefusedForLoad: o.full,
@@ -282,43 +282,43 @@
 		Runs:           r.ran,
 		MaxRuns:        r.route.Attempts,
 		Remaining:      r.deadline - r.entry.config.Now(),
-		RetryAfter:     o.after,
-		Untried:        r.placesLeft(untried),
+		RetryAfter:     o.retryAfter,
+		Untried:        r.candidatesLeft(untried),
 	}
 }
 
-// count takes in how far a try got. One that reached an upstream begins a new search.
-func (r *request) count(o *result) {
-	if o.kind == retry.NotRun && !o.arrived {
+// recordResult takes in how far a try got. One that reached an upstream begins a new search.
+func (r *request) recordResult(o *result) {
+	if o.kind == retry.NotRun && !o.shed {
 		r.refused++
 		return
 	}
-	r.arrived, r.refused = true, 0
-	r.searchAnew()
-	if o.arrived {
+	r.reachedUpstream, r.refused = true, 0
+	r.resetSelection()
+	if o.shed {
 		r.shed++
 	}
 }
 
 // unknown is said when an upstream may have run the request and its outcome
 // can't be learned.
-func (r *request) unknown(reason string) final {
+func (r *request) unknown(reason string) finalAnswer {
 	status := fasthttp.StatusBadGateway
-	if reason == string(wire.ReasonTimeout) || reason == reasonSilent {
+	if reason == string(wire.ReasonTimeout) || reason == reasonNoAnswer {
 		status = fasthttp.StatusGatewayTimeout
 	}
-	return final{outcome: access.Unknown, status: status, reason: reason}
+	return finalAnswer{outcome: access.Unknown, status: status, reason: reason}
 }
 
 // finish writes the answer and closes the account.
-func (r *request) finish(f final) {
-	r.dropNext()
+func (r *request) finish(f finalAnswer) {
+	r.dropReservation()
 	r.write(&f)
-	r.giveBack(&f)
+	r.refundQuota(&f)
 	now := r.entry.config.Now()
 	record := access.Record{
 		ID:       r.id.String(),
-		Caller:   r.accountable(),
+		Caller:   r.recordedCaller(),
 		Method:   r.method,
 		Outcome:  f.outcome,
 		Reason:   f.reason,
@@ -327,17 +327,17 @@
 		Started:  r.started,
 		Took:     now - r.started,
 		Waited:   r.waited,
-		NoRetry:  string(r.why),
+		NoRetry:  string(r.noRetryReason),
 		Forced:   r.forced,
-		Upstream: r.last.Name,
-		Domain:   r.last.Domain,
+		Upstream: r.lastUpstream.Name,
+		Domain:   r.lastUpstream.Domain,
 	}
 	if r.route != nil {
-		record.Service, record.Route = r.target, r.route.Prefix
+		record.Service, record.Route = r.serviceName, r.route.Prefix
 	}
 	if f.status >= fasthttp.StatusInternalServerError || f.status == fasthttp.StatusTooManyRequests {
-		r.entry.failures.note(now)
+		r.entry.failureTimes.record(now)
 	}
-	r.entry.config.Journal.Close(now, record)
+	r.entry.config.Recorder.RequestFinished(now, record)
 	r.log(&record, &f)
 }
--- a/entry/resend.go
+++ b/entry/resend.go
@@ -26,60 +26,60 @@
 	HeaderReplay = "Fuchsiapick-Replay"
 )
 
-// sent is what a caller says of a request that it may send again. Without a key
+// idempotency is what a caller says of a request that it may send again. Without a key
 // it is zero.
-type sent struct {
+type idempotency struct {
 	key    string
 	digest resend.Digest
-	mark   resend.Mark
+	resend resend.Mark
 }
 
-// settled decides about a keyed request before it goes anywhere. It returns
+// checkResend decides about a keyed request before it goes anywhere. It returns
 // false for one that runs. A repeatable request needs no key: it may run again.
-func (r *request) settled() (final, bool) {
+func (r *request) checkResend() (finalAnswer, bool) {
 	if r.repeatable {
-		return final{}, false
+		return finalAnswer{}, false
 	}
 	var err error
-	r.sent, err = sentOf(&r.ctx.Request)
+	r.idempotency, err = parseIdempotency(&r.ctx.Request)
 	switch {
 	case err != nil:
 		r.entry.config.Log.WithError(err).WithField("request", r.id.String()).Debug("malformed request")
 		return refused(fasthttp.StatusBadRequest, access.ReasonCallerFault, 0), true
-	case r.sent.mark.Number == 0:
-		return final{}, false
+	case r.idempotency.resend.Number == 0:
+		return finalAnswer{}, false
 	default:
-		return r.settle()
+		return r.resolveResend()
 	}
 }
 
-// sentOf reads key and mark. It returns resend.ErrMark for malformed ones, for
+// parseIdempotency reads key and mark. It returns resend.ErrMark for malformed ones, for
 // two of one kind, and for a mark without a key: such a request passed over as
 // unmarked would lose its caller's protection in silence.
-func sentOf(request *fasthttp.Request) (sent, error) {
-	key, keys := field(&request.Header, HeaderKey)
-	mark, marks := field(&request.Header, HeaderResend)
+func parseIdempotency(request *fasthttp.Request) (idempotency, error) {
+	key, keys := headerValue(&request.Header, HeaderKey)
+	mark, marks := headerValue(&request.Header, HeaderResend)
 	if keys+marks == 0 {
-		return sent{}, nil
+		return idempotency{}, nil
 	}
 	if keys != 1 || marks > 1 {
-		return sent{}, errors.Annotatef(resend.ErrMark, "%d keys and %d marks", keys, marks)
+		return idempotency{}, errors.Annotatef(resend.ErrMark, "%d keys and %d marks", keys, marks)
 	}
-	s := sent{key: string(key), digest: digestOf(request)}
+	s := idempotency{key: string(key), digest: digestOf(request)}
 	if err := resend.CheckKey(s.key); err != nil {
-		return sent{}, errors.Trace(err)
+		return idempotency{}, errors.Trace(err)
 	}
 	if marks == 0 {
 		return s, nil
 	}
 	var err error
-	s.mark, err = resend.ParseMark(string(mark))
+	s.resend, err = resend.ParseMark(string(mark))
 	return s, errors.Trace(err)
 }
 
-// field returns the last value of a header field and how many there are. Names
+// headerValue returns the last value of a header field and how many there are. Names
 // compare without regard to case, which a proxy on the way may change.
-func field(header *fasthttp.RequestHeader, name string) (value []byte, count int) {
+func headerValue(header *fasthttp.RequestHeader, name string) (value []byte, count int) {
 	if name == "" {
 		return nil, 0
 	}
@@ -104,40 +104,40 @@
 	return resend.Digest(hash.Sum(nil)[:len(resend.Digest{})])
 }
 
-// stamp gives a dispatch the request's key.
-func (r *request) stamp(now clock.Millis, d *wire.Dispatch) {
-	if r.sent.key == "" {
+// setKey gives a dispatch the request's key.
+func (r *request) setKey(now clock.Millis, d *wire.Dispatch) {
+	if r.idempotency.key == "" {
 		return
 	}
-	d.Key, d.Digest, d.Resend = r.sent.key, r.sent.digest[:], r.sent.mark.Number
+	d.Key, d.Digest, d.Resend = r.idempotency.key, r.idempotency.digest[:], r.idempotency.resend.Number
 	d.Span = now - r.started + d.Budget
 }
 
-// settle asks all nodes that may have had the key, and decides.
-func (r *request) settle() (final, bool) {
+// resolveResend asks all nodes that may have had the key, and decides.
+func (r *request) resolveResend() (finalAnswer, bool) {
 	now := r.entry.config.Now()
-	age := r.sent.mark.Age + now - r.started
+	age := r.idempotency.resend.Age + now - r.started
 	version := r.entry.table.Load().Version // before the nodes: at most as new as they
 	reach := resend.Reach(age, r.entry.config.KeyMargin)
-	nodes := r.service.mayHave(now, reach)
-	all := r.ask(now, nodes)
+	nodes := r.service.keyNodes(now, reach)
+	all := r.lookupKey(now, nodes)
 	now = r.entry.config.Now()
 	answers := make([]resend.Answer, 0, len(all))
 	for i := range all {
-		answers = append(answers, all[i].says(now))
+		answers = append(answers, all[i].answer(now))
 	}
 	decision := resend.Settle(resend.Question{
-		Age:       r.sent.mark.Age + now - r.started,
-		Known:     now - clock.Millis(r.entry.routed.Load()),
+		Age:       r.idempotency.resend.Age + now - r.started,
+		Known:     now - clock.Millis(r.entry.routesChangedAt.Load()),
 		Retention: resend.Retention,
 		Margin:    r.entry.config.KeyMargin,
 		Version:   version,
 	}, answers)
 	switch decision.Action {
 	case resend.Run:
-		return final{}, false
+		return finalAnswer{}, false
 	case resend.Replay:
-		return r.replay(all[decision.From].voided), true
+		return r.replay(all[decision.From].reply), true
 	case resend.Refuse:
 		return refused(fasthttp.StatusUnprocessableEntity, string(decision.Reason), 0), true
 	default:
@@ -145,84 +145,84 @@
 	}
 }
 
-func (r *request) replay(v *wire.Voided) final {
-	r.last.Name = v.Upstream
+func (r *request) replay(v *wire.Voided) finalAnswer {
+	r.lastUpstream.Name = v.Upstream
 	reply := &wire.Reply{Outcome: wire.Answered, Status: v.Status, Headers: v.Headers, Body: v.Body}
-	return final{outcome: access.Served, status: v.Status, reply: reply, replay: true}
+	return finalAnswer{outcome: access.Served, status: v.Status, reply: reply, replay: true}
 }
 
 // undecided ends a send of a key that an earlier send may have run.
-func undecided(reason string, after clock.Millis) final {
+func undecided(reason string, after clock.Millis) finalAnswer {
 	status := fasthttp.StatusBadGateway
 	switch reason {
 	case string(resend.ReasonRunning), string(resend.ReasonOutranked), string(wire.ReasonKeyVoided):
 		status = fasthttp.StatusConflict
 	}
-	return final{outcome: access.Unknown, status: status, reason: reason, retryAfter: after}
+	return finalAnswer{outcome: access.Unknown, status: status, reason: reason, retryAfter: after}
 }
 
-// asked is one node's answer; voided is nil without one.
-type asked struct {
-	node   int
-	voided *wire.Voided
-	at     clock.Millis // when it was heard
+// lookupResult is one node's answer; voided is nil without one.
+type lookupResult struct {
+	node       int
+	reply      *wire.Voided
+	receivedAt clock.Millis // when it was heard
 }
 
-// says is what the node said, with the reach of its memory as of now.
-func (a *asked) says(now clock.Millis) resend.Answer {
-	if a.voided == nil {
+// answer is what the node said, with the reach of its memory as of now.
+func (a *lookupResult) answer(now clock.Millis) resend.Answer {
+	if a.reply == nil {
 		return resend.Answer{}
 	}
 	return resend.Answer{
 		Heard:    true,
-		Standing: resend.Standing(a.voided.Standing),
-		Covers:   a.voided.Covers + now - a.at,
-		Version:  a.voided.Version,
+		Standing: resend.Standing(a.reply.Standing),
+		Covers:   a.reply.Covers + now - a.receivedAt,
+		Version:  a.reply.Version,
 	}
 }
 
-// asking hands one node's answer on. There is room for those of all nodes.
-type asking struct {
+// lookupWaiter hands one node's answer on. There is room for those of all nodes.
+type lookupWaiter struct {
 	node    int
 	now     func() clock.Millis
-	answers chan<- asked
+	answers chan<- lookupResult
 }
 
 // Unasked takes in that the node is out of reach.
-func (a asking) Unasked() {
-	a.answers <- asked{node: a.node}
+func (a lookupWaiter) Unasked() {
+	a.answers <- lookupResult{node: a.node}
 }
 
 // Voided takes in what a node knows.
-func (a asking) Voided(v *wire.Voided) {
-	a.answers <- asked{node: a.node, voided: v, at: a.now()}
+func (a lookupWaiter) Voided(v *wire.Voided) {
+	a.answers <- lookupResult{node: a.node, reply: v, receivedAt: a.now()}
 }
 
-// ask puts the question to all nodes at once and waits until all have answered,
+// lookupKey puts the question to all nodes at once and waits until all have answered,
 // one answer settles it, or half of the deadline is over: the rest is for the
 // run.
-func (r *request) ask(now clock.Millis, nodes []Target) []asked {
+func (r *request) lookupKey(now clock.Millis, nodes []GateClient) []lookupResult {
 	patience := max((r.deadline-now)/2, 1)
 	question := &wire.Void{
 		ID: r.id, Caller: r.caller, Service: r.config.Name,
-		Key: r.sent.key, Digest: r.sent.digest[:], Number: r.sent.mark.Number,
+		Key: r.idempotency.key, Digest: r.idempotency.digest[:], Number: r.idempotency.resend.Number,
 	}
-	channel := make(chan asked, len(nodes))
+	channel := make(chan lookupResult, len(nodes))
 	open := 0
 	for i, node := range nodes {
-		if node.Void(question, patience, asking{i, r.entry.config.Now, channel}) == nil {
-			defer node.ForgetVoid(r.id)
+		if node.RevokeKey(question, patience, lookupWaiter{i, r.entry.config.Now, channel}) == nil {
+			defer node.ForgetRevocation(r.id)
 			open++
 		}
 	}
-	all := make([]asked, len(nodes))
+	all := make([]lookupResult, len(nodes))
 	timer := time.NewTimer(patience.Duration())
 	defer timer.Stop()
 	for ; open > 0; open-- {
 		select {
 		case a := <-channel:
 			all[a.node] = a
-			if a.voided != nil && resend.Definite([]resend.Answer{a.says(a.at)}) {
+			if a.reply != nil && resend.Definite([]resend.Answer{a.answer(a.receivedAt)}) {
 				return all
 			}
 		case <-timer.C:
@@ -232,29 +232,29 @@
 	return all
 }
 
-// keyed is the final answer to a dispatch that its gate refused for its key, or
+// keyRefusal is the final answer to a dispatch that its gate refused for its key, or
 // false. No other gate is tried: the key is decided.
-func (r *request) keyed(o *result) (final, bool) {
-	if r.sent.key == "" {
-		return final{}, false
+func (r *request) keyRefusal(o *result) (finalAnswer, bool) {
+	if r.idempotency.key == "" {
+		return finalAnswer{}, false
 	}
 	switch wire.Reason(o.reason) {
 	case wire.ReasonKeyReused:
 		return refused(fasthttp.StatusUnprocessableEntity, o.reason, 0), true
 	case wire.ReasonKeyRunning:
-		return undecided(o.reason, max(o.after, clock.Second)), true
+		return undecided(o.reason, max(o.retryAfter, clock.Second)), true
 	case wire.ReasonKeyVoided:
 		// The resend that goes first may have run by now.
 		return undecided(o.reason, clock.Second), true
 	case wire.ReasonKeyLost:
 		return undecided(o.reason, 0), true
 	default:
-		return final{}, false
+		return finalAnswer{}, false
 	}
 }
 
-// enrol takes in which nodes a table edit names for the service.
-func (s *service) enrol(now clock.Millis, c table.Service, target func(u table.Upstream) Target) {
+// updateMembership takes in which nodes a table edit names for the service.
+func (s *service) updateMembership(now clock.Millis, c table.Service, target func(u table.Upstream) GateClient) {
 	nodes := make([]string, 0, len(c.Upstreams))
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,35 +264,35 @@
 			s.nodes[u.Node] = target(u)
 		}
 	}
-	s.roster.Update(now, nodes)
+	s.membership.Update(now, nodes)
 	for node := range s.nodes {
-		if !s.roster.Has(node) {
+		if !s.membership.Has(node) {
 			delete(s.nodes, node)
 		}
 	}
 }
 
-// mayHave returns the ways to the nodes that may have had a key first sent at
+// keyNodes returns the ways to the nodes that may have had a key first sent at
 // most that long ago.
-func (s *service) mayHave(now, reach clock.Millis) []Target {
+func (s *service) keyNodes(now, reach clock.Millis) []GateClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	names := s.roster.Nodes(now, reach)
-	targets := make([]Target, 0, len(names))
+	names := s.membership.Nodes(now, reach)
+	targets := make([]GateClient, 0, len(names))
 	for _, name := range names {
 		targets = append(targets, s.nodes[name])
 	}
 	return targets
 }
 
-// noteRoutes takes in whether a table edit changes which service a request goes
+// recordRouteChange takes in whether a table edit changes which service a request goes
 // to. Keys of before may have run at another service's nodes.
-func (e *Entry) noteRoutes(old, fresh *table.Table) {
+func (e *Entry) recordRouteChange(old, fresh *table.Table) {
 	same := func(a, b table.Route) bool {
 		return a.Host == b.Host && a.Prefix == b.Prefix && a.Service == b.Service &&
 			slices.Equal(a.Shares, b.Shares) && slices.Equal(a.Repeatable, b.Repeatable)
 	}
 	if old == nil || !slices.EqualFunc(old.Routes, fresh.Routes, same) {
-		e.routed.Store(int64(e.config.Now()))
+		e.routesChangedAt.Store(int64(e.config.Now()))
 	}
 }
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -17,8 +17,8 @@
 func TestAnotherProcessIsAnotherUpstream(t *testing.T) {
 	log := lines.Silent()
 	e := entry.New(entry.Config{
-		Now: clock.NewSystem().Now, Journal: access.New(access.Config{}), Log: log,
-		Target: func(table.Upstream) entry.Target { return &desk{} },
+		Now: clock.NewSystem().Now, Recorder: access.New(access.Config{}), Log: log,
+		GateClient: func(table.Upstream) entry.GateClient { return &desk{} },
 	})
 	listed := func(started int64) *table.Table {
 		return table.Index(table.Table{Services: []table.Service{{
@@ -30,7 +30,7 @@
 		}}})
 	}
 	e.Update(listed(1))
-	e.Heard(wire.Upstream{Name: "c1", State: uint8(health.Ejected), Severity: 1, Until: clock.Minute})
+	e.UpdateUpstream(wire.Upstream{Name: "c1", State: uint8(health.Ejected), Severity: 1, Until: clock.Minute})
 	before := e.States()[0].State
 	e.Update(listed(2))
 	if after := e.States()[0].State; after == before {
--- a/entry/service.go
+++ b/entry/service.go
@@ -19,71 +19,71 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// baselineEvery is how often the median over a service's gates is worked out
+// baselineInterval is how often the median over a service's gates is worked out
 // anew: often against the seconds in which a common fault spreads, seldom
 // against the requests in between.
-const baselineEvery = clock.Millis(200)
+const baselineInterval = clock.Millis(200)
 
 // service is this entry's view of one service.
 type service struct {
-	log     logrus.FieldLogger
-	journal Journal
+	log      logrus.FieldLogger
+	recorder Recorder
 
-	seed     uint64
-	offset   int // where among the members the watched ones begin
-	mu       sync.Mutex
-	config   table.Service
-	members  []*member
-	byName   map[string]*member
-	chooser  *choice.Chooser
-	ranker   *choice.Ranker
-	options  []choice.Option
-	domain   string
-	budget   *retry.Budget
-	baseline health.Baseline
-	best     float64 // the lowest share of failures in view
-	computed clock.Millis
-	dirty    bool
-	recheck  clock.Millis // when the first hold-off ends; 0 without one
-	uses     []floor.Use
-	reach    grade.LinkCount
-	roster   *resend.Roster
-	nodes    map[string]Target // the ways to the roster's
+	seed               uint64
+	watchOffset        int // where among the members the watched ones begin
+	mu                 sync.Mutex
+	config             table.Service
+	members            []*member
+	byName             map[string]*member
+	chooser            *choice.Chooser
+	ranker             *choice.Ranker
+	options            []choice.Option
+	domain             string
+	retryBudget        *retry.Budget
+	baseline           health.Baseline
+	lowestFailureShare float64 // the lowest share of failures in view
+	baselineAt         clock.Millis
+	dirty              bool
+	recheckAt          clock.Millis // when the first hold-off ends; 0 without one
+	uses               []floor.Use
+	reach              grade.LinkCount
+	membership         *resend.Roster
+	nodes              map[string]GateClient // the ways to the roster's
 
-	candidates []choice.Candidate
-	floors     []floor.Member
-	own        []health.Baseline
+	candidates   []choice.Candidate
+	floorMembers []floor.Member
+	baselines    []health.Baseline
 }
 
-func newService(c table.Service, domain string, seed uint64, journal Journal, log logrus.FieldLogger) *service {
+func newService(c table.Service, domain string, seed uint64, journal Recorder, log logrus.FieldLogger) *service {
 	return &service{
-		log:     log.WithField("service", c.Name),
-		journal: journal,
-		seed:    seed,
-		config:  c,
-		byName:  map[string]*member{},
-		chooser: choice.New(choice.Config{Domain: domain, Seed: seed}),
-		ranker:  choice.NewRanker(seed),
-		domain:  domain,
-		best:    1,
-		budget:  retry.New(budgetOf(c, seed)),
-		dirty:   true,
-		roster:  resend.NewRoster(resend.Retention),
-		nodes:   map[string]Target{},
+		log:                log.WithField("service", c.Name),
+		recorder:           journal,
+		seed:               seed,
+		config:             c,
+		byName:             map[string]*member{},
+		chooser:            choice.New(choice.Config{Domain: domain, Seed: seed}),
+		ranker:             choice.NewRanker(seed),
+		domain:             domain,
+		lowestFailureShare: 1,
+		retryBudget:        retry.New(retryConfig(c, seed)),
+		dirty:              true,
+		membership:         resend.NewRoster(resend.Retention),
+		nodes:              map[string]GateClient{},
 	}
 }
 
-func budgetOf(c table.Service, seed uint64) retry.Config {
+func retryConfig(c table.Service, seed uint64) retry.Config {
 	return retry.Config{Share: c.Retries, GateQuotas: c.Window > 0, Seed: seed}
 }
 
 // update puts a table edit in force. What is known of upstreams that stay is
 // kept; one that started again under its name is another.
-func (s *service) update(c table.Service, target func(u table.Upstream) Target) {
+func (s *service) update(c table.Service, target func(u table.Upstream) GateClient) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Window != s.config.Window || c.Retries != s.config.Retries {
-		s.budget = retry.New(budgetOf(c, s.seed))
+		s.retryBudget = retry.New(retryConfig(c, s.seed))
 	}
 	s.config = c
 	old := s.byName
@@ -92,13 +92,13 @@
 	for _, u := range c.Upstreams {
 		m, ok := old[u.Name]
 		if !ok || m.upstream.Node != u.Node || m.upstream.Started != u.Started {
-			m = &member{target: target(u), state: wire.Upstream{Share: 1}}
+			m = &member{gate: target(u), state: wire.Upstream{Share: 1}}
 		}
 		m.upstream = u
 		s.members = append(s.members, m)
 		s.byName[u.Name] = m
 	}
-	s.offset = int(s.seed % uint64(max(len(s.members), 1)))
+	s.watchOffset = int(s.seed % uint64(max(len(s.members), 1)))
 	s.dirty = true
 }
 
@@ -111,14 +111,14 @@
 	// number is that of the attempt, by which its gate knows it; 0 until it has
 	// one.
 	number uint8
-	// bounded means that it asks for a free slot and doesn't wait; isHeld that a
+	// noWait means that it asks for a free slot and doesn't wait; isHeld that a
 	// slot is kept for it.
-	bounded, isHeld bool
+	noWait, isReserved bool
 	// verdict is what is known of the request that the gate is told.
 	verdict quarantine.Verdict
 	// severity is what the upstream's was taken for, heard when it was told.
-	severity float64
-	heard    clock.Millis
+	severity  float64
+	updatedAt clock.Millis
 }
 
 // choose picks the upstream for the next try. It reports how many usable ones
@@ -130,7 +130,7 @@
 	s.candidates = s.candidates[:0]
 	for i, m := range s.members {
 		usable := s.usable(now, i, repeatable)
-		s.candidates = append(s.candidates, m.candidate(now, s.best, usable))
+		s.candidates = append(s.candidates, m.candidate(now, s.lowestFailureShare, usable))
 		if usable && !slices.Contains(tried, m) {
 			untried++
 		}
@@ -140,12 +140,12 @@
 		return attempt{}, untried, false
 	}
 	m := s.members[i]
-	m.sent++
-	return s.attemptOf(now, i), untried - 1, true
+	m.inFlight++
+	return s.newAttempt(now, i), untried - 1, true
 }
 
-// untried counts the upstreams that a request may still be sent to.
-func (s *service) untried(now clock.Millis, repeatable bool, tried []*member) int {
+// countUntried counts the upstreams that a request may still be sent to.
+func (s *service) countUntried(now clock.Millis, repeatable bool, tried []*member) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh(now)
@@ -158,8 +158,8 @@
 	return count
 }
 
-// keeps reports whether the floor keeps an upstream in use in spite of its verdict.
-func (s *service) keeps(now clock.Millis, m *member) bool {
+// isForced reports whether the floor keeps an upstream in use in spite of its verdict.
+func (s *service) isForced(now clock.Millis, m *member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh(now)
@@ -184,45 +184,45 @@
 // refresh works out the floor and the baseline where something changed.
 func (s *service) refresh(now clock.Millis) {
 	if s.config.Caution == table.Brief {
-		s.decideFloor(now) // severities drift without news
+		s.applyFloor(now) // severities drift without news
 		return
 	}
-	if s.dirty || (s.recheck > 0 && now >= s.recheck) {
-		s.decideFloor(now)
+	if s.dirty || (s.recheckAt > 0 && now >= s.recheckAt) {
+		s.applyFloor(now)
 		s.dirty = false
 	}
-	if now-s.computed >= baselineEvery {
-		s.computed = now
-		s.decideBaseline(now)
+	if now-s.baselineAt >= baselineInterval {
+		s.baselineAt = now
+		s.updateBaseline(now)
 	}
 }
 
 const (
-	// watched is how many upstreams of a service an entry keeps in view while
+	// watchedUpstreams is how many upstreams of a service an entry keeps in view while
 	// it has requests for it. An entry whose requests all stay in its own
 	// failure domain would otherwise know the figures of that domain alone, and
 	// take a fault of it for the usual state of the service.
-	watched = 8
-	// viewSpan is how old what was heard of others may be to count as in view.
-	viewSpan = 10 * clock.Second
+	watchedUpstreams = 8
+	// viewWindow is how old what was heard of others may be to count as in view.
+	viewWindow = 10 * clock.Second
 )
 
-// decideBaseline works out what is usual, from the upstreams in view.
-func (s *service) decideBaseline(now clock.Millis) {
-	s.own = s.own[:0]
-	s.keepInView(now, watched)
+// updateBaseline works out what is usual, from the upstreams in view.
+func (s *service) updateBaseline(now clock.Millis) {
+	s.baselines = s.baselines[:0]
+	s.keepWatchedLinks(now, watchedUpstreams)
 	for i, m := range s.members {
-		if s.isWatched(i, watched) || now-m.heard < viewSpan {
+		if s.isWatched(i, watchedUpstreams) || now-m.updatedAt < viewWindow {
 			own := m.state.Own.Plain()
-			own.Age += now - m.heard
-			s.own = append(s.own, own)
+			own.Age += now - m.updatedAt
+			s.baselines = append(s.baselines, own)
 		}
 	}
-	s.baseline = health.Median(s.own)
-	s.best = 1
-	for _, own := range s.own {
+	s.baseline = health.Median(s.baselines)
+	s.lowestFailureShare = 1
+	for _, own := range s.baselines {
 		if own.Known {
-			s.best = min(s.best, own.Failed)
+			s.lowestFailureShare = min(s.lowestFailureShare, own.Failed)
 		}
 	}
 }
@@ -230,52 +230,52 @@
 // isWatched reports whether an upstream is among the few that this entry keeps in view.
 // Entries differ in which these are.
 func (s *service) isWatched(i, few int) bool {
-	return (i+s.offset)%len(s.members) < few
+	return (i+s.watchOffset)%len(s.members) < few
 }
 
-// keepInView asks for links to the watched upstreams that weren't heard of lately.
-func (s *service) keepInView(now clock.Millis, few int) {
+// keepWatchedLinks asks for links to the watched upstreams that weren't heard of lately.
+func (s *service) keepWatchedLinks(now clock.Millis, few int) {
 	for i, m := range s.members {
-		if s.isWatched(i, few) && now-m.heard >= keepEvery {
-			m.target.Keep()
+		if s.isWatched(i, few) && now-m.updatedAt >= watchInterval {
+			m.gate.EnsureLink()
 		}
 	}
 }
 
-// keepEvery is the age of what was heard of an upstream at which its link is
+// watchInterval is the age of what was heard of an upstream at which its link is
 // asked for: two heartbeats.
-const keepEvery = clock.Second
+const watchInterval = clock.Second
 
-func (s *service) decideFloor(now clock.Millis) {
-	s.floors = s.floors[:0]
-	s.recheck = 0
+func (s *service) applyFloor(now clock.Millis) {
+	s.floorMembers = s.floorMembers[:0]
+	s.recheckAt = 0
 	brief := s.config.Caution == table.Brief
 	for _, m := range s.members {
-		if end := m.heard + m.state.Until; m.verdict(now) == health.Ejected && (s.recheck == 0 || end < s.recheck) {
-			s.recheck = end
+		if end := m.updatedAt + m.state.Until; m.verdict(now) == health.Ejected && (s.recheckAt == 0 || end < s.recheckAt) {
+			s.recheckAt = end
 		}
-		s.floors = append(s.floors, floor.Member{
+		s.floorMembers = append(s.floorMembers, floor.Member{
 			Capacity:    float64(m.upstream.Weight * m.upstream.Slots),
-			Ejected:     m.isAside(now, brief),
+			Ejected:     m.isEjected(now, brief),
 			Severity:    m.severity(now, brief),
-			Leaving:     m.state.Leaving || m.gone,
-			Unreachable: m.lost || m.state.Down,
+			Leaving:     m.state.Leaving || m.leaving,
+			Unreachable: m.unreachable || m.state.Down,
 		})
 	}
 	before := append([]floor.Use(nil), s.uses...)
-	s.uses = floor.Decide(s.uses[:0], s.config.Floor, s.floors)
+	s.uses = floor.Decide(s.uses[:0], s.config.Floor, s.floorMembers)
 	for i, use := range s.uses {
 		if use == floor.Forced && (i >= len(before) || before[i] != floor.Forced) {
-			s.noteForced(now, s.members[i])
+			s.recordForced(now, s.members[i])
 		}
 	}
 }
 
-func (s *service) noteForced(now clock.Millis, m *member) {
+func (s *service) recordForced(now clock.Millis, m *member) {
 	s.log.WithField("upstream", m.upstream.Name).Warn("kept in use under the floor")
-	s.journal.Note(access.Event{
+	s.recorder.RecordEvent(access.Event{
 		At:       now,
-		Kind:     access.KeptUnderFloor,
+		Kind:     access.ForcedUnderFloor,
 		Service:  s.config.Name,
 		Upstream: m.upstream.Name,
 		Node:     m.upstream.Node,
@@ -283,8 +283,8 @@
 	})
 }
 
-// heard takes in what a gate says of its upstream.
-func (s *service) heard(now clock.Millis, u wire.Upstream) {
+// updateUpstream takes in what a gate says of its upstream.
+func (s *service) updateUpstream(now clock.Millis, u wire.Upstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, ok := s.byName[u.Name]
@@ -292,24 +292,24 @@
 		return
 	}
 	old := m.state
-	m.state, m.heard = u, now
+	m.state, m.updatedAt = u, now
 	if old.State != u.State || old.Severity != u.Severity || old.Leaving != u.Leaving || old.Down != u.Down {
 		s.dirty = true
 	}
 }
 
-// path takes in whether a node can be reached from here.
-func (s *service) path(node string, isLost bool) {
-	s.each(node, func(m *member) { m.lost = isLost })
+// updatePath takes in whether a node can be reached from here.
+func (s *service) updatePath(node string, isLost bool) {
+	s.updateMembers(node, func(m *member) { m.unreachable = isLost })
 }
 
-// instance takes in what the instance list says of a node. The list lags, so a
+// updateInstance takes in what the instance list says of a node. The list lags, so a
 // live link that says leaving stands whatever the list says.
-func (s *service) instance(node string, leaving bool) {
-	s.each(node, func(m *member) { m.gone = leaving })
+func (s *service) updateInstance(node string, leaving bool) {
+	s.updateMembers(node, func(m *member) { m.leaving = leaving })
 }
 
-func (s *service) each(node string, change func(m *member)) {
+func (s *service) updateMembers(node string, change func(m *member)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.members {
@@ -320,36 +320,36 @@
 	}
 }
 
-// ended gives back the place of a dispatch and feeds the retry budget with
+// endAttempt gives back the place of a dispatch and feeds the retry budget with
 // what a gate said, if one did.
-func (s *service) ended(now clock.Millis, m *member, o *result) {
+func (s *service) endAttempt(now clock.Millis, m *member, o *result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m.sent--
+	m.inFlight--
 	if o.reply != nil {
-		s.budget.RecordReply(now, o.full)
+		s.retryBudget.RecordReply(now, o.full)
 	}
 }
 
-func (s *service) retry(now clock.Millis, a retry.Attempt) retry.Decision {
+func (s *service) decideRetry(now clock.Millis, a retry.Attempt) retry.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Decide(now, a)
+	return s.retryBudget.Decide(now, a)
 }
 
-// spread lengthens the span until callers who are refused together come back.
-func (s *service) spread(span clock.Millis) clock.Millis {
+// spreadRetryAfter lengthens the span until callers who are refused together come back.
+func (s *service) spreadRetryAfter(span clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.AddJitter(span)
+	return s.retryBudget.AddJitter(span)
 }
 
-// admit counts a request and returns the service as the table has it.
-func (s *service) admit(now clock.Millis) (table.Service, wire.Baseline) {
+// startRequest counts a request and returns the service as the table has it.
+func (s *service) startRequest(now clock.Millis) (table.Service, wire.Baseline) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.RecordRequest(now)
+	s.retryBudget.RecordRequest(now)
 	told := s.baseline
-	told.Age += now - s.computed
+	told.Age += now - s.baselineAt
 	return s.config, wire.BaselineOf(told)
 }
--- a/entry/spread_test.go
+++ b/entry/spread_test.go
@@ -15,9 +15,9 @@
 	route := &table.Route{Host: "a.example", Prefix: "/x/", Shares: []table.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "off", Weight: 0}}}
 	counts := map[string]int{}
 	for seed := range uint64(24) {
-		s := entry.NewSpread(seed)
+		s := entry.NewSplitter(seed)
 		for range 13 {
-			counts[s.Service(route)]++
+			counts[s.PickService(route)]++
 		}
 	}
 	total := 24 * 13
@@ -31,11 +31,11 @@
 
 // A table edit comes with each upstream that joins; the proportions go on.
 func TestSharesOutliveEdits(t *testing.T) {
-	s := entry.NewSpread(1)
+	s := entry.NewSplitter(1)
 	counts := map[string]int{}
 	for range 200 {
 		route := &table.Route{Prefix: "/x/", Shares: []table.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
-		counts[s.Service(route)]++
+		counts[s.PickService(route)]++
 	}
 	if got := counts["a"]; got < 95 || got > 105 {
 		t.Errorf("got %d of 200 for one of two equal shares, want 95 to 105", got)
--- a/entry/survey_test.go
+++ b/entry/survey_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (d *desk) Enquire(e *wire.Enquiry, told func(*wire.Hold)) error {
+func (d *desk) ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error {
 	d.enquired++
 	hold := d.hold
 	if hold == nil {
@@ -83,32 +83,32 @@
 	return nil
 }
 
-func (d *desk) Waive(w *wire.Waive) {
+func (d *desk) ReleaseReservation(w *wire.Waive) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waived = append(d.waived, w.Attempt)
 }
 
-func (d *desk) Keep() {
+func (d *desk) EnsureLink() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.kept++
 }
 
-func (*desk) Settle(wire.RequestID, uint8)        {}
+func (*desk) Resolve(wire.RequestID, uint8)       {}
 func (*desk) Forget(wire.RequestID, uint8)        {}
 func (*desk) Withdraw(wire.RequestID, uint8) bool { return false }
 func (d *desk) Abandon(wire.RequestID, uint8)     { d.abandoned++ }
-func (*desk) Void(*wire.Void, clock.Millis, link.VoidWaiter) error {
+func (*desk) RevokeKey(*wire.Void, clock.Millis, link.VoidWaiter) error {
 	return link.ErrNoLink
 }
-func (*desk) ForgetVoid(wire.RequestID) {}
+func (*desk) ForgetRevocation(wire.RequestID) {}
 
 type journal struct{}
 
-func (journal) Received()                         {}
-func (journal) Close(clock.Millis, access.Record) {}
-func (journal) Note(access.Event)                 {}
+func (journal) RequestReceived()                            {}
+func (journal) RequestFinished(clock.Millis, access.Record) {}
+func (journal) RecordEvent(access.Event)                    {}
 
 // before returns an entry before one upstream a desk, in domains of their own.
 func before(t *testing.T, desks ...*desk) *entry.Entry {
@@ -136,8 +136,8 @@
 		s.Upstreams = append(s.Upstreams, table.Upstream{Name: d.name, Node: d.name, Domain: "palermo", Weight: 100, Slots: 1})
 	}
 	e := entry.New(entry.Config{
-		Domain: "catania", Now: clock.NewSystem().Now, Pool: newPool(t), Journal: journal{}, Log: lines.Silent(),
-		Target: func(u table.Upstream) entry.Target { return ways[u.Name] },
+		Domain: "catania", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: lines.Silent(),
+		GateClient: func(u table.Upstream) entry.GateClient { return ways[u.Name] },
 	})
 	e.Update(table.Index(table.Table{
 		Format: table.Format, Version: 1, Services: []table.Service{s},
--- a/entry/trail.go
+++ b/entry/trail.go
@@ -9,8 +9,8 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// step is one try at a request, as a log line tells it.
-type step struct {
+// loggedAttempt is one try at a request, as a log line tells it.
+type loggedAttempt struct {
 	upstream string
 	// result is "served", or the reason why it was not.
 	result string
@@ -22,26 +22,26 @@
 	age      clock.Millis
 }
 
-// mostSteps is how many tries a log line tells; a request has fewer, but for those
+// maxLoggedAttempts is how many tries a log line tells; a request has fewer, but for those
 // that find one upstream after the other gone.
-const mostSteps = 8
+const maxLoggedAttempts = 8
 
-// trail holds the tries of a request. It is part of the request and takes no memory
+// attemptLog holds the tries of a request. It is part of the request and takes no memory
 // of its own.
-type trail struct {
-	steps [mostSteps]step
-	count int
+type attemptLog struct {
+	attempts [maxLoggedAttempts]loggedAttempt
+	count    int
 }
 
-func (t *trail) add(s step) {
-	if t.count < mostSteps {
-		t.steps[t.count] = s
+func (t *attemptLog) add(s loggedAttempt) {
+	if t.count < maxLoggedAttempts {
+		t.attempts[t.count] = s
 	}
 	t.count++
 }
 
-// tried is one step in a log line.
-type tried struct {
+// attemptFields is one step in a log line.
+type attemptFields struct {
 	Upstream string  `json:"upstream"`
 	Result   string  `json:"result"`
 	After    string  `json:"after"`
@@ -49,41 +49,41 @@
 	Age      string  `json:"age"`
 }
 
-func (t *trail) told() []tried {
-	told := make([]tried, 0, min(t.count, mostSteps))
-	for _, s := range t.steps[:min(t.count, mostSteps)] {
-		told = append(told, tried{s.upstream, s.result, s.after.String(), s.severity, s.age.String()})
+func (t *attemptLog) fields() []attemptFields {
+	told := make([]attemptFields, 0, min(t.count, maxLoggedAttempts))
+	for _, s := range t.attempts[:min(t.count, maxLoggedAttempts)] {
+		told = append(told, attemptFields{s.upstream, s.result, s.after.String(), s.severity, s.age.String()})
 	}
 	return told
 }
 
-// note adds a try to the trail.
-func (r *request) note(a *attempt, o *result, chosen clock.Millis) {
+// recordAttempt adds a try to the trail.
+func (r *request) recordAttempt(a *attempt, o *result, chosen clock.Millis) {
 	if o.reason == string(wire.ReasonBudget) {
-		r.denied = max(o.after, 1)
+		r.budgetRetryAfter = max(o.retryAfter, 1)
 	}
-	s := step{
+	s := loggedAttempt{
 		upstream: a.upstream.Name,
 		result:   o.reason,
 		after:    r.entry.config.Now() - r.started,
 		severity: a.severity,
-		age:      max(chosen-a.heard, 0),
+		age:      max(chosen-a.updatedAt, 0),
 	}
 	if o.served {
 		s.result = string(access.Served)
 	}
-	r.trail.add(s)
+	r.attemptLog.add(s)
 }
 
 // log leaves a line of what a caller may ask about: a request that was not served, or
 // was later than its route's target. Others leave none; counters and the report
 // have them.
-func (r *request) log(record *access.Record, f *final) {
+func (r *request) log(record *access.Record, f *finalAnswer) {
 	var message string
 	switch {
 	case f.outcome != access.Served:
 		message = "request not served"
-	case f.status >= failureStatus:
+	case f.status >= minFailureStatus:
 		message = "request failed by its backend server"
 	case r.route != nil && r.route.Target > 0 && record.Took > r.route.Target:
 		message = "request answered late"
@@ -102,7 +102,7 @@
 		"attempts": record.Attempts,
 		"took":     record.Took.String(),
 		"waited":   record.Waited.String(),
-		"tried":    r.trail.told(),
+		"tried":    r.attemptLog.fields(),
 	}
 	if r.route != nil {
 		fields["budget"] = (r.deadline - r.started).String()
@@ -112,24 +112,24 @@
 		fields["account"] = r.account.Name
 	}
 	if len(r.headers) > 0 {
-		fields["fingerprint"] = r.print().String()
+		fields["fingerprint"] = r.requestFingerprint().String()
 	}
 	if t := r.entry.table.Load(); t != nil {
 		fields["version"] = t.Version
 	}
-	if r.why != "" {
-		fields["noretry"] = string(r.why)
+	if r.noRetryReason != "" {
+		fields["noretry"] = string(r.noRetryReason)
 	}
 	r.entry.config.Log.WithFields(fields).Info(message)
 }
 
-// failureStatus is the lowest status of an answer that says the server failed.
-const failureStatus = 500
+// minFailureStatus is the lowest status of an answer that says the server failed.
+const minFailureStatus = 500
 
-// verdictOnRetry keeps why a request was not sent again, for its log line.
-func (r *request) verdictOnRetry(d retry.Decision) {
-	r.why = d.Reason
-	if d.Reason == retry.TooManyAttempts && r.denied > 0 {
-		r.why = retry.NoBudget
+// recordNoRetry keeps why a request was not sent again, for its log line.
+func (r *request) recordNoRetry(d retry.Decision) {
+	r.noRetryReason = d.Reason
+	if d.Reason == retry.TooManyAttempts && r.budgetRetryAfter > 0 {
+		r.noRetryReason = retry.NoBudget
 	}
 }
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -28,7 +28,7 @@
 			s.join("a")
 			s.join("b")
 			s.publish()
-			s.entry.Heard(tt.heard)
+			s.entry.UpdateUpstream(tt.heard)
 			const sent = 200
 			for range sent {
 				if status, _ := post(s.entry); status != 200 {
@@ -58,12 +58,12 @@
 			s.service.Caution, s.service.Floor = table.Fast, 0.5
 			for _, name := range []string{"a", "b"} {
 				s.join(name)
-				s.ways[name].told = s.entry.Heard
+				s.ways[name].told = s.entry.UpdateUpstream
 				s.ways[name].verdict = &wire.Upstream{Name: name, State: uint8(health.Ejected), Severity: 0.6, Until: clock.Minute}
 			}
 			s.ways["a"].verdict.Severity = tt.severity
 			s.publish()
-			s.entry.Heard(*s.ways["b"].verdict)
+			s.entry.UpdateUpstream(*s.ways["b"].verdict)
 			status, body := post(s.entry)
 			if status != 200 || body != tt.want {
 				t.Errorf("got %d %q, want it served by %s", status, body, tt.want)
--- a/entry/view.go
+++ b/entry/view.go
@@ -18,24 +18,24 @@
 			Name:     m.upstream.Name,
 			Domain:   m.upstream.Domain,
 			Node:     m.upstream.Node,
-			State:    m.describe(now, s.uses[i]),
+			State:    m.stateName(now, s.uses[i]),
 			Weight:   m.upstream.Weight,
 			Slots:    m.upstream.Slots,
-			InFlight: max(m.sent, m.state.InFlight),
+			InFlight: max(m.inFlight, m.state.InFlight),
 			Severity: m.state.Severity,
 		})
 	}
 	return all
 }
 
-// comeBack is when a caller may find an upstream again: when the first
+// retryAfter is when a caller may find an upstream again: when the first
 // hold-off ends, at least a second.
-func (s *service) comeBack(now clock.Millis) clock.Millis {
+func (s *service) retryAfter(now clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := clock.Millis(0)
 	for _, m := range s.members {
-		left := m.heard + m.state.Until - now
+		left := m.updatedAt + m.state.Until - now
 		if m.verdict(now) == health.Ejected && (first == 0 || left < first) {
 			first = left
 		}
--- a/entry/waiter.go
+++ b/entry/waiter.go
@@ -13,13 +13,13 @@
 
 const (
 	replied eventKind = iota
-	voided
-	forgotten
+	revoked
+	gateReplaced
 	unsent
-	lost
+	pathLost
 	stalled // most likely the run comes to no end
 	expired
-	abandoned // the caller has left
+	callerGone // the caller has left
 )
 
 type event struct {
@@ -45,10 +45,10 @@
 // Settled takes in a settlement.
 func (w *waiter) Settled(isVoided bool) {
 	if isVoided {
-		w.put(event{kind: voided})
+		w.put(event{kind: revoked})
 		return
 	}
-	w.put(event{kind: forgotten})
+	w.put(event{kind: gateReplaced})
 }
 
 // Unsent takes in that nothing was sent.
@@ -58,16 +58,16 @@
 
 // Lost takes in that the path is lost for now.
 func (w *waiter) Lost() {
-	w.notice(lost)
+	w.putNotice(pathLost)
 }
 
 // Stalled takes in that the run most likely comes to no end.
 func (w *waiter) Stalled() {
-	w.notice(stalled)
+	w.putNotice(stalled)
 }
 
-// notice puts what leaves room for the outcome.
-func (w *waiter) notice(kind eventKind) {
+// putNotice puts what leaves room for the outcome.
+func (w *waiter) putNotice(kind eventKind) {
 	if len(w.events) == 0 {
 		w.put(event{kind: kind})
 	}
@@ -90,21 +90,21 @@
 	}
 }
 
-var timers = sync.Pool{New: func() any { return time.NewTimer(time.Hour) }}
+var timerPool = sync.Pool{New: func() any { return time.NewTimer(time.Hour) }}
 
 // next waits for the next event, at most for the span, or until the caller has
 // left.
 func (w *waiter) next(span clock.Millis, left <-chan struct{}) event {
-	timer, _ := timers.Get().(*time.Timer)
+	timer, _ := timerPool.Get().(*time.Timer)
 	timer.Reset(span.Duration())
-	defer timers.Put(timer)
+	defer timerPool.Put(timer)
 	select {
 	case e := <-w.events:
 		timer.Stop()
 		return e
 	case <-left:
 		timer.Stop()
-		return event{kind: abandoned}
+		return event{kind: callerGone}
 	case <-timer.C:
 		return event{kind: expired}
 	}
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -109,7 +109,7 @@
 	}
 	for _, m := range f.Members {
 		for _, c := range m.Node.Quarantine() {
-			if c.Verdict == access.SuspectHeld && len(c.Upstreams) < 3 {
+			if c.Verdict == access.VerdictQuarantined && len(c.Upstreams) < 3 {
 				t.Errorf("%s: got %+v held, want three ends under it", m.Name, c)
 			}
 		}
@@ -135,7 +135,7 @@
 	s.group.Wait()
 	for _, m := range f.Members {
 		for _, c := range m.Node.Quarantine() {
-			if c.Verdict == access.SuspectHeld {
+			if c.Verdict == access.VerdictQuarantined {
 				t.Errorf("%s: got %+v held, want none", m.Name, c)
 			}
 		}
@@ -151,7 +151,7 @@
 		allUp(t, f)
 	}
 	cases := f.Members[0].Node.Quarantine()
-	if len(cases) != 1 || cases[0].Verdict != access.SuspectHeld {
+	if len(cases) != 1 || cases[0].Verdict != access.VerdictQuarantined {
 		t.Fatalf("got %+v, want one request held", cases)
 	}
 	for _, b := range f.Backends {
--- a/fleet/return_test.go
+++ b/fleet/return_test.go
@@ -23,7 +23,7 @@
 	await(t, sick, ran(30))
 	sick.SetFault(standin.Fault{Kind: standin.Slow, Factor: 8})
 	state := func() string { return stateOf(f.Members[0], "conferme-2") }
-	until(t, "upstream set aside", func() bool { return state() == access.StateSetAside })
+	until(t, "upstream set aside", func() bool { return state() == access.StateEjected })
 	sick.SetFault(standin.Fault{})
 	until(t, "upstream back", func() bool { return state() == access.StateRamp || state() == access.StateInUse })
 	s.end(t)
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -240,7 +240,7 @@
 	g.judge = judgeOf(g.service.Caution, g.config.Seed)
 	if g.judge.Status(now).State != g.state {
 		g.state = health.InUse
-		g.note(access.Event{At: now, Kind: access.Back, Reason: string(wire.ReasonQuarantined)})
+		g.note(access.Event{At: now, Kind: access.Restored, Reason: string(wire.ReasonQuarantined)})
 	}
 	g.change()
 }
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -46,7 +46,7 @@
 	kinds []access.EventKind
 }
 
-func (k *kept) Note(e access.Event) {
+func (k *kept) RecordEvent(e access.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.kinds = append(k.kinds, e.Kind)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -57,7 +57,7 @@
 
 // Journal takes in what the gate decides.
 type Journal interface {
-	Note(e access.Event)
+	RecordEvent(e access.Event)
 }
 
 // Refusals counts dispatches that a gate refused to run.
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -43,7 +43,7 @@
 
 type nobody struct{}
 
-func (nobody) Note(access.Event) {}
+func (nobody) RecordEvent(access.Event) {}
 
 const incarnation = 7
 
--- a/gate/journal.go
+++ b/gate/journal.go
@@ -12,7 +12,7 @@
 
 func (g *Gate) note(e access.Event) {
 	e.Service, e.Upstream, e.Node = g.service.Name, g.upstream.Name, g.upstream.Node
-	g.config.Journal.Note(e)
+	g.config.Journal.RecordEvent(e)
 }
 
 // noteState journals a change of the verdict.
@@ -53,13 +53,13 @@
 func kindOf(s health.State) access.EventKind {
 	switch s {
 	case health.Ejected:
-		return access.SetAside
+		return access.Ejected
 	case health.Trial:
 		return access.Trial
 	case health.Ramp:
 		return access.Ramp
 	default:
-		return access.Back
+		return access.Restored
 	}
 }
 
--- a/link/dispatch.go
+++ b/link/dispatch.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Settle asks the gate what became of a dispatch and forbids it to begin one
+// Resolve asks the gate what became of a dispatch and forbids it to begin one
 // that it has not begun. The waiter is told.
-func (p *Peer) Settle(id wire.RequestID, attempt uint8) {
+func (p *Peer) Resolve(id wire.RequestID, attempt uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one, ok := p.pending[id.Key(attempt)]
--- a/link/enquire.go
+++ b/link/enquire.go
@@ -4,18 +4,18 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Enquire asks the gate for a slot; without an open link it waits for the one that
+// ProbeCapacity asks the gate for a slot; without an open link it waits for the one that
 // is being opened. Told is called with the answer, perhaps after the enquiry's
 // patience, with nil where nothing could be asked, or never; it must not block. After
 // an error nothing is asked.
-func (p *Peer) Enquire(e *wire.Enquiry, told func(*wire.Hold)) error {
+func (p *Peer) ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.enquiries.ask(p, e.ID.Key(e.Attempt), e, told)
 }
 
-// Waive drops an enquiry that was given up on, and tells the gate.
-func (p *Peer) Waive(w *wire.Waive) {
+// ReleaseReservation drops an enquiry that was given up on, and tells the gate.
+func (p *Peer) ReleaseReservation(w *wire.Waive) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := w.ID.Key(w.Attempt)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -214,7 +214,7 @@
 			Status: func() wire.Beat { return wire.Beat{} }, Watcher: guest{number: i, invited: invited}, Log: logger(),
 		})
 		go func() { _ = peer.Run(t.Context()) }()
-		peer.Keep()
+		peer.EnsureLink()
 	}
 	reach(t, func() bool { return server.Open() == entries })
 	for range entries * rounds {
@@ -269,7 +269,7 @@
 	const beat = clock.Millis(20)
 	watcher := &lost{}
 	peer, stop := runPeer(t, link.PeerConfig{Address: address, Beat: beat, Idle: beat, Watcher: watcher})
-	peer.Keep()
+	peer.EnsureLink()
 	reach(t, peer.Ready)
 	reach(t, func() bool { return !peer.Ready() })
 	<-time.After((30 * beat).Duration())
@@ -292,7 +292,7 @@
 	const beat = clock.Millis(20)
 	states := make(chan path.State, 16)
 	peer, _ := runPeer(t, link.PeerConfig{Address: address, Beat: beat, Idle: 4 * beat, Watcher: watcher{states}})
-	peer.Keep()
+	peer.EnsureLink()
 	for _, want := range []path.State{path.Lost, path.Good} {
 		select {
 		case got := <-states:
--- a/link/peer.go
+++ b/link/peer.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Keep asks for an open link and keeps it, as a request would.
-func (p *Peer) Keep() {
+// EnsureLink asks for an open link and keeps it, as a request would.
+func (p *Peer) EnsureLink() {
 	p.mu.Lock()
 	p.used = p.config.Now()
 	p.mu.Unlock()
--- a/link/probe_test.go
+++ b/link/probe_test.go
@@ -88,7 +88,7 @@
 	relay := serveBehindRelay(t)
 	states := make(chan path.State, 16)
 	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), Beat: clock.Hour, Watcher: watcher{states}})
-	peer.Keep()
+	peer.EnsureLink()
 	reach(t, peer.Ready)
 	return peer, relay, states
 }
@@ -114,7 +114,7 @@
 	states := make(chan path.State, 16)
 	w := &slowWatcher{watcher: watcher{states}, entered: make(chan struct{}, 16), release: make(chan struct{})}
 	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), Beat: clock.Second, Redial: 20, Watcher: w})
-	peer.Keep()
+	peer.EnsureLink()
 	reach(t, peer.Ready)
 	relay.SetMode(standin.SilentOld)
 	send(t, peer, &waiting{lost: make(chan struct{}, 1)})
--- a/link/resend.go
+++ b/link/resend.go
@@ -22,10 +22,10 @@
 	waiter  VoidWaiter
 }
 
-// Void asks the node about a resend's key. The question goes out again on each
+// RevokeKey asks the node about a resend's key. The question goes out again on each
 // new link until it is answered or forgotten: asking twice changes nothing. It
 // returns ErrNoLink when the node is out of reach now.
-func (p *Peer) Void(v *wire.Void, patience clock.Millis, w VoidWaiter) error {
+func (p *Peer) RevokeKey(v *wire.Void, patience clock.Millis, w VoidWaiter) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// ForgetVoid drops the waiter of a question that was given up on.
-func (p *Peer) ForgetVoid(id wire.RequestID) {
+// ForgetRevocation drops the waiter of a question that was given up on.
+func (p *Peer) ForgetRevocation(id wire.RequestID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.removeVoid(id)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -21,9 +21,9 @@
 
 // Book is the account of requests that is counted along.
 type Book interface {
-	Received()
-	Close(now clock.Millis, r access.Record)
-	Note(e access.Event)
+	RequestReceived()
+	RequestFinished(now clock.Millis, r access.Record)
+	RecordEvent(e access.Event)
 }
 
 // State is what is read anew at each scrape.
@@ -119,10 +119,10 @@
 // kinds of events are counted from 0 on: an alert on the first table that is
 // rejected needs a series that was there before.
 var kinds = []access.EventKind{
-	access.SetAside, access.Trial, access.Ramp, access.Back, access.KeptUnderFloor,
-	access.PathLost, access.PathBack, access.Crashed, access.Quarantined, access.Freed, access.Leaving,
+	access.Ejected, access.Trial, access.Ramp, access.Restored, access.ForcedUnderFloor,
+	access.PathLost, access.PathRestored, access.Crashed, access.Quarantined, access.Released, access.Leaving,
 	access.TableAccepted, access.TableRejected, access.TableOlder,
-	access.PlatformLost, access.PlatformBack,
+	access.PlatformLost, access.PlatformRestored,
 }
 
 // Handler serves the metrics over HTTP.
@@ -130,14 +130,14 @@
 	return fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}))
 }
 
-// Received counts a request that reached the entry.
-func (s *Set) Received() {
+// RequestReceived counts a request that reached the entry.
+func (s *Set) RequestReceived() {
 	s.received.Inc()
-	s.config.Book.Received()
+	s.config.Book.RequestReceived()
 }
 
-// Close counts a request that was answered.
-func (s *Set) Close(now clock.Millis, r access.Record) {
+// RequestFinished counts a request that was answered.
+func (s *Set) RequestFinished(now clock.Millis, r access.Record) {
 	s.requests.WithLabelValues(r.Service, r.Upstream, string(r.Outcome), r.Reason).Inc()
 	s.attempts.WithLabelValues(r.Service).Add(float64(r.Attempts))
 	s.took.WithLabelValues(r.Service, string(r.Outcome)).Observe(r.Took.Seconds())
@@ -148,13 +148,13 @@
 		s.kept.WithLabelValues(r.Service, r.NoRetry).Inc()
 	}
 	s.services.count(&r)
-	s.config.Book.Close(now, r)
+	s.config.Book.RequestFinished(now, r)
 }
 
-// Note counts an event.
-func (s *Set) Note(e access.Event) {
+// RecordEvent counts an event.
+func (s *Set) RecordEvent(e access.Event) {
 	s.events.WithLabelValues(string(e.Kind)).Inc()
-	s.config.Book.Note(e)
+	s.config.Book.RecordEvent(e)
 }
 
 // Refused counts a dispatch that a gate beside this node refused to run.
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -30,8 +30,8 @@
 
 func (fake) States() []access.UpstreamState {
 	states := []string{
-		access.StateInUse, access.StateSetAside, access.StateTrial, access.StateRamp, access.StateKept,
-		access.StateUnreachable, access.StateLeaving, access.StateOff, access.StateFull, access.StateUnknown,
+		access.StateInUse, access.StateEjected, access.StateTrial, access.StateRamp, access.StateForced,
+		access.StateUnreachable, access.StateLeaving, access.StateOff, access.StateOverLimit, access.StateUnknown,
 	}
 	all := make([]access.UpstreamState, 0, len(states))
 	for _, state := range states {
@@ -86,8 +86,8 @@
 	s := newSet(access.New(access.Config{}))
 	for _, outcome := range []access.Outcome{access.Served, access.NotRun, access.Unknown} {
 		for _, reason := range append(constants(t, "../access", "Reason"), constants(t, "../wire", "Reason")...) {
-			s.Received()
-			s.Close(0, access.Record{Service: "conferme", Outcome: outcome, Reason: reason, Attempts: 1, NoRetry: "budget"})
+			s.RequestReceived()
+			s.RequestFinished(0, access.Record{Service: "conferme", Outcome: outcome, Reason: reason, Attempts: 1, NoRetry: "budget"})
 			s.Refused("conferme", "at-in-use", wire.Reason(reason))
 		}
 	}
@@ -210,8 +210,8 @@
 		s := newSet(book)
 		book.SetServices(services)
 		for range rapid.IntRange(1, 50).Draw(t, "requests") {
-			s.Received()
-			s.Close(clock.Second, access.Record{
+			s.RequestReceived()
+			s.RequestFinished(clock.Second, access.Record{
 				Service: rapid.SampledFrom([]string{"conferme", ""}).Draw(t, "service"),
 				Outcome: rapid.SampledFrom([]access.Outcome{access.Served, access.NotRun, access.Unknown}).Draw(t, "outcome"),
 				Reason:  rapid.SampledFrom(reasons).Draw(t, "reason"),
--- a/metrics/services.go
+++ b/metrics/services.go
@@ -98,7 +98,7 @@
 		return
 	}
 	s.outcomes.WithLabelValues(r.Service, string(r.Outcome)).Inc()
-	if r.Outcome != access.Served && access.FaultOfCaller(r.Reason) {
+	if r.Outcome != access.Served && access.IsCallerFault(r.Reason) {
 		return
 	}
 	s.requests.WithLabelValues(r.Service, string(burn.Availability)).Inc()
--- a/node/crashes.go
+++ b/node/crashes.go
@@ -41,15 +41,15 @@
 	return c.isEmpty.Load()
 }
 
-// Watches reports whether a request with the hint may be a suspect.
-func (c *crashes) Watches(hint uint64) bool {
+// MayMatch reports whether a request with the hint may be a suspect.
+func (c *crashes) MayMatch(hint uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.register.Watches(hint)
 }
 
-// Standing says how a request may be sent.
-func (c *crashes) Standing(f quarantine.Fingerprint) quarantine.Standing {
+// Status says how a request may be sent.
+func (c *crashes) Status(f quarantine.Fingerprint) quarantine.Standing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.register.Standing(c.now(), f)
@@ -79,14 +79,14 @@
 		return
 	}
 	subject := d.Subject()
-	if !c.Watches(subject.Hint()) {
+	if !c.MayMatch(subject.Hint()) {
 		return
 	}
-	c.Cleared(subject.Fingerprint())
+	c.Clear(subject.Fingerprint())
 }
 
-// Cleared takes in that a request succeeded.
-func (c *crashes) Cleared(f quarantine.Fingerprint) {
+// Clear takes in that a request succeeded.
+func (c *crashes) Clear(f quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.register.Clear(c.now(), f) {
@@ -182,8 +182,8 @@
 		return quarantine.Standing{}
 	}
 	subject := d.Subject()
-	if d.Verdict == uint8(quarantine.Free) && !b.Watches(subject.Hint()) {
+	if d.Verdict == uint8(quarantine.Free) && !b.MayMatch(subject.Hint()) {
 		return quarantine.Standing{}
 	}
-	return b.crashes.Standing(subject.Fingerprint())
+	return b.crashes.Status(subject.Fingerprint())
 }
--- a/node/edition.go
+++ b/node/edition.go
@@ -34,7 +34,7 @@
 	t, err := table.Parse(text)
 	if err != nil {
 		log.WithError(err).Error("table rejected; the last accepted one stays in force")
-		n.metrics.Note(access.Event{At: n.clock.Now(), Kind: access.TableRejected, Reason: err.Error()})
+		n.metrics.RecordEvent(access.Event{At: n.clock.Now(), Kind: access.TableRejected, Reason: err.Error()})
 		return
 	}
 	version := t.Version
@@ -84,14 +84,14 @@
 	default:
 		return
 	}
-	n.metrics.Note(e)
+	n.metrics.RecordEvent(e)
 }
 
 // noteRival says that two texts were published under one version: the edit in
 // one of them is not in force, and its author may not know.
 func (n *Node) noteRival(log logrus.FieldLogger, version uint64, rival edition.Offer) {
 	log.WithField("digest", rival.Digest).Warn("two tables have this version; this one is not in force; publish one above it")
-	n.metrics.Note(access.Event{
+	n.metrics.RecordEvent(access.Event{
 		At:     n.clock.Now(),
 		Kind:   access.TableRejected,
 		Reason: "version " + formatVersion(version) + " was published twice with different text",
@@ -125,7 +125,7 @@
 	n.book.SetServices(t.Services)
 	n.metrics.SetServices(t.Services)
 	for node, leaving := range n.listed {
-		n.entry.Instance(node, leaving)
+		n.entry.UpdateInstance(node, leaving)
 	}
 }
 
@@ -144,12 +144,12 @@
 	n.mu.Lock()
 	for node := range n.listed {
 		if _, ok := listed[node]; !ok {
-			n.entry.Instance(node, false)
+			n.entry.UpdateInstance(node, false)
 		}
 	}
 	n.listed = listed
 	for node, leaving := range listed {
-		n.entry.Instance(node, leaving)
+		n.entry.UpdateInstance(node, leaving)
 	}
 	n.mu.Unlock()
 	n.listGates()
@@ -163,7 +163,7 @@
 	n.mu.Unlock()
 	for _, g := range n.allGates() {
 		g.Listed(self)
-		n.entry.Heard(g.Status())
+		n.entry.UpdateUpstream(g.Status())
 	}
 	n.links.BeatNow()
 }
--- a/node/gates.go
+++ b/node/gates.go
@@ -185,7 +185,7 @@
 // invite asks an entry for a request to an upstream beside this node.
 func (n *Node) invite(entry uint64, i *wire.Invitation) bool {
 	if entry == n.incarnation {
-		n.entry.Invited(i)
+		n.entry.HandleWorkRequest(i)
 		return true
 	}
 	return n.links.Invite(entry, i)
@@ -246,7 +246,7 @@
 }
 
 // target returns the way to the node beside an upstream.
-func (n *Node) target(u table.Upstream) entry.Target {
+func (n *Node) target(u table.Upstream) entry.GateClient {
 	if u.Node == n.address() {
 		return local{n}
 	}
--- a/node/leave.go
+++ b/node/leave.go
@@ -30,7 +30,7 @@
 	n.mu.Unlock()
 	for _, g := range n.allGates() {
 		g.Leave()
-		n.entry.Heard(g.Status())
+		n.entry.UpdateUpstream(g.Status())
 	}
 	n.links.BeatNow()
 }
@@ -58,7 +58,7 @@
 	n.linger(ctx)
 	callers, stop := context.WithTimeout(ctx, (min(callersMost, n.settings.Grace/2) - n.settings.Linger).Duration())
 	defer stop()
-	_ = n.quiet(callers, n.entry.Busy) // callers that go on coming don't hold the node
+	_ = n.quiet(callers, n.entry.InFlight) // callers that go on coming don't hold the node
 	if err := n.callers.ShutdownWithContext(ctx); err != nil {
 		n.log.WithError(err).Warn("callers' connections are cut")
 	}
@@ -127,7 +127,7 @@
 
 // Busy counts the requests in flight, as entry and as gate.
 func (n *Node) Busy() int {
-	busy := n.entry.Busy()
+	busy := n.entry.InFlight()
 	for _, g := range n.allGates() {
 		busy += g.Busy()
 	}
@@ -162,7 +162,7 @@
 	s := n.book.Snapshot(n.clock.Now(), f)
 	s.Name, s.Node, s.Domain, s.Table = n.settings.Node, n.address(), n.settings.Domain, n.version()
 	for _, u := range n.entry.States() {
-		if f.PassesUpstream(u) {
+		if f.MatchesUpstream(u) {
 			s.Upstreams = append(s.Upstreams, u)
 		}
 	}
--- a/node/local.go
+++ b/node/local.go
@@ -18,26 +18,26 @@
 	l.node.stalls.add(d, w)
 	l.node.handle(d, func(r *wire.Reply) {
 		l.node.stalls.remove(d)
-		l.node.entry.Heard(r.Upstream)
+		l.node.entry.UpdateUpstream(r.Upstream)
 		w.Replied(r)
 	})
 	return nil
 }
 
-// Settle has nothing to ask: in one process a reply can't be lost.
-func (local) Settle(wire.RequestID, uint8) {}
+// Resolve has nothing to ask: in one process a reply can't be lost.
+func (local) Resolve(wire.RequestID, uint8) {}
 
-// Enquire asks the gate in this process.
-func (l local) Enquire(e *wire.Enquiry, told func(*wire.Hold)) error {
+// ProbeCapacity asks the gate in this process.
+func (l local) ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error {
 	l.node.enquire(e, func(h *wire.Hold) {
-		l.node.entry.Heard(h.Upstream)
+		l.node.entry.UpdateUpstream(h.Upstream)
 		told(h)
 	})
 	return nil
 }
 
-// Waive lets go of a slot.
-func (l local) Waive(w *wire.Waive) { l.node.Waive(w) }
+// ReleaseReservation lets go of a slot.
+func (l local) ReleaseReservation(w *wire.Waive) { l.node.Waive(w) }
 
 // Withdraw has nothing that waits for a link.
 func (local) Withdraw(wire.RequestID, uint8) bool { return false }
@@ -49,8 +49,8 @@
 	}
 }
 
-// Keep has no link to keep.
-func (local) Keep() {}
+// EnsureLink has no link to keep.
+func (local) EnsureLink() {}
 
 // Forget has nothing to drop.
 func (local) Forget(wire.RequestID, uint8) {}
--- a/node/node.go
+++ b/node/node.go
@@ -72,7 +72,7 @@
 	clock           *clock.System
 	incarnation     uint64
 	seed            uint64
-	book            *access.Book
+	book            *access.Log
 	metrics         *metrics.Set
 	entry           *entry.Entry
 	links           *link.Server
@@ -154,19 +154,19 @@
 		return nil, errors.Trace(err)
 	}
 	n.entry = entry.New(entry.Config{
-		Domain:      c.Settings.Domain,
-		Service:     c.Settings.Service,
-		Headers:     c.CallerHeaders,
-		Incarnation: n.incarnation,
-		Seed:        n.seed,
-		Now:         n.clock.Now,
-		Pool:        n.entryPool,
-		Journal:     n.metrics,
-		Target:      n.target,
-		Crashes:     n.crashes,
-		Quotas:      n.quotas,
-		KeyMargin:   c.KeyMargin,
-		Log:         n.log,
+		Domain:       c.Settings.Domain,
+		Service:      c.Settings.Service,
+		Headers:      c.CallerHeaders,
+		Incarnation:  n.incarnation,
+		Seed:         n.seed,
+		Now:          n.clock.Now,
+		Pool:         n.entryPool,
+		Recorder:     n.metrics,
+		GateClient:   n.target,
+		CrashTracker: n.crashes,
+		Quotas:       n.quotas,
+		KeyMargin:    c.KeyMargin,
+		Log:          n.log,
 	})
 	if c.Store != nil {
 		n.follower = n.newFollower(c.Store)
--- a/node/peers.go
+++ b/node/peers.go
@@ -136,7 +136,7 @@
 			return ctx.Err()
 		case <-n.news:
 			for _, g := range n.allGates() {
-				n.entry.Heard(g.Status())
+				n.entry.UpdateUpstream(g.Status())
 			}
 			n.links.BeatNow()
 		}
@@ -163,7 +163,7 @@
 		return b.Version > 0
 	}
 	if ok {
-		p.link.Keep()
+		p.link.EnsureLink()
 		p.link.Ask(wire.Ask{Version: current.Version, Digest: current.Digest})
 	}
 	return false
@@ -172,7 +172,7 @@
 // PeerBeat takes in a heartbeat of a node that this one dialled.
 func (n *Node) PeerBeat(node string, b *wire.Beat) {
 	for _, u := range b.Upstreams {
-		n.entry.Heard(u)
+		n.entry.UpdateUpstream(u)
 	}
 	n.mu.Lock()
 	if p, ok := n.peers[node]; ok {
@@ -188,12 +188,12 @@
 
 // PeerUpstream takes in what a gate says of its upstream on a reply.
 func (n *Node) PeerUpstream(_ string, u wire.Upstream) {
-	n.entry.Heard(u)
+	n.entry.UpdateUpstream(u)
 }
 
 // PeerInvitation takes in a gate's wish for a request.
 func (n *Node) PeerInvitation(i *wire.Invitation) {
-	n.entry.Invited(i)
+	n.entry.HandleWorkRequest(i)
 }
 
 // PeerEdition takes in a table that was asked for.
@@ -207,7 +207,7 @@
 // names, ends as announced: that is no finding for a manager.
 func (n *Node) PeerPath(node string, state path.State) {
 	isLost := state == path.Lost
-	n.entry.Path(node, isLost)
+	n.entry.UpdatePath(node, isLost)
 	n.mu.Lock()
 	p, ok := n.peers[node]
 	noted := ok && p.lost != isLost && (!isLost || !p.leaving) && state != path.Doubted
@@ -218,11 +218,11 @@
 	if !noted {
 		return
 	}
-	kind := access.PathBack
+	kind := access.PathRestored
 	if isLost {
 		kind = access.PathLost
 	}
-	n.metrics.Note(access.Event{At: n.clock.Now(), Kind: kind, Node: node, Reason: access.ReasonUnreachable})
+	n.metrics.RecordEvent(access.Event{At: n.clock.Now(), Kind: kind, Node: node, Reason: access.ReasonUnreachable})
 }
 
 // bootstrap asks the peers that the settings name for a table, so that a node
@@ -233,7 +233,7 @@
 	defer n.mu.Unlock()
 	for _, address := range n.settings.Peers {
 		if address != n.address() {
-			n.addPeer(address).link.Keep()
+			n.addPeer(address).link.EnsureLink()
 		}
 	}
 }
--- a/node/platform.go
+++ b/node/platform.go
@@ -104,7 +104,7 @@
 	}
 	n.mu.Unlock()
 	for _, p := range kept {
-		p.link.Keep()
+		p.link.EnsureLink()
 	}
 }
 
@@ -233,14 +233,14 @@
 	n.mu.Lock()
 	n.platformAway = cause != nil
 	n.mu.Unlock()
-	e := access.Event{At: n.clock.Now(), Kind: access.PlatformBack}
+	e := access.Event{At: n.clock.Now(), Kind: access.PlatformRestored}
 	if cause != nil {
 		e.Kind, e.Reason = access.PlatformLost, cause.Error()
 		n.log.WithError(cause).Warn("platform doesn't answer; the table in force stays")
 	} else {
 		n.log.Info("platform answers again")
 	}
-	n.metrics.Note(e)
+	n.metrics.RecordEvent(e)
 }
 
 // consultTime bounds the wait for the peers that the settings name.
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -45,7 +45,7 @@
 // tellReaders tells the nodes that all others keep links to.
 func (n *Node) tellReaders(frames []*wire.Crashes) {
 	for _, p := range n.allReaders() {
-		p.link.Keep()
+		p.link.EnsureLink()
 		for _, c := range frames {
 			p.link.TellCrashes(c)
 		}
@@ -83,7 +83,7 @@
 			"fingerprint": c.Fingerprint.String(), "service": c.Service, "upstreams": c.Servers, "requests": c.Requests,
 			"trials": c.Trials, "chance": wire.Short(c.Chance), "age": (now - c.Last).String(), "until": (c.Until - now).String(),
 		}).Warn("request quarantined; it crashes the backend servers that run it")
-		n.metrics.Note(access.Event{
+		n.metrics.RecordEvent(access.Event{
 			At: now, Kind: access.Quarantined, Service: c.Service, Reason: c.Fingerprint.String(), Until: c.Until,
 		})
 	}
@@ -98,7 +98,7 @@
 		if _, ok := current[f]; !ok {
 			delete(held, f)
 			n.log.WithField("fingerprint", f.String()).Info("request quarantined no longer")
-			n.metrics.Note(access.Event{At: now, Kind: access.Freed, Reason: f.String()})
+			n.metrics.RecordEvent(access.Event{At: now, Kind: access.Released, Reason: f.String()})
 		}
 	}
 }
@@ -149,11 +149,11 @@
 	for i := range cases {
 		c := &cases[i]
 		s := access.Suspect{
-			Fingerprint: c.Fingerprint.String(), Verdict: access.SuspectTried, Service: c.Service,
+			Fingerprint: c.Fingerprint.String(), Verdict: access.VerdictSuspected, Service: c.Service,
 			Upstreams: c.Servers, Requests: c.Requests, Trials: c.Trials, Chance: c.Chance, Age: now - c.Last,
 		}
 		if c.Verdict == quarantine.Quarantined && now < c.Until {
-			s.Verdict, s.Left = access.SuspectHeld, c.Until-now
+			s.Verdict, s.Remaining = access.VerdictQuarantined, c.Until-now
 		}
 		all = append(all, s)
 	}
--- a/node/quota.go
+++ b/node/quota.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Return gives back the leave of a request that was not run.
-func (q *quotas) Return(a *table.Account) {
+// Refund gives back the leave of a request that was not run.
+func (q *quotas) Refund(a *table.Account) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if d, ok := q.accounts.Get(a.Name); ok {
@@ -182,7 +182,7 @@
 			one <- entry.Admission{OK: true}
 		case ok:
 			q.counts.Refused++
-			one <- entry.Admission{IsOver: true, RetryAfter: retryAfter(g, i)}
+			one <- entry.Admission{OverQuota: true, RetryAfter: retryAfter(g, i)}
 		case d.history.Alone(now, d.limit, q.random.Float64()):
 			q.counts.Alone++
 			one <- entry.Admission{OK: true}
--- a/node/relay.go
+++ b/node/relay.go
@@ -21,7 +21,7 @@
 // platform is back.
 func (n *Node) relay() {
 	for _, p := range n.neighbours() {
-		p.link.Keep()
+		p.link.EnsureLink()
 	}
 }
 
--- a/node/resend.go
+++ b/node/resend.go
@@ -16,14 +16,14 @@
 	return out
 }
 
-// Void asks the gates in this process.
-func (l local) Void(v *wire.Void, _ clock.Millis, w link.VoidWaiter) error {
+// RevokeKey asks the gates in this process.
+func (l local) RevokeKey(v *wire.Void, _ clock.Millis, w link.VoidWaiter) error {
 	w.Voided(l.node.Void(v))
 	return nil
 }
 
-// ForgetVoid has nothing to drop: the answer is given at once.
-func (local) ForgetVoid(wire.RequestID) {}
+// ForgetRevocation has nothing to drop: the answer is given at once.
+func (local) ForgetRevocation(wire.RequestID) {}
 
 // retire reports whether a peer that the table names no longer may go. It stays
 // within reach as long as it may have run a key that is sent again.
--- a/node/services.go
+++ b/node/services.go
@@ -124,7 +124,7 @@
 func (n *Node) addServing(tree *suture.Supervisor, l *Listeners) {
 	n.callers = &fasthttp.Server{
 		Handler:                       n.entry.Serve,
-		ErrorHandler:                  n.entry.Malformed,
+		ErrorHandler:                  n.entry.ServeMalformed,
 		Name:                          "fuchsiapick",
 		NoDefaultServerHeader:         true,
 		DisableHeaderNamesNormalizing: true,
--- a/report/burning.go
+++ b/report/burning.go
@@ -8,38 +8,38 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// burn tells of alerts and of objectives missed.
-func (f *finder) burn() {
+// addBurn tells of alerts and of objectives missed.
+func (f *findingsBuilder) addBurn() {
 	for _, b := range f.report.Burn {
 		for _, a := range b.Alerts {
-			level := Bad
+			level := LevelBad
 			if a.Severity == burn.Ticket {
-				level = Watch
+				level = LevelWatch
 			}
-			f.say(level, burnWords(&b, a))
+			f.add(level, describeAlert(&b, a))
 		}
 		for _, left := range b.Budgets {
 			if left.Left < 0 {
-				f.say(Watch, b.Service, " missed its ", string(left.Kind), " objective over the time covered: ",
-					plural(left.Spent, "request was ", "requests were "), badWord(left.Kind), " where ",
-					decimal(left.Allowed), " were allowed.")
+				f.add(LevelWatch, b.Service, " missed its ", string(left.Kind), " objective over the time covered: ",
+					pluralize(left.Spent, "request was ", "requests were "), describeBad(left.Kind), " where ",
+					formatDecimal(left.Allowed), " were allowed.")
 			}
 		}
 	}
 }
 
-func badWord(kind burn.Kind) string {
+func describeBad(kind burn.Kind) string {
 	if kind == burn.Latency {
 		return "slow"
 	}
 	return "not served well"
 }
 
-func burnWords(b *Burn, a burn.Alert) string {
-	text := b.Service + " spends its " + string(a.Kind) + " budget " + times(a.Rate) +
-		" as fast as the objective allows, over the last " + span(a.Long)
+func describeAlert(b *Burn, a burn.Alert) string {
+	text := b.Service + " spends its " + string(a.Kind) + " budget " + formatBurnRate(a.Rate) +
+		" as fast as the objective allows, over the last " + formatDuration(a.Long)
 	if a.Partial {
-		text += ", of which the nodes cover " + span(b.covered(a.Long))
+		text += ", of which the nodes cover " + formatDuration(b.coveredSpan(a.Long))
 	}
 	if causes := mainCauses(b, a.Kind, a.Long); causes != "" {
 		text += "; most of it by " + causes
@@ -47,8 +47,8 @@
 	return text + "."
 }
 
-// covered returns the part of a window that the longest-lived node counted.
-func (b *Burn) covered(long clock.Millis) clock.Millis {
+// coveredSpan returns the part of a window that the longest-lived node counted.
+func (b *Burn) coveredSpan(long clock.Millis) clock.Millis {
 	for _, r := range b.Rates {
 		if r.Span == long {
 			return r.Covered
@@ -66,21 +66,21 @@
 		}
 		for _, c := range r.Causes {
 			if c.Kind == kind && len(names) < 2 {
-				names = append(names, causeWords(c))
+				names = append(names, formatCause(c))
 			}
 		}
 	}
-	return list(names)
+	return joinNames(names)
 }
 
-// causeWords says what spent budget, for example "bacheca-4 (the answer broke
+// formatCause says what spent budget, for example "bacheca-4 (the answer broke
 // off: 12)".
-func causeWords(c burn.CauseCount) string {
+func formatCause(c burn.CauseCount) string {
 	at := c.Upstream
 	if at == "" {
 		at = "no upstream"
 	}
-	return at + " (" + meaning(c.Reason) + ": " + number(c.Count) + ")"
+	return at + " (" + describeReason(c.Reason) + ": " + formatCount(c.Count) + ")"
 }
 
 func (r *Report) burnSheet() sheet {
@@ -90,70 +90,70 @@
 			"by a caller's own limit or fault don't count. Nothing is older than the nodes: \"covered\" is what a window spans. " +
 			"A rate with * is of fewer than ten bad requests, too few to alert.",
 		Columns: []column{
-			words("service"), words("objective"), count("last 5m"), count("1h"), count("6h"), count("3d"),
-			count("bad"), count("allowed"), count("budget left"), words("covered"), words("alert"),
+			textColumn("service"), textColumn("objective"), numberColumn("last 5m"), numberColumn("1h"), numberColumn("6h"), numberColumn("3d"),
+			numberColumn("bad"), numberColumn("allowed"), numberColumn("budget left"), textColumn("covered"), textColumn("alert"),
 		},
 		Empty: "No service has counted a request.",
 	}
 	for _, b := range r.Burn {
 		for _, left := range b.Budgets {
 			row := make([]string, 0, len(s.Columns))
-			row = append(row, b.Service, objectiveWords(b.Objective, left.Kind))
+			row = append(row, b.Service, formatObjective(b.Objective, left.Kind))
 			for _, rate := range b.Rates {
-				row = append(row, rateWords(rate, left.Kind))
+				row = append(row, formatRate(rate, left.Kind))
 			}
-			row = append(row, number(left.Spent), decimal(left.Allowed), share(left.Left),
-				coveredWords(b.Rates), alertWords(b.Alerts, left.Kind))
+			row = append(row, formatCount(left.Spent), formatDecimal(left.Allowed), formatPercent(left.Left),
+				formatCoverage(b.Rates), formatAlerts(b.Alerts, left.Kind))
 			s.Rows = append(s.Rows, row)
 		}
 	}
 	return s
 }
 
-// rateWords marks a rate above 1 that too few bad requests make.
-func rateWords(r burn.Rate, kind burn.Kind) string {
+// formatRate marks a rate above 1 that too few bad requests make.
+func formatRate(r burn.Rate, kind burn.Kind) string {
 	rate, bad := r.BurnRate(kind)
 	if rate > 1 && bad < burn.MinBad {
-		return times(rate) + "*"
+		return formatBurnRate(rate) + "*"
 	}
-	return times(rate)
+	return formatBurnRate(rate)
 }
 
-func objectiveWords(o access.Objective, kind burn.Kind) string {
+func formatObjective(o access.Objective, kind burn.Kind) string {
 	if kind == burn.Latency {
-		return promise(o.Within) + " within " + span(o.Latency)
+		return formatTarget(o.Within) + " within " + formatDuration(o.Latency)
 	}
-	return promise(o.Availability) + " served"
+	return formatTarget(o.Availability) + " served"
 }
 
-// coveredWords says what the longest window spans; nodes that started at
+// formatCoverage says what the longest window spans; nodes that started at
 // different times cover different parts of it.
-func coveredWords(rates []burn.Rate) string {
+func formatCoverage(rates []burn.Rate) string {
 	if len(rates) == 0 {
 		return "-"
 	}
 	last := rates[len(rates)-1]
 	if last.MinCovered == last.Covered {
-		return span(last.Covered)
+		return formatDuration(last.Covered)
 	}
-	return span(last.MinCovered) + " to " + span(last.Covered)
+	return formatDuration(last.MinCovered) + " to " + formatDuration(last.Covered)
 }
 
-func alertWords(alerts []burn.Alert, kind burn.Kind) string {
+func formatAlerts(alerts []burn.Alert, kind burn.Kind) string {
 	var names []string
 	for _, a := range alerts {
 		if a.Kind == kind {
 			names = append(names, a.Name+" ("+string(a.Severity)+")")
 		}
 	}
-	return cmp.Or(list(names), "none")
+	return cmp.Or(joinNames(names), "none")
 }
 
 func (r *Report) causeSheet() sheet {
 	s := sheet{
 		Title:   "What spent the budgets",
 		Note:    "Over the longest window, the largest first.",
-		Columns: []column{words("service"), words("objective"), words("upstream"), phrase("reason"), count("requests")},
+		Columns: []column{textColumn("service"), textColumn("objective"), textColumn("upstream"), longTextColumn("reason"), numberColumn("requests")},
 		Empty:   "No budget was spent.",
 	}
 	for _, b := range r.Burn {
@@ -162,7 +162,7 @@
 		}
 		for _, c := range b.Rates[len(b.Rates)-1].Causes {
 			s.Rows = append(s.Rows, []string{
-				b.Service, string(c.Kind), cmp.Or(c.Upstream, "(none)"), meaning(c.Reason), number(c.Count),
+				b.Service, string(c.Kind), cmp.Or(c.Upstream, "(none)"), describeReason(c.Reason), formatCount(c.Count),
 			})
 		}
 	}
--- a/report/callers.go
+++ b/report/callers.go
@@ -38,7 +38,7 @@
 	if asked := m.report.Filter.Caller; asked != "" {
 		at(asked)
 	}
-	m.miss(sums)
+	m.addMissed(sums)
 	for _, c := range sums {
 		c.Upstreams = len(c.upstreams)
 		if c.Served > 0 {
@@ -51,9 +51,9 @@
 	})
 }
 
-// miss adds up what nodes may have counted under Others. A node that doesn't
+// addMissed adds up what nodes may have counted under Others. A node that doesn't
 // keep a caller apart may hold some of its requests there too.
-func (m *merger) miss(sums map[string]*callerSum) {
+func (m *merger) addMissed(sums map[string]*callerSum) {
 	for _, s := range m.snapshots {
 		listed := make(map[string]bool, len(s.Callers))
 		for _, c := range s.Callers {
@@ -64,7 +64,7 @@
 		}
 		for name, sum := range sums {
 			if !listed[name] && name != access.Others {
-				sum.Missed += s.Missable
+				sum.Missed += s.MaxMissed
 			}
 		}
 	}
@@ -76,15 +76,15 @@
 		Note: "A node keeps its busiest callers apart. \"May miss\" says how many more of a caller's " +
 			"requests at most stand under (other).",
 		Columns: []column{
-			phrase("caller"), count("requests"), count("served"), count("with error"), count("not run"), count("unknown"),
-			count("upstreams"), count("mean time served"), count("may miss"),
+			longTextColumn("caller"), numberColumn("requests"), numberColumn("served"), numberColumn("with error"), numberColumn("not run"), numberColumn("unknown"),
+			numberColumn("upstreams"), numberColumn("mean time served"), numberColumn("may miss"),
 		},
 		Empty: "No request is on account.",
 	}
 	for _, c := range r.Callers {
 		s.Rows = append(s.Rows, []string{
-			callerName(c.Name), number(c.Sum()), number(c.Served), number(c.Errors), number(c.NotRun), number(c.Unknown),
-			number(c.Upstreams), meanWords(c.Mean, c.Served), number(c.Missed),
+			callerName(c.Name), formatCount(c.Sum()), formatCount(c.Served), formatCount(c.Errors), formatCount(c.NotRun), formatCount(c.Unknown),
+			formatCount(c.Upstreams), formatMean(c.Mean, c.Served), formatCount(c.Missed),
 		})
 	}
 	return s
@@ -94,10 +94,10 @@
 	return cmp.Or(name, "(unnamed)")
 }
 
-// meanWords writes a mean over the requests served, if there are any.
-func meanWords(mean clock.Millis, served uint64) string {
+// formatMean writes a mean over the requests served, if there are any.
+func formatMean(mean clock.Millis, served uint64) string {
 	if served == 0 {
 		return "-"
 	}
-	return span(mean)
+	return formatDuration(mean)
 }
--- a/report/fetch.go
+++ b/report/fetch.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// ErrAddress reports an admin address that is no IP number and port.
-	ErrAddress = errors.ConstError("not an IP number and port")
-	// ErrAnswer reports an answer that is no account of a node.
-	ErrAnswer = errors.ConstError("not a node's account")
+	// ErrInvalidAddress reports an admin address that is no IP number and port.
+	ErrInvalidAddress = errors.ConstError("not an IP number and port")
+	// ErrInvalidAnswer reports an answer that is no account of a node.
+	ErrInvalidAnswer = errors.ConstError("not a node's account")
 )
 
 const (
-	// path is what a node's admin address serves its account at.
-	path = "/report"
-	// concurrent bounds the nodes asked at once; 2,400 take 38 rounds.
-	concurrent = 64
-	// recordsEach bounds the single records that a node sends. Totals are of
+	// reportPath is what a node's admin address serves its account at.
+	reportPath = "/report"
+	// maxConcurrent bounds the nodes asked at once; 2,400 take 38 rounds.
+	maxConcurrent = 64
+	// recordsPerNode bounds the single records that a node sends. Totals are of
 	// all.
-	recordsEach = 400
-	// answerBound bounds an answer in bytes. A book filled to its default
+	recordsPerNode = 400
+	// maxAnswerSize bounds an answer in bytes. A book filled to its default
 	// bounds, with 4,100 services over three days, answered with 9 MB.
-	answerBound = 32 << 20
+	maxAnswerSize = 32 << 20
 )
 
 // Query says which nodes to ask for what.
@@ -54,7 +54,7 @@
 func (q Query) Check() error {
 	for _, address := range q.Nodes {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return errors.Annotatef(ErrAddress, "node %q", address)
+			return errors.Annotatef(ErrInvalidAddress, "node %q", address)
 		}
 	}
 	return nil
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	if q.Filter.Limit == 0 {
-		q.Filter.Limit = recordsEach
+		q.Filter.Limit = recordsPerNode
 	}
 	results := make([]NodeResult, 0, len(q.Nodes))
 	seen := make(map[string]bool, len(q.Nodes))
@@ -79,12 +79,12 @@
 	}
 	deadline := time.Now().Add(q.Timeout.Duration())
 	client := &fasthttp.Client{
-		MaxResponseBodySize: answerBound,
+		MaxResponseBodySize: maxAnswerSize,
 		ReadTimeout:         q.Timeout.Duration(),
 		WriteTimeout:        q.Timeout.Duration(),
 	}
 	defer client.CloseIdleConnections()
-	pool, err := ants.NewPool(min(concurrent, max(len(results), 1)))
+	pool, err := ants.NewPool(min(maxConcurrent, max(len(results), 1)))
 	if err != nil {
 		return nil, errors.Annotate(err, "making the pool of fetchers")
 	}
@@ -94,7 +94,7 @@
 		wait.Add(1)
 		err := pool.Submit(func() {
 			defer wait.Done()
-			results[i].Snapshot, results[i].Err = ask(client, results[i].Address, q.Filter, deadline)
+			results[i].Snapshot, results[i].Err = fetchNode(client, results[i].Address, q.Filter, deadline)
 		})
 		if err != nil {
 			wait.Done()
@@ -105,23 +105,23 @@
 	return results, nil
 }
 
-func ask(client *fasthttp.Client, address string, f access.Filter, deadline time.Time) (*access.Snapshot, error) {
+func fetchNode(client *fasthttp.Client, address string, f access.Filter, deadline time.Time) (*access.Snapshot, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + address + path + "?" + f.Query())
+	request.SetRequestURI("http://" + address + reportPath + "?" + f.Query())
 	if err := client.DoDeadline(request, response, deadline); err != nil {
 		return nil, errors.Annotatef(err, "asking %s", address)
 	}
 	if code := response.StatusCode(); code != fasthttp.StatusOK {
-		return nil, errors.Annotatef(ErrAnswer, "status %d", code)
+		return nil, errors.Annotatef(ErrInvalidAnswer, "status %d", code)
 	}
 	var s access.Snapshot
 	if err := json.Unmarshal(response.Body(), &s); err != nil {
-		return nil, errors.Annotatef(ErrAnswer, "%v", err)
+		return nil, errors.Annotatef(ErrInvalidAnswer, "%v", err)
 	}
 	if s.Format != access.Format {
-		return nil, errors.Annotatef(ErrAnswer, "format %d, this release reads %d", s.Format, access.Format)
+		return nil, errors.Annotatef(ErrInvalidAnswer, "format %d, this release reads %d", s.Format, access.Format)
 	}
 	return &s, nil
 }
--- a/report/fetch_test.go
+++ b/report/fetch_test.go
@@ -84,7 +84,7 @@
 
 func TestFetchRefusesNames(t *testing.T) {
 	for _, address := range []string{"node-1:7302", "127.0.0.1", "", "127.0.0.1:x"} {
-		if _, err := report.Fetch(report.Query{Nodes: []string{address}}); !errors.Is(err, report.ErrAddress) {
+		if _, err := report.Fetch(report.Query{Nodes: []string{address}}); !errors.Is(err, report.ErrInvalidAddress) {
 			t.Errorf("got error %v for %q, want ErrAddress", err, address)
 		}
 	}
--- a/report/findings.go
+++ b/report/findings.go
@@ -9,50 +9,50 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// mostAlike is how many findings of one kind are told one by one; the tables
+// maxPerKind is how many findings of one kind are told one by one; the tables
 // hold the rest.
-const mostAlike = 8
+const maxPerKind = 8
 
-// findings says in sentences what a manager must know, the most pressing first.
-func findings(r *Report) []Finding {
-	f := &finder{report: r}
-	f.asides()
-	f.upstreams()
-	f.paths()
-	f.burn()
-	f.refusals()
-	f.configuration()
-	f.memory()
-	f.calm()
-	slices.SortStableFunc(f.found, func(a, b Finding) int { return rank(a.Level) - rank(b.Level) })
-	first := &finder{report: r}
-	first.missing()
-	first.notAsked()
-	first.headline()
-	return append(first.found, f.found...)
+// buildFindings says in sentences what a manager must know, the most pressing first.
+func buildFindings(r *Report) []Finding {
+	f := &findingsBuilder{report: r}
+	f.addEjections()
+	f.addUpstreamStates()
+	f.addLostPaths()
+	f.addBurn()
+	f.addRefusals()
+	f.addConfiguration()
+	f.addDroppedData()
+	f.addAllClear()
+	slices.SortStableFunc(f.findings, func(a, b Finding) int { return rank(a.Level) - rank(b.Level) })
+	first := &findingsBuilder{report: r}
+	first.addMissingNodes()
+	first.addUnqueriedNodes()
+	first.addSummary()
+	return append(first.findings, f.findings...)
 }
 
 func rank(l Level) int {
-	return slices.Index([]Level{Bad, Watch, Note}, l)
+	return slices.Index([]Level{LevelBad, LevelWatch, LevelNote}, l)
 }
 
-type finder struct {
-	report *Report
-	found  []Finding
+type findingsBuilder struct {
+	report   *Report
+	findings []Finding
 }
 
-func (f *finder) say(level Level, parts ...string) {
-	f.found = append(f.found, Finding{Level: level, Text: plain(strings.Join(parts, ""))})
+func (f *findingsBuilder) add(level Level, parts ...string) {
+	f.findings = append(f.findings, Finding{Level: level, Text: stripControl(strings.Join(parts, ""))})
 }
 
-// more stands for the findings beyond mostAlike.
-func (f *finder) more(all int, what string) {
-	if all > mostAlike {
-		f.say(Watch, "There are ", number(all-mostAlike), " more ", what, "; the tables have them.")
+// addOverflow stands for the findings beyond mostAlike.
+func (f *findingsBuilder) addOverflow(all int, what string) {
+	if all > maxPerKind {
+		f.add(LevelWatch, "There are ", formatCount(all-maxPerKind), " more ", what, "; the tables have them.")
 	}
 }
 
-func (f *finder) missing() {
+func (f *findingsBuilder) addMissingNodes() {
 	var missing []string
 	for _, n := range f.report.Nodes {
 		if n.Fault != "" {
@@ -62,48 +62,48 @@
 	if len(missing) == 0 {
 		return
 	}
-	f.say(Bad, number(len(missing)), " of ", plural(len(f.report.Nodes), "node", "nodes"),
-		" gave no account, so every total here may be too small: ", list(missing), ".")
+	f.add(LevelBad, formatCount(len(missing)), " of ", pluralize(len(f.report.Nodes), "node", "nodes"),
+		" gave no account, so every total here may be too small: ", joinNames(missing), ".")
 }
 
-// notAsked tells of a report that is whole and yet not of the whole fleet.
-func (f *finder) notAsked() {
+// addUnqueriedNodes tells of a report that is whole and yet not of the whole fleet.
+func (f *findingsBuilder) addUnqueriedNodes() {
 	answered, faults := f.report.Answered(), 0
 	for _, n := range f.report.Nodes {
 		if n.Fault != "" {
 			faults++
 		}
 	}
-	if answered > 0 && f.report.Named > answered+faults {
-		f.say(Watch, "The table names ", plural(f.report.Named, "node", "nodes"), "; this report is of ", number(answered),
+	if answered > 0 && f.report.TableNodes > answered+faults {
+		f.add(LevelWatch, "The table names ", pluralize(f.report.TableNodes, "node", "nodes"), "; this report is of ", formatCount(answered),
 			" of them: requests that reached the fleet through the others are not counted.")
 	}
 }
 
-func (f *finder) headline() {
+func (f *findingsBuilder) addSummary() {
 	r := &f.report.Requests
 	if f.report.Answered() == 0 {
 		return
 	}
-	text := "Of " + plural(r.Sum(), "finished request", "finished requests") + f.scope() + ", " +
-		number(r.Served) + " were served" + errorWords(r.Errors) + ", " + number(r.NotRun) + " were refused and not run, and " +
-		number(r.Unknown) + " have an unknown outcome"
+	text := "Of " + pluralize(r.Sum(), "finished request", "finished requests") + f.scope() + ", " +
+		formatCount(r.Served) + " were served" + formatErrors(r.Errors) + ", " + formatCount(r.NotRun) + " were refused and not run, and " +
+		formatCount(r.Unknown) + " have an unknown outcome"
 	if f.report.Filter == (access.Filter{Limit: f.report.Filter.Limit}) {
-		text += "; of " + number(r.Received) + " received, " + number(r.Open) + " still open"
+		text += "; of " + formatCount(r.Received) + " received, " + formatCount(r.Open) + " still open"
 	}
-	f.say(Note, text, ".")
+	f.add(LevelNote, text, ".")
 }
 
-// errorWords says how many were served with an upstream's error.
-func errorWords(n uint64) string {
+// formatErrors says how many were served with an upstream's error.
+func formatErrors(n uint64) string {
 	if n == 0 {
 		return ""
 	}
-	return " (" + number(n) + " of them with an upstream's error)"
+	return " (" + formatCount(n) + " of them with an upstream's error)"
 }
 
 // scope says what the report was narrowed to.
-func (f *finder) scope() string {
+func (f *findingsBuilder) scope() string {
 	filter := f.report.Filter
 	var parts []string
 	for _, part := range []struct{ word, value string }{
@@ -114,7 +114,7 @@
 		}
 	}
 	if filter.Since > 0 {
-		parts = append(parts, "in the last "+span(filter.Since))
+		parts = append(parts, "in the last "+formatDuration(filter.Since))
 	}
 	if len(parts) == 0 {
 		return ""
@@ -122,134 +122,134 @@
 	return " " + strings.Join(parts, " ")
 }
 
-// asides tells of what lasts first, so that a bound leaves out what is over.
-func (f *finder) asides() {
-	var lasting, over []*Aside
-	for i := range f.report.Asides {
-		switch a := &f.report.Asides[i]; {
-		case a.Lasts():
+// addEjections tells of what lasts first, so that a bound leaves out what is over.
+func (f *findingsBuilder) addEjections() {
+	var lasting, over []*Ejection
+	for i := range f.report.Ejections {
+		switch a := &f.report.Ejections[i]; {
+		case a.IsOngoing():
 			lasting = append(lasting, a)
-		case a.State != StateRelapsed:
+		case a.State != StateReejected:
 			over = append(over, a)
 		}
 	}
 	all := slices.Concat(lasting, over)
-	for _, a := range all[:min(len(all), mostAlike)] {
-		text := f.report.label(a.Service, a.Upstream) + " was set aside " + ago(a.Age) + " by its gate: " +
-			evidenceWords(a.Evidence, a.Reason) + "; " + asideNow(a)
-		if len(a.Kept) > 0 {
-			text += " All the same " + list(a.Kept) + " used it, since the floor of " + a.Service + " left no choice."
+	for _, a := range all[:min(len(all), maxPerKind)] {
+		text := f.report.upstreamLabel(a.Service, a.Upstream) + " was set aside " + formatAge(a.Age) + " by its gate: " +
+			formatEvidence(a.Evidence, a.Reason) + "; " + describeEjection(a)
+		if len(a.ForcedBy) > 0 {
+			text += " All the same " + joinNames(a.ForcedBy) + " used it, since the floor of " + a.Service + " left no choice."
 		}
-		level := Watch
-		if a.State == access.StateSetAside || a.State == access.StateTrial {
-			level = Bad
+		level := LevelWatch
+		if a.State == access.StateEjected || a.State == access.StateTrial {
+			level = LevelBad
 		}
-		f.say(level, text)
+		f.add(level, text)
 	}
-	f.more(len(all), "times that an upstream was set aside")
+	f.addOverflow(len(all), "times that an upstream was set aside")
 }
 
-// asideNow says what became of an upstream that was set aside.
-func asideNow(a *Aside) string {
+// describeEjection says what became of an upstream that was set aside.
+func describeEjection(a *Ejection) string {
 	switch a.State {
 	case access.StateTrial:
-		return "it has been on trial with a few requests for " + span(a.Trial) + "."
+		return "it has been on trial with a few requests for " + formatDuration(a.Trial) + "."
 	case access.StateRamp:
-		return "it was out of use for " + span(a.Out) + " and has been coming back slowly for " + span(a.Ramp) + "."
-	case string(access.Back):
-		return "it was out of use for " + span(a.Out) + " and has been back in full use for " + span(a.Back) + "."
-	case access.StateSetAside:
-		if a.Left > 0 {
-			return "it has been out of use since, and will be tried again in " + span(a.Left) + "."
+		return "it was out of use for " + formatDuration(a.Duration) + " and has been coming back slowly for " + formatDuration(a.Ramp) + "."
+	case string(access.Restored):
+		return "it was out of use for " + formatDuration(a.Duration) + " and has been back in full use for " + formatDuration(a.Back) + "."
+	case access.StateEjected:
+		if a.Remaining > 0 {
+			return "it has been out of use since, and will be tried again in " + formatDuration(a.Remaining) + "."
 		}
 	}
 	return "it has been out of use since."
 }
 
-// upstreams tells of states that are not sickness, and of sick upstreams whose
+// addUpstreamStates tells of states that are not sickness, and of sick upstreams whose
 // gate gave no evidence.
-func (f *finder) upstreams() {
+func (f *findingsBuilder) addUpstreamStates() {
 	for _, x := range []struct {
 		level            Level
 		state, one, many string
 	}{
-		{Note, access.StateLeaving, " is leaving and gets", " are leaving and get"},
-		{Note, access.StateOff, " has weight 0 in the table and gets", " have weight 0 in the table and get"},
+		{LevelNote, access.StateLeaving, " is leaving and gets", " are leaving and get"},
+		{LevelNote, access.StateOff, " has weight 0 in the table and gets", " have weight 0 in the table and get"},
 	} {
 		if names := f.inState(x.state); len(names) == 1 {
-			f.say(x.level, names[0], x.one, " no new work. That is planned, not sickness.")
+			f.add(x.level, names[0], x.one, " no new work. That is planned, not sickness.")
 		} else if len(names) > 1 {
-			f.say(x.level, list(names), x.many, " no new work. That is planned, not sickness.")
+			f.add(x.level, joinNames(names), x.many, " no new work. That is planned, not sickness.")
 		}
 	}
-	if names := f.inState(access.StateFull); len(names) > 0 {
-		f.say(Watch, "Over the limit that the table sets, so busy and not sick: ", list(names), ".")
+	if names := f.inState(access.StateOverLimit); len(names) > 0 {
+		f.add(LevelWatch, "Over the limit that the table sets, so busy and not sick: ", joinNames(names), ".")
 	}
 	for _, u := range f.report.Upstreams {
-		sick := u.State == access.StateSetAside || u.State == access.StateKept
-		if sick && !f.hasAside(u) {
-			f.say(Bad, f.report.label(u.Service, u.Name), " is set aside as sick. The evidence isn't here, since its gate gave no account of it.")
+		sick := u.State == access.StateEjected || u.State == access.StateForced
+		if sick && !f.hasEjection(u) {
+			f.add(LevelBad, f.report.upstreamLabel(u.Service, u.Name), " is set aside as sick. The evidence isn't here, since its gate gave no account of it.")
 		}
 	}
 }
 
-func (f *finder) inState(state string) []string {
+func (f *findingsBuilder) inState(state string) []string {
 	var names []string
 	for _, u := range f.report.Upstreams {
 		if u.State == state {
-			names = append(names, f.report.label(u.Service, u.Name))
+			names = append(names, f.report.upstreamLabel(u.Service, u.Name))
 		}
 	}
 	return names
 }
 
-func (f *finder) hasAside(u Upstream) bool {
-	return slices.ContainsFunc(f.report.Asides, func(a Aside) bool {
-		return a.Lasts() && a.Service == u.Service && a.Upstream == u.Name
+func (f *findingsBuilder) hasEjection(u Upstream) bool {
+	return slices.ContainsFunc(f.report.Ejections, func(a Ejection) bool {
+		return a.IsOngoing() && a.Service == u.Service && a.Upstream == u.Name
 	})
 }
 
-// lostNode gathers who can't reach a node.
-type lostNode struct {
+// unreachableNode gathers who can't reach a node.
+type unreachableNode struct {
 	to      string
 	from    []string
 	longest clock.Millis
 }
 
-func (f *finder) paths() {
-	var lost []*lostNode
+func (f *findingsBuilder) addLostPaths() {
+	var lost []*unreachableNode
 	for _, p := range f.report.Paths {
-		if p.Back != none {
+		if p.Back != noAge {
 			continue
 		}
-		at := slices.IndexFunc(lost, func(l *lostNode) bool { return l.to == p.To })
+		at := slices.IndexFunc(lost, func(l *unreachableNode) bool { return l.to == p.To })
 		if at < 0 {
 			at = len(lost)
-			lost = append(lost, &lostNode{to: p.To})
+			lost = append(lost, &unreachableNode{to: p.To})
 		}
 		lost[at].from = append(lost[at].from, p.From)
 		lost[at].longest = max(lost[at].longest, p.Age)
 	}
-	for _, l := range lost[:min(len(lost), mostAlike)] {
-		f.say(Bad, f.lostWords(l))
+	for _, l := range lost[:min(len(lost), maxPerKind)] {
+		f.add(LevelBad, f.describeUnreachable(l))
 	}
-	f.more(len(lost), "nodes out of reach")
+	f.addOverflow(len(lost), "nodes out of reach")
 }
 
-func (f *finder) lostWords(l *lostNode) string {
-	who := list(l.from) + " has"
+func (f *findingsBuilder) describeUnreachable(l *unreachableNode) string {
+	who := joinNames(l.from) + " has"
 	if len(l.from) > 1 {
-		who = number(len(l.from)) + " of " + plural(f.report.Answered(), "node", "nodes") + " have"
+		who = formatCount(len(l.from)) + " of " + pluralize(f.report.Answered(), "node", "nodes") + " have"
 	}
-	text := who + " not reached node " + l.to + " for " + span(l.longest)
+	text := who + " not reached node " + l.to + " for " + formatDuration(l.longest)
 	var names []string
 	for _, u := range f.report.Upstreams {
 		if u.Node == l.to {
-			names = append(names, f.report.label(u.Service, u.Name))
+			names = append(names, f.report.upstreamLabel(u.Service, u.Name))
 		}
 	}
 	if len(names) > 0 {
-		text += ", so nothing goes that way to " + list(names)
+		text += ", so nothing goes that way to " + joinNames(names)
 	}
 	if len(l.from) > 1 && len(l.from) == f.report.Answered() {
 		return text + ". No node that answered reaches it: it may be down or cut off."
@@ -257,7 +257,7 @@
 	return text + ". That is about the path; whether the upstreams are sick is for their own gate to say."
 }
 
-func (f *finder) refusals() {
+func (f *findingsBuilder) addRefusals() {
 	refused := make(map[string]uint64)
 	var reasons []string
 	for _, r := range f.report.Refusals {
@@ -272,13 +272,13 @@
 	slices.SortStableFunc(reasons, func(a, b string) int { return cmp.Compare(refused[b], refused[a]) })
 	parts := make([]string, 0, len(reasons))
 	for _, reason := range reasons {
-		parts = append(parts, number(refused[reason])+" since "+reason)
+		parts = append(parts, formatCount(refused[reason])+" since "+reason)
 	}
 	if n := f.report.Requests.NotRun; n > 0 {
-		f.say(Note, plural(n, "request was", "requests were"), " refused, and in fact not run: ", list(parts), ".")
+		f.add(LevelNote, pluralize(n, "request was", "requests were"), " refused, and in fact not run: ", joinNames(parts), ".")
 	}
 	if n := f.report.Requests.Unknown; n > 0 {
-		f.say(Watch, plural(n, "request has", "requests have"),
+		f.add(LevelWatch, pluralize(n, "request has", "requests have"),
 			" an unknown outcome: an upstream may have run it, and its caller was told so. The table of unserved requests names the latest.")
 	}
 }
--- a/report/fixture_test.go
+++ b/report/fixture_test.go
@@ -28,7 +28,7 @@
 
 // node drives a book through its life.
 type node struct {
-	*access.Book
+	*access.Log
 
 	now clock.Millis
 	seq int
@@ -38,10 +38,10 @@
 	for range count {
 		n.now += clock.Second
 		n.seq++
-		n.Received()
+		n.RequestReceived()
 		r.ID = fmt.Sprintf("%s-%04d", r.Caller[:1], n.seq)
 		r.Started = n.now - r.Took
-		n.Close(n.now, r)
+		n.RequestFinished(n.now, r)
 	}
 }
 
@@ -86,57 +86,57 @@
 }
 
 func palermoNode() access.Snapshot {
-	n := &node{Book: access.New(access.Config{Records: 200, Callers: 5})}
+	n := &node{Log: access.New(access.Config{Records: 200, Callers: 5})}
 	n.SetServices(services)
-	n.Note(access.Event{At: 2 * clock.Second, Kind: access.TableAccepted, Reason: "version 7"})
+	n.RecordEvent(access.Event{At: 2 * clock.Second, Kind: access.TableAccepted, Reason: "version 7"})
 	n.close(9000, served("clinica-etna", "bacheca", "bacheca-1", 40))
 	n.close(400, served("hotel-aretusa", "conferme", "conferme-2", 90))
 	n.close(60, served("hotel-aretusa", "bacheca", "bacheca-4", 700))
 	broken := served("hotel-aretusa", "bacheca", "bacheca-4", 30)
 	broken.Status = 500
 	n.close(4, broken)
-	n.Note(access.Event{At: n.now, Kind: access.PathLost, Node: messina, Reason: "unreachable"})
+	n.RecordEvent(access.Event{At: n.now, Kind: access.PathLost, Node: messina, Reason: "unreachable"})
 	n.close(25, refused("ufficio-noto", "bacheca", "", access.ReasonCallerLimit, access.NotRun))
 	n.close(12, refused("hotel-aretusa", "bacheca", "bacheca-4", "set-aside", access.NotRun))
 	n.close(2, refused("clinica-etna", "conferme", "conferme-1", "timeout", access.Unknown))
-	n.Note(access.Event{
-		At: n.now, Kind: access.KeptUnderFloor, Service: "bacheca", Upstream: "bacheca-4", Node: catania, Reason: "floor",
+	n.RecordEvent(access.Event{
+		At: n.now, Kind: access.ForcedUnderFloor, Service: "bacheca", Upstream: "bacheca-4", Node: catania, Reason: "floor",
 	})
 	n.close(300, served("clinica-etna", "bacheca", "bacheca-2", 35))
-	n.Note(access.Event{At: n.now, Kind: access.TableOlder, Reason: "version 5, below 7"})
-	n.Received()
+	n.RecordEvent(access.Event{At: n.now, Kind: access.TableOlder, Reason: "version 5, below 7"})
+	n.RequestReceived()
 	s := n.Snapshot(n.now, access.Filter{})
-	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "palermo-1", palermo, "palermo", 7, view(true, access.StateKept)
+	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "palermo-1", palermo, "palermo", 7, view(true, access.StateForced)
 	return s
 }
 
 func cataniaNode() access.Snapshot {
-	n := &node{Book: access.New(access.Config{Start: clock.Hour}), now: clock.Hour}
+	n := &node{Log: access.New(access.Config{Start: clock.Hour}), now: clock.Hour}
 	n.SetServices(services)
 	n.close(300, served("clinica-etna", "conferme", "conferme-2", 80))
 	aside := access.Event{
-		At: n.now, Kind: access.SetAside, Service: "conferme", Upstream: "conferme-2", Node: catania,
+		At: n.now, Kind: access.Ejected, Service: "conferme", Upstream: "conferme-2", Node: catania,
 		Until: n.now + 60*clock.Second, Reason: "its requests are slower than the service's",
 		Evidence: access.Evidence{Outcomes: 55, Slow: 21, Overdue: 2, Score: 9.4, Threshold: 9.2, BaselineLatency: 85},
 	}
-	n.Note(aside)
-	for _, kind := range []access.EventKind{access.Trial, access.Ramp, access.Back} {
+	n.RecordEvent(aside)
+	for _, kind := range []access.EventKind{access.Trial, access.Ramp, access.Restored} {
 		n.close(60, served("scuola-gela", "conferme", "conferme-1", 70))
-		n.Note(access.Event{At: n.now, Kind: kind, Service: "conferme", Upstream: "conferme-2", Node: catania})
+		n.RecordEvent(access.Event{At: n.now, Kind: kind, Service: "conferme", Upstream: "conferme-2", Node: catania})
 	}
 	aside.Service, aside.Upstream, aside.Reason = "bacheca", "bacheca-4", "its share of failures is above the service's"
 	aside.Evidence = access.Evidence{Outcomes: 40, Failed: 12, Score: 9.8, Threshold: 9.2, BaselineFailed: 0.004}
 	aside.At, aside.Until = n.now, n.now+30*clock.Second
-	n.Note(aside)
+	n.RecordEvent(aside)
 	n.close(30, served("scuola-gela", "bacheca", "bacheca-1", 50))
-	n.Note(access.Event{At: n.now, Kind: access.Trial, Service: "bacheca", Upstream: "bacheca-4", Node: catania})
+	n.RecordEvent(access.Event{At: n.now, Kind: access.Trial, Service: "bacheca", Upstream: "bacheca-4", Node: catania})
 	aside.At, aside.Until = n.now+2*clock.Second, n.now+500*clock.Second
-	n.Note(aside)
+	n.RecordEvent(aside)
 	n.close(3, refused(evil, "bacheca", "bacheca-4", "torn-answer", access.Unknown))
 	n.close(400, served("scuola-gela", "bacheca", "bacheca-1", 45))
-	n.Note(access.Event{At: n.now - 20*clock.Second, Kind: access.PlatformLost, Reason: "timeout"})
+	n.RecordEvent(access.Event{At: n.now - 20*clock.Second, Kind: access.PlatformLost, Reason: "timeout"})
 	s := n.Snapshot(n.now, access.Filter{})
-	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "catania-1", catania, "catania", 6, view(false, access.StateSetAside)
+	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "catania-1", catania, "catania", 6, view(false, access.StateEjected)
 	return s
 }
 
