--- a/report/fleet.go
+++ b/report/fleet.go
@@ -19,8 +19,8 @@
 	return n
 }
 
-// configuration tells of tables and of the platform.
-func (f *finder) configuration() {
+// addConfiguration tells of tables and of the platform.
+func (f *findingsBuilder) addConfiguration() {
 	versions := make(map[uint64][]string)
 	for _, n := range f.report.Nodes {
 		if n.Fault == "" && !n.Duplicate {
@@ -33,32 +33,32 @@
 			if i > 0 {
 				text += ";"
 			}
-			text += " " + tableName(version) + " on " + list(versions[version])
+			text += " " + tableName(version) + " on " + joinNames(versions[version])
 		}
-		f.say(Watch, text, ". A change takes a few seconds to reach all.")
+		f.add(LevelWatch, text, ". A change takes a few seconds to reach all.")
 	}
 	// Only the latest event of a node about its platform says how it is now.
 	latest := make(map[string]bool)
 	var away []string
 	for _, e := range f.report.Events {
-		if e.Kind != access.PlatformLost && e.Kind != access.PlatformBack || latest[e.By] {
+		if e.Kind != access.PlatformLost && e.Kind != access.PlatformRestored || latest[e.By] {
 			continue
 		}
 		latest[e.By] = true
 		if e.Kind == access.PlatformLost {
-			away = append(away, e.By+" ("+ago(e.Age)+")")
+			away = append(away, e.By+" ("+formatAge(e.Age)+")")
 		}
 	}
 	if len(away) > 0 {
-		f.say(Watch, "The platform's service stopped answering to ", list(away),
+		f.add(LevelWatch, "The platform's service stopped answering to ", joinNames(away),
 			". The table in force stays in force; no change can come in that way.")
 	}
-	f.rejected()
+	f.addRejectedTables()
 }
 
-// rejected tells of the latest table of each node that was not taken, unless
+// addRejectedTables tells of the latest table of each node that was not taken, unless
 // one was accepted since.
-func (f *finder) rejected() {
+func (f *findingsBuilder) addRejectedTables() {
 	settled := make(map[string]bool)
 	told := make(map[string]bool)
 	for _, e := range f.report.Events {
@@ -71,11 +71,11 @@
 			}
 			told[string(e.Kind)+e.Reason] = true
 			if e.Kind == access.TableOlder {
-				f.say(Watch, "The platform offers ", e.By, " an older table than the one in force (", e.Reason,
+				f.add(LevelWatch, "The platform offers ", e.By, " an older table than the one in force (", e.Reason,
 					"). It is not taken; publish a higher version to move on.")
 				continue
 			}
-			f.say(Bad, "A table was rejected ", ago(e.Age), " by ", e.By, ": ", e.Reason,
+			f.add(LevelBad, "A table was rejected ", formatAge(e.Age), " by ", e.By, ": ", e.Reason,
 				". The last accepted one stays in force.")
 		default:
 		}
@@ -89,39 +89,39 @@
 	return "version " + strconv.FormatUint(version, 10)
 }
 
-// memory tells what the nodes' bounded memory took from the report.
-func (f *finder) memory() {
+// addDroppedData tells what the nodes' bounded memory took from the report.
+func (f *findingsBuilder) addDroppedData() {
 	var short []string
 	var unplaced, unmatched uint64
 	for _, n := range f.report.Nodes {
-		asked := n.Life
+		asked := n.Uptime
 		if since := f.report.Filter.Since; since > 0 {
 			asked = min(asked, since)
 		}
 		if n.Fault == "" && n.Span < asked {
-			short = append(short, n.Name+" ("+span(n.Span)+" of "+span(asked)+")")
+			short = append(short, n.Name+" ("+formatDuration(n.Span)+" of "+formatDuration(asked)+")")
 		}
-		unplaced += n.Dropped.Unplaced
+		unplaced += n.Dropped.Unattributed
 		unmatched += n.Dropped.Unmatched
 	}
 	if len(short) > 0 {
-		f.say(Watch, "Totals don't reach back as far as was asked, since a node keeps a bounded number of requests: ",
-			list(short), ".")
+		f.add(LevelWatch, "Totals don't reach back as far as was asked, since a node keeps a bounded number of requests: ",
+			joinNames(short), ".")
 	}
 	if unplaced > 0 {
-		f.say(Note, plural(unplaced, "request", "requests"),
+		f.add(LevelNote, pluralize(unplaced, "request", "requests"),
 			" may match the filter and are left out: their service and upstream are no longer kept apart.")
 	}
 	if unmatched > 0 {
-		f.say(Bad, plural(unmatched, "account was", "accounts were"),
+		f.add(LevelBad, pluralize(unmatched, "account was", "accounts were"),
 			" closed with no request open. That is a fault of the program; please report it.")
 	}
 }
 
-// calm says so if nothing needs a person, which an empty list would leave open.
-func (f *finder) calm() {
-	pressing := slices.ContainsFunc(f.found, func(x Finding) bool { return x.Level != Note })
+// addAllClear says so if nothing needs a person, which an empty list would leave open.
+func (f *findingsBuilder) addAllClear() {
+	pressing := slices.ContainsFunc(f.findings, func(x Finding) bool { return x.Level != LevelNote })
 	if !pressing && !f.report.Partial && f.report.Answered() > 0 {
-		f.say(Note, "Nothing needs attention: all nodes answered, no upstream was set aside, no path is lost, no budget burns.")
+		f.add(LevelNote, "Nothing needs attention: all nodes answered, no upstream was set aside, no path is lost, no budget burns.")
 	}
 }
--- a/report/history.go
+++ b/report/history.go
@@ -7,89 +7,89 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// StateRelapsed is the state of an Aside that ended in another one.
-const StateRelapsed = "relapsed"
+// StateReejected is the state of an Aside that ended in another one.
+const StateReejected = "relapsed"
 
-// asides makes episodes of the events that gates noted, the newest first.
+// ejections makes episodes of the events that gates noted, the newest first.
 // Events are the newest first.
-func asides(events []Event) []Aside {
-	found := []Aside{}
+func ejections(events []Event) []Ejection {
+	found := []Ejection{}
 	// open holds the index of the episode that lasts, by upstream.
 	open := make(map[upstreamKey]int)
 	for _, e := range slices.Backward(events) {
 		key := upstreamKey{e.Service, e.Upstream}
 		at, known := open[key]
-		if e.Kind == access.SetAside {
+		if e.Kind == access.Ejected {
 			if known {
-				found[at].relapse(e)
+				found[at].reeject(e)
 			}
 			open[key] = len(found)
-			found = append(found, newAside(e))
+			found = append(found, newEjection(e))
 			continue
 		}
 		if !known {
 			continue
 		}
-		found[at].step(e)
-		if e.Kind == access.Back {
+		found[at].apply(e)
+		if e.Kind == access.Restored {
 			delete(open, key)
 		}
 	}
 	for i := range found {
-		found[i].Out = found[i].out()
+		found[i].Duration = found[i].duration()
 	}
 	slices.Reverse(found)
 	return found
 }
 
-func newAside(e Event) Aside {
-	return Aside{
-		Service: e.Service, Upstream: e.Upstream, By: e.By, Age: e.Age, State: access.StateSetAside,
-		Trial: none, Ramp: none, Back: none, Left: e.Left, Reason: e.Reason, Evidence: e.Evidence,
-		Kept: []string{},
+func newEjection(e Event) Ejection {
+	return Ejection{
+		Service: e.Service, Upstream: e.Upstream, By: e.By, Age: e.Age, State: access.StateEjected,
+		Trial: noAge, Ramp: noAge, Back: noAge, Remaining: e.Remaining, Reason: e.Reason, Evidence: e.Evidence,
+		ForcedBy: []string{},
 	}
 }
 
-func (a *Aside) step(e Event) {
+func (a *Ejection) apply(e Event) {
 	switch e.Kind {
 	case access.Trial:
-		a.State, a.Trial, a.Left = access.StateTrial, e.Age, 0
+		a.State, a.Trial, a.Remaining = access.StateTrial, e.Age, 0
 	case access.Ramp:
-		a.State, a.Ramp, a.Left = access.StateRamp, e.Age, 0
-	case access.Back:
-		a.State, a.Back, a.Left = string(access.Back), e.Age, 0
-	case access.KeptUnderFloor:
-		if !slices.Contains(a.Kept, e.By) {
-			a.Kept = append(a.Kept, e.By)
+		a.State, a.Ramp, a.Remaining = access.StateRamp, e.Age, 0
+	case access.Restored:
+		a.State, a.Back, a.Remaining = string(access.Restored), e.Age, 0
+	case access.ForcedUnderFloor:
+		if !slices.Contains(a.ForcedBy, e.By) {
+			a.ForcedBy = append(a.ForcedBy, e.By)
 		}
 	default:
 	}
 }
 
-// relapse ends the episode where the next one begins.
-func (a *Aside) relapse(e Event) {
-	a.State, a.Left, a.Back = StateRelapsed, 0, e.Age
+// reeject ends the episode where the next one begins.
+func (a *Ejection) reeject(e Event) {
+	a.State, a.Remaining, a.Back = StateReejected, 0, e.Age
 }
 
-// Lasts tells whether the upstream is not in full use yet.
-func (a *Aside) Lasts() bool {
-	return a.State != string(access.Back) && a.State != StateRelapsed
+// IsOngoing tells whether the upstream is not in full use yet.
+func (a *Ejection) IsOngoing() bool {
+	return a.State != string(access.Restored) && a.State != StateReejected
 }
 
-// out returns how long the upstream had no work but trials.
-func (a *Aside) out() clock.Millis {
+// duration returns how long the upstream had no work but trials.
+func (a *Ejection) duration() clock.Millis {
 	switch {
-	case a.Ramp != none:
+	case a.Ramp != noAge:
 		return a.Age - a.Ramp
-	case a.Back != none:
+	case a.Back != noAge:
 		return a.Age - a.Back
 	default:
 		return a.Age
 	}
 }
 
-// paths makes episodes of paths lost and found again, the newest first.
-func paths(events []Event) []Path {
+// pathLosses makes episodes of paths lost and found again, the newest first.
+func pathLosses(events []Event) []Path {
 	found := []Path{}
 	type ends struct{ from, to string }
 	open := make(map[ends]int)
@@ -99,8 +99,8 @@
 		switch {
 		case e.Kind == access.PathLost && !known:
 			open[key] = len(found)
-			found = append(found, Path{From: e.By, To: e.Node, Age: e.Age, Reason: e.Reason, Back: none})
-		case e.Kind == access.PathBack && known:
+			found = append(found, Path{From: e.By, To: e.Node, Age: e.Age, Reason: e.Reason, Back: noAge})
+		case e.Kind == access.PathRestored && known:
 			found[at].Back = e.Age
 			delete(open, key)
 		}
--- a/report/html.go
+++ b/report/html.go
@@ -33,15 +33,15 @@
 
 // HTML writes the report as one page without outside assets.
 func (r *Report) HTML(w io.Writer) error {
-	finder := finder{report: r}
+	finder := findingsBuilder{report: r}
 	view := page{
 		Date: r.date(), Partial: r.Partial, Scope: finder.scope(), Findings: r.Findings,
 		Plots: r.plots(), Sheets: r.sheets(),
 		Cards: []card{
-			{"served", "served", number(r.Requests.Served)},
-			{"notrun", "refused, not run", number(r.Requests.NotRun)},
-			{"unknown", "unknown outcome", number(r.Requests.Unknown)},
-			{"open", "still open", number(r.Requests.Open)},
+			{"served", "served", formatCount(r.Requests.Served)},
+			{"notrun", "refused, not run", formatCount(r.Requests.NotRun)},
+			{"unknown", "unknown outcome", formatCount(r.Requests.Unknown)},
+			{"open", "still open", formatCount(r.Requests.Open)},
 		},
 	}
 	return errors.Annotate(pageTemplate.Execute(w, view), "writing the report")
--- a/report/merge.go
+++ b/report/merge.go
@@ -21,23 +21,23 @@
 	m.report = Report{
 		Format: Format, Nodes: []Node{}, Findings: []Finding{},
 		Totals: []access.Total{}, Callers: []Caller{}, Refusals: []Refusal{},
-		Services: []Service{}, Upstreams: []Upstream{}, Asides: []Aside{}, Paths: []Path{},
+		Services: []Service{}, Upstreams: []Upstream{}, Ejections: []Ejection{}, Paths: []Path{},
 		Events: []Event{}, Unserved: []Record{}, Burn: []Burn{},
 	}
 	for _, r := range results {
-		m.node(r)
+		m.addNode(r)
 	}
 	for _, s := range m.snapshots {
-		m.sum(s)
-		m.history(s)
+		m.addTotals(s)
+		m.addHistory(s)
 	}
 	m.finishTotals()
 	m.mergeCallers()
 	m.mergeBurn()
 	m.mergeUpstreams()
-	m.report.Asides = asides(m.report.Events)
-	m.report.Paths = paths(m.report.Events)
-	m.report.Findings = findings(&m.report)
+	m.report.Ejections = ejections(m.report.Events)
+	m.report.Paths = pathLosses(m.report.Events)
+	m.report.Findings = buildFindings(&m.report)
 	return m.report
 }
 
@@ -57,12 +57,12 @@
 	reason                    string
 }
 
-func (m *merger) node(r NodeResult) {
+func (m *merger) addNode(r NodeResult) {
 	n := Node{Address: r.Address}
 	s := r.Snapshot
 	switch {
 	case r.Err != nil:
-		n.Fault = faultOf(r.Err)
+		n.Fault = describeFetchError(r.Err)
 		m.report.Partial = true
 	case s == nil:
 		n.Fault = "it was not asked"
@@ -71,7 +71,7 @@
 		n.Name, n.Duplicate = m.names[s.Node], true
 	default:
 		n.Name, n.Node, n.Domain, n.Table = cmp.Or(s.Name, s.Node, r.Address), s.Node, s.Domain, s.Table
-		n.Life, n.Span, n.Open, n.Dropped = s.Life, s.Span, s.Open, s.Dropped
+		n.Uptime, n.Span, n.Open, n.Dropped = s.Uptime, s.Span, s.Open, s.Dropped
 		if s.Node != "" {
 			m.names[s.Node] = n.Name
 		}
@@ -83,8 +83,8 @@
 	m.report.Nodes = append(m.report.Nodes, n)
 }
 
-// faultOf says in words why a node didn't answer.
-func faultOf(err error) string {
+// describeFetchError says in words why a node didn't answer.
+func describeFetchError(err error) string {
 	switch {
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrDialTimeout):
 		return "it did not answer in time"
@@ -92,19 +92,19 @@
 		return "it refused the connection"
 	case errors.Is(err, syscall.EHOSTUNREACH), errors.Is(err, syscall.ENETUNREACH):
 		return "no way there from here"
-	case errors.Is(err, ErrAnswer):
+	case errors.Is(err, ErrInvalidAnswer):
 		return "its answer can't be read: " + err.Error()
 	default:
 		return err.Error()
 	}
 }
 
-// nameOf returns the name of the node at a link address, if it answered.
-func (m *merger) nameOf(link string) string {
+// nodeName returns the name of the node at a link address, if it answered.
+func (m *merger) nodeName(link string) string {
 	return cmp.Or(m.names[link], link)
 }
 
-func (m *merger) sum(s *access.Snapshot) {
+func (m *merger) addTotals(s *access.Snapshot) {
 	r := &m.report.Requests
 	r.Received += s.Received
 	r.Closed += s.Closed
@@ -121,14 +121,14 @@
 	}
 }
 
-func (m *merger) history(s *access.Snapshot) {
+func (m *merger) addHistory(s *access.Snapshot) {
 	for _, e := range s.Events {
 		noted := Event{
 			By: s.Name, Age: max(s.Now-e.At, 0), Kind: e.Kind, Service: e.Service, Upstream: e.Upstream,
-			Node: m.nameOf(e.Node), Reason: e.Reason, Evidence: e.Evidence,
+			Node: m.nodeName(e.Node), Reason: e.Reason, Evidence: e.Evidence,
 		}
 		if e.Until > 0 {
-			noted.Left = max(e.Until-s.Now, 0)
+			noted.Remaining = max(e.Until-s.Now, 0)
 		}
 		m.report.Events = append(m.report.Events, noted)
 	}
@@ -161,7 +161,7 @@
 	}
 	access.SortTotals(m.report.Totals)
 	for r, n := range refusals {
-		r.Count, r.Meaning, r.Fault = n, meaning(r.Reason), access.FaultOfCaller(r.Reason)
+		r.Count, r.Meaning, r.CallerFault = n, describeReason(r.Reason), access.IsCallerFault(r.Reason)
 		m.report.Refusals = append(m.report.Refusals, r)
 	}
 	slices.SortFunc(m.report.Refusals, func(a, b Refusal) int {
@@ -207,5 +207,5 @@
 	slices.SortFunc(m.report.Burn, func(a, b Burn) int { return cmp.Compare(a.Service, b.Service) })
 }
 
-// none marks an age of what has not happened.
-const none clock.Millis = -1
+// noAge marks an age of what has not happened.
+const noAge clock.Millis = -1
--- a/report/plot.go
+++ b/report/plot.go
@@ -43,25 +43,25 @@
 
 // Measures of the drawings.
 const (
-	plotWidth  = 760
-	plotLeft   = 190
-	rowHeight  = 26
-	barHeight  = 16
-	textShift  = 12
-	mostPlots  = 12
-	leastWidth = 2
+	plotWidth   = 760
+	plotLeft    = 190
+	rowHeight   = 26
+	barHeight   = 16
+	textOffset  = 12
+	maxPlots    = 12
+	minBarWidth = 2
 )
 
 func (r *Report) plots() []plot {
-	all := make([]plot, 0, 2+mostPlots)
+	all := make([]plot, 0, 2+maxPlots)
 	if len(r.Services) > 0 {
 		all = append(all, r.outcomePlot())
 	}
-	if len(r.Asides)+len(r.Paths) > 0 {
+	if len(r.Ejections)+len(r.Paths) > 0 {
 		all = append(all, r.historyPlot())
 	}
 	for _, b := range r.Burn {
-		rate, drawn := b.drawn()
+		rate, drawn := b.plottedWindow()
 		if drawn && len(all) < cap(all) {
 			all = append(all, burnPlot(b, rate))
 		}
@@ -85,7 +85,7 @@
 		y := p.Height
 		p.Height += rowHeight
 		name := cmp.Or(s.Name, "(no service)")
-		p.Labels = append(p.Labels, label{plotLeft - 8, y + textShift, "end", name})
+		p.Labels = append(p.Labels, label{plotLeft - 8, y + textOffset, "end", name})
 		x := plotLeft
 		end := plotLeft + width
 		for _, part := range []struct {
@@ -95,15 +95,15 @@
 			if part.n == 0 {
 				continue
 			}
-			w := max(int(math.Round(float64(part.n)/float64(s.Sum())*width)), leastWidth)
+			w := max(int(math.Round(float64(part.n)/float64(s.Sum())*width)), minBarWidth)
 			if part.class == "served" {
 				w = end - x
 			}
-			p.Boxes = append(p.Boxes, box{x, y, w, barHeight, part.class, name + ": " + number(part.n)})
+			p.Boxes = append(p.Boxes, box{x, y, w, barHeight, part.class, name + ": " + formatCount(part.n)})
 			x += w
 		}
-		text := number(s.Served) + " served, " + number(s.NotRun) + " not run, " + number(s.Unknown) + " unknown"
-		p.Labels = append(p.Labels, label{right, y + textShift, "start", text})
+		text := formatCount(s.Served) + " served, " + formatCount(s.NotRun) + " not run, " + formatCount(s.Unknown) + " unknown"
+		p.Labels = append(p.Labels, label{right, y + textOffset, "start", text})
 	}
 	return p
 }
@@ -118,7 +118,7 @@
 		},
 	}
 	var oldest clock.Millis
-	for _, a := range r.Asides {
+	for _, a := range r.Ejections {
 		oldest = max(oldest, a.Age)
 	}
 	for _, x := range r.Paths {
@@ -133,14 +133,14 @@
 			rows[name] = y
 			p.Height += rowHeight
 			p.Boxes = append(p.Boxes, box{plotLeft, y, axis.width(), barHeight, "ground", name})
-			p.Labels = append(p.Labels, label{plotLeft - 8, y + textShift, "end", name})
+			p.Labels = append(p.Labels, label{plotLeft - 8, y + textOffset, "end", name})
 		}
 		return y
 	}
-	for i := range r.Asides {
-		a := &r.Asides[i]
-		y := row(r.label(a.Service, a.Upstream))
-		hint := a.Upstream + ": " + evidenceWords(a.Evidence, a.Reason)
+	for i := range r.Ejections {
+		a := &r.Ejections[i]
+		y := row(r.upstreamLabel(a.Service, a.Upstream))
+		hint := a.Upstream + ": " + formatEvidence(a.Evidence, a.Reason)
 		for _, phase := range a.phases() {
 			p.Boxes = append(p.Boxes, axis.box(phase.from, phase.to, y, phase.class, hint))
 		}
@@ -149,7 +149,7 @@
 		y := row(x.From + " to " + x.To)
 		p.Boxes = append(p.Boxes, axis.box(x.Age, max(x.Back, 0), y, "path", "path lost"))
 	}
-	p.Labels = append(p.Labels, axis.labels(p.Height+textShift)...)
+	p.Labels = append(p.Labels, axis.labels(p.Height+textOffset)...)
 	p.Height += rowHeight
 	return p
 }
@@ -161,12 +161,12 @@
 }
 
 // phases cuts an Aside into the time out of use, on trial and coming back.
-func (a *Aside) phases() []phase {
+func (a *Ejection) phases() []phase {
 	steps := []phase{{from: a.Age, class: "out"}, {from: a.Trial, class: "trial"}, {from: a.Ramp, class: "ramp"}}
 	end := max(a.Back, 0)
 	var found []phase
 	for _, s := range steps {
-		if s.from == none {
+		if s.from == noAge {
 			continue
 		}
 		if len(found) > 0 {
@@ -185,28 +185,28 @@
 
 func (timeAxis) width() int { return plotWidth - plotLeft - 10 }
 
-func (t timeAxis) at(age clock.Millis) int {
+func (t timeAxis) position(age clock.Millis) int {
 	left := float64(t.oldest-age) / float64(t.oldest)
 	return plotLeft + int(math.Round(left*float64(t.width())))
 }
 
 func (t timeAxis) box(from, to clock.Millis, y int, class, hint string) box {
-	x := t.at(from)
-	return box{x, y, max(t.at(to)-x, leastWidth), barHeight, class, hint + " (" + ago(from) + ")"}
+	x := t.position(from)
+	return box{x, y, max(t.position(to)-x, minBarWidth), barHeight, class, hint + " (" + formatAge(from) + ")"}
 }
 
 func (t timeAxis) labels(y int) []label {
 	return []label{
-		{t.at(t.oldest), y, "start", ago(t.oldest)},
-		{t.at(t.oldest / 2), y, "middle", ago(t.oldest / 2)},
-		{t.at(0), y, "end", "now"},
+		{t.position(t.oldest), y, "start", formatAge(t.oldest)},
+		{t.position(t.oldest / 2), y, "middle", formatAge(t.oldest / 2)},
+		{t.position(0), y, "end", "now"},
 	}
 }
 
-// drawn returns the window that a plot shows: the longest of up to six hours
+// plottedWindow returns the window that a plot shows: the longest of up to six hours
 // that the nodes' lives cover, or the shortest. It returns false if that has
 // no bad requests.
-func (b *Burn) drawn() (burn.Rate, bool) {
+func (b *Burn) plottedWindow() (burn.Rate, bool) {
 	if len(b.Rates) == 0 {
 		return burn.Rate{}, false
 	}
@@ -223,8 +223,8 @@
 func burnPlot(b Burn, rate burn.Rate) plot {
 	const height, top, slices = 90, 14, 13
 	p := plot{
-		Title:  "Bad requests of " + b.Service + ", last " + span(rate.Span),
-		Note:   "Share of the requests in each " + span(rate.Span/12) + ". Grey: no requests.",
+		Title:  "Bad requests of " + b.Service + ", last " + formatDuration(rate.Span),
+		Note:   "Share of the requests in each " + formatDuration(rate.Span/12) + ". Grey: no requests.",
 		Width:  plotWidth,
 		Height: top + height + rowHeight,
 		Legend: []legend{{"failed", "not served well"}, {"slow", "slow"}},
@@ -233,14 +233,14 @@
 	for _, x := range rate.Series {
 		worst = max(worst, badShare(x))
 	}
-	scale := niceShare(max(worst, 1-b.Objective.Availability))
+	scale := roundScale(max(worst, 1-b.Objective.Availability))
 	step := (plotWidth - plotLeft - 10) / slices
 	for i := range slices {
 		p.Boxes = append(p.Boxes, box{plotLeft + i*step, top + height, step - 2, 2, "ground", "no requests"})
 	}
 	for _, x := range rate.Series {
 		left, y := plotLeft+(slices-1-x.Slice)*step, top+height
-		p.Boxes = append(p.Boxes, box{left, y, step - 2, 2, "served", number(x.Total) + " requests"})
+		p.Boxes = append(p.Boxes, box{left, y, step - 2, 2, "served", formatCount(x.Total) + " requests"})
 		for _, part := range []struct {
 			n     uint64
 			class string
@@ -248,17 +248,17 @@
 			if part.n == 0 {
 				continue
 			}
-			h := max(int(math.Round(float64(part.n)/float64(x.Total)/scale*height)), leastWidth)
+			h := max(int(math.Round(float64(part.n)/float64(x.Total)/scale*height)), minBarWidth)
 			y -= h
-			hint := number(part.n) + " of " + number(x.Total) + " " + part.class
+			hint := formatCount(part.n) + " of " + formatCount(x.Total) + " " + part.class
 			p.Boxes = append(p.Boxes, box{left, y, step - 2, h, part.class, hint})
 		}
 	}
 	p.Labels = append(
 		p.Labels,
-		label{plotLeft - 8, top + 8, "end", share(scale)},
+		label{plotLeft - 8, top + 8, "end", formatPercent(scale)},
 		label{plotLeft - 8, top + height, "end", "0%"},
-		label{plotLeft, p.Height - 8, "start", ago(rate.Span)},
+		label{plotLeft, p.Height - 8, "start", formatAge(rate.Span)},
 		label{plotWidth - 10, p.Height - 8, "end", "now"},
 	)
 	return p
@@ -271,8 +271,8 @@
 	return float64(p.Failed+p.Slow) / float64(p.Total)
 }
 
-// niceShare rounds a share up to 1, 2 or 5 of a power of ten, at most 1.
-func niceShare(x float64) float64 {
+// roundScale rounds a share up to 1, 2 or 5 of a power of ten, at most 1.
+func roundScale(x float64) float64 {
 	if x <= 0 {
 		return 0.01
 	}
--- a/report/report.go
+++ b/report/report.go
@@ -27,21 +27,21 @@
 	// Partial means that a node did not answer, so that every total may be
 	// too small.
 	Partial bool `json:"partial"`
-	// Named is how many nodes the upstreams' table names, so that a reader
+	// TableNodes is how many nodes the upstreams' table names, so that a reader
 	// sees whether all of them were asked.
-	Named     int        `json:"named"`
-	Findings  []Finding  `json:"findings"`
-	Nodes     []Node     `json:"nodes"`
-	Requests  Requests   `json:"requests"`
-	Upstreams []Upstream `json:"upstreams"`
+	TableNodes int        `json:"named"`
+	Findings   []Finding  `json:"findings"`
+	Nodes      []Node     `json:"nodes"`
+	Requests   Requests   `json:"requests"`
+	Upstreams  []Upstream `json:"upstreams"`
 	// Totals says who got what, the largest first.
 	Totals []access.Total `json:"totals"`
 	// Callers says how exact each caller's totals are.
-	Callers  []Caller  `json:"callers"`
-	Services []Service `json:"services"`
-	Refusals []Refusal `json:"refusals"`
-	Asides   []Aside   `json:"asides"`
-	Paths    []Path    `json:"paths"`
+	Callers   []Caller   `json:"callers"`
+	Services  []Service  `json:"services"`
+	Refusals  []Refusal  `json:"refusals"`
+	Ejections []Ejection `json:"asides"`
+	Paths     []Path     `json:"paths"`
 	// Events is the newest first; those that Asides and Paths tell of are in
 	// it too.
 	Events []Event `json:"events"`
@@ -55,9 +55,9 @@
 
 // The levels, the most pressing first.
 const (
-	Bad   Level = "bad"
-	Watch Level = "watch"
-	Note  Level = "note"
+	LevelBad   Level = "bad"
+	LevelWatch Level = "watch"
+	LevelNote  Level = "note"
 )
 
 // Finding is one sentence for a person who doesn't program.
@@ -79,8 +79,8 @@
 	Node      string `json:"node"`
 	Domain    string `json:"domain"`
 	Table     uint64 `json:"table"`
-	// Life is the span since the node started, Span how far its totals reach.
-	Life    clock.Millis   `json:"life"`
+	// Uptime is the span since the node started, Span how far its totals reach.
+	Uptime  clock.Millis   `json:"life"`
 	Span    clock.Millis   `json:"span"`
 	Open    uint64         `json:"open"`
 	Dropped access.Dropped `json:"dropped"`
@@ -131,15 +131,15 @@
 
 	// Mean is the mean span of the requests it served.
 	Mean clock.Millis `json:"mean"`
-	// Gate means that the state is from the upstream's own gate.
-	Gate bool `json:"gate"`
-	// Lost names the nodes that can't reach the upstream's node, of Views
+	// FromGate means that the state is from the upstream's own gate.
+	FromGate bool `json:"gate"`
+	// UnreachableFrom names the nodes that can't reach the upstream's node, of Views
 	// that answered.
-	Lost []string `json:"lost"`
-	// Kept names the nodes that use it although it is set aside, since the
+	UnreachableFrom []string `json:"lost"`
+	// ForcedBy names the nodes that use it although it is set aside, since the
 	// service's floor leaves them no choice.
-	Kept  []string `json:"kept"`
-	Views int      `json:"views"`
+	ForcedBy       []string `json:"kept"`
+	NodesReporting int      `json:"views"`
 }
 
 // Caller counts a caller's requests.
@@ -170,13 +170,13 @@
 	// Meaning says the reason in words.
 	Meaning string `json:"meaning"`
 	Count   uint64 `json:"count"`
-	// Fault means that the caller is to answer for it, so that it burns none
+	// CallerFault means that the caller is to answer for it, so that it burns none
 	// of the service's budget.
-	Fault bool `json:"fault"`
+	CallerFault bool `json:"fault"`
 }
 
-// Aside is one time that an upstream was set aside.
-type Aside struct {
+// Ejection is one time that an upstream was set aside.
+type Ejection struct {
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
 	// By is the node whose gate set it aside.
@@ -185,19 +185,19 @@
 	Age clock.Millis `json:"age"`
 	// State is set-aside, trial, ramp, relapsed or back.
 	State string `json:"state"`
-	// Out is how long it had no work, trials not counted.
-	Out clock.Millis `json:"out"`
+	// Duration is how long it had no work, trials not counted.
+	Duration clock.Millis `json:"out"`
 	// Trial, Ramp and Back are ages; each is -1 if it did not come to that. Of
 	// a relapsed one, Back is when it was set aside again.
 	Trial clock.Millis `json:"trial"`
 	Ramp  clock.Millis `json:"ramp"`
 	Back  clock.Millis `json:"back"`
-	// Left is how long the hold-off still lasts; 0 if it has no set end.
-	Left     clock.Millis    `json:"left"`
-	Reason   string          `json:"reason"`
-	Evidence access.Evidence `json:"evidence"`
-	// Kept names the nodes that went on using it under the service's floor.
-	Kept []string `json:"kept"`
+	// Remaining is how long the hold-off still lasts; 0 if it has no set end.
+	Remaining clock.Millis    `json:"left"`
+	Reason    string          `json:"reason"`
+	Evidence  access.Evidence `json:"evidence"`
+	// ForcedBy names the nodes that went on using it under the service's floor.
+	ForcedBy []string `json:"kept"`
 }
 
 // Path is one time that a node could not reach another.
@@ -219,10 +219,10 @@
 	Upstream string           `json:"upstream"`
 	Node     string           `json:"node"`
 	Reason   string           `json:"reason"`
-	// Left is how long a hold-off still lasts; 0 if it has no set end or is
+	// Remaining is how long a hold-off still lasts; 0 if it has no set end or is
 	// over.
-	Left     clock.Millis    `json:"left"`
-	Evidence access.Evidence `json:"evidence"`
+	Remaining clock.Millis    `json:"left"`
+	Evidence  access.Evidence `json:"evidence"`
 }
 
 // Record is what became of one request, with its age since it ended and the
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -96,10 +96,10 @@
 		want  string
 		sick  bool
 	}{
-		{"sick", access.StateSetAside, "bacheca-1 is set aside as sick", true},
+		{"sick", access.StateEjected, "bacheca-1 is set aside as sick", true},
 		{"leaving", access.StateLeaving, "bacheca-1 is leaving", false},
 		{"off", access.StateOff, "bacheca-1 has weight 0", false},
-		{"over its limit", access.StateFull, "busy and not sick: bacheca-1", false},
+		{"over its limit", access.StateOverLimit, "busy and not sick: bacheca-1", false},
 		{"in use", access.StateInUse, "Nothing needs attention", false},
 	}
 	for _, tt := range tests {
@@ -122,7 +122,7 @@
 func TestMissedCallersAddUp(t *testing.T) {
 	all := make([]report.NodeResult, 0, 2)
 	for _, link := range []string{palermo, catania} {
-		n := &node{Book: access.New(access.Config{Callers: 1})}
+		n := &node{Log: access.New(access.Config{Callers: 1})}
 		n.close(3, served("hotel-aretusa", "bacheca", "bacheca-1", 40))
 		n.close(1, served("clinica-etna", "bacheca", "bacheca-1", 40))
 		s := n.Snapshot(n.now, access.Filter{Caller: "hotel-aretusa"})
--- a/report/text.go
+++ b/report/text.go
@@ -23,7 +23,7 @@
 	}
 	p.line()
 	for _, f := range r.Findings {
-		p.line(marks[f.Level], " ", f.Text)
+		p.line(levelMarks[f.Level], " ", f.Text)
 	}
 	for _, s := range r.sheets() {
 		p.sheet(s)
@@ -31,8 +31,8 @@
 	return errors.Annotate(out.Flush(), "writing the report")
 }
 
-// marks stand before findings, so that a level shows without colour.
-var marks = map[Level]string{Bad: "!!", Watch: " !", Note: "  "}
+// levelMarks stand before findings, so that a level shows without colour.
+var levelMarks = map[Level]string{LevelBad: "!!", LevelWatch: " !", LevelNote: "  "}
 
 func (r *Report) date() string {
 	return r.AsOf.UTC().Format(time.RFC1123)
@@ -88,7 +88,7 @@
 		p.line(strings.TrimRight(row, " \n"))
 	}
 	if s.Left > 0 {
-		p.line("  and ", plural(s.Left, "more row", "more rows"), "; --format json has all.")
+		p.line("  and ", pluralize(s.Left, "more row", "more rows"), "; --format json has all.")
 	}
 }
 
--- a/report/upstreams.go
+++ b/report/upstreams.go
@@ -35,8 +35,8 @@
 		key := upstreamKey{service, name}
 		if sums[key] == nil {
 			sums[key] = &upstreamSum{Upstream: Upstream{
-				UpstreamState: access.UpstreamState{Service: service, Name: name, State: StateGone},
-				Lost:          []string{}, Kept: []string{},
+				UpstreamState:   access.UpstreamState{Service: service, Name: name, State: StateGone},
+				UnreachableFrom: []string{}, ForcedBy: []string{},
 			}}
 		}
 		return sums[key]
@@ -45,12 +45,12 @@
 	for _, s := range m.snapshots {
 		for _, u := range s.Upstreams {
 			named[u.Node] = true
-			if s.Filter.PassesUpstream(u) {
-				at(u.Service, u.Name).view(s, u)
+			if s.Filter.MatchesUpstream(u) {
+				at(u.Service, u.Name).addView(s, u)
 			}
 		}
 	}
-	m.report.Named = len(named)
+	m.report.TableNodes = len(named)
 	for _, t := range m.report.Totals {
 		if t.Upstream == "" || t.Upstream == access.Others {
 			continue
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, u := range sums {
-		u.Node = m.nameOf(u.Node)
+		u.Node = m.nodeName(u.Node)
 		if u.Served > 0 {
 			u.Mean = u.took / clock.Millis(u.Served)
 		}
@@ -73,28 +73,28 @@
 	})
 }
 
-// view takes in one node's view.
-func (u *upstreamSum) view(s *access.Snapshot, state access.UpstreamState) {
-	u.Views++
+// addView takes in one node's view.
+func (u *upstreamSum) addView(s *access.Snapshot, state access.UpstreamState) {
+	u.NodesReporting++
 	lost := state.State == access.StateUnreachable
 	if lost {
-		u.Lost = append(u.Lost, s.Name)
+		u.UnreachableFrom = append(u.UnreachableFrom, s.Name)
 	}
-	if state.State == access.StateKept {
-		u.Kept = append(u.Kept, s.Name)
+	if state.State == access.StateForced {
+		u.ForcedBy = append(u.ForcedBy, s.Name)
 	}
 	gate := s.Node != "" && s.Node == state.Node
 	better := !u.seen || u.State == access.StateUnreachable && !lost || !lost && state.Severity > u.Severity
-	if gate || !u.Gate && better {
+	if gate || !u.FromGate && better {
 		u.UpstreamState = state
-		u.Gate = gate
+		u.FromGate = gate
 	}
 	u.seen = true
 }
 
-// label names an upstream for people: by its service too if another service
+// upstreamLabel names an upstream for people: by its service too if another service
 // has one of the same name.
-func (r *Report) label(service, upstream string) string {
+func (r *Report) upstreamLabel(service, upstream string) string {
 	for _, u := range r.Upstreams {
 		if u.Name == upstream && u.Service != service {
 			return service + "/" + upstream
--- a/report/words.go
+++ b/report/words.go
@@ -14,9 +14,9 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// meanings says the reasons of entries and gates in words that need no
+// reasonTexts says the reasons of entries and gates in words that need no
 // knowledge of the program.
-var meanings = map[string]string{
+var reasonTexts = map[string]string{
 	access.ReasonCallerLimit:   "the caller was over its own limit",
 	access.ReasonServiceLimit:  "the service was over its limit",
 	access.ReasonBusy:          "the node held as many requests as it may",
@@ -51,23 +51,23 @@
 	"":                         "no reason was noted",
 }
 
-// meaning says a reason in words; one that is not known stands for itself.
-func meaning(reason string) string {
-	return cmp.Or(meanings[reason], reason)
+// describeReason says a reason in words; one that is not known stands for itself.
+func describeReason(reason string) string {
+	return cmp.Or(reasonTexts[reason], reason)
 }
 
-// stateWords says an upstream's state in words.
-func stateWords(state string) string {
+// formatState says an upstream's state in words.
+func formatState(state string) string {
 	switch state {
 	case access.StateInUse:
 		return "in use"
-	case access.StateSetAside:
+	case access.StateEjected:
 		return "set aside: sick"
 	case access.StateTrial:
 		return "on trial"
 	case access.StateRamp:
 		return "coming back slowly"
-	case access.StateKept:
+	case access.StateForced:
 		return "sick, kept for the floor"
 	case access.StateUnreachable:
 		return "unreachable"
@@ -75,13 +75,13 @@
 		return "leaving"
 	case access.StateOff:
 		return "off: weight 0"
-	case access.StateFull:
+	case access.StateOverLimit:
 		return "over its limit"
 	case StateGone:
 		return "not in the table"
-	case StateRelapsed:
+	case StateReejected:
 		return "set aside again"
-	case string(access.Back):
+	case string(access.Restored):
 		return "back in use"
 	case access.StateUnknown, "":
 		return "not known"
@@ -90,33 +90,33 @@
 	}
 }
 
-// kinds are the kinds of events in words.
-var kinds = map[access.EventKind]string{
-	access.SetAside:       "set aside as sick",
-	access.Trial:          "tried again",
-	access.Ramp:           "coming back slowly",
-	access.Back:           "back in full use",
-	access.KeptUnderFloor: "kept in use for the floor",
-	access.PathLost:       "path lost",
-	access.PathBack:       "path back",
-	access.Crashed:        "ended under its runs",
-	access.Quarantined:    "request held back: it crashes upstreams",
-	access.Freed:          "request held back no longer",
-	access.Leaving:        "leaving",
-	access.TableAccepted:  "table accepted",
-	access.TableRejected:  "table rejected",
-	access.TableOlder:     "older table not taken",
-	access.PlatformLost:   "platform stopped answering",
-	access.PlatformBack:   "platform answers again",
-}
-
-// kindWords says an event's kind in words; one that is not known stands for itself.
-func kindWords(kind access.EventKind) string {
-	return cmp.Or(kinds[kind], string(kind))
-}
-
-// span writes a span with two units at most: 850ms, 45s, 2m 10s, 3h 5m, 2d 4h.
-func span(d clock.Millis) string {
+// eventKindTexts are the kinds of events in words.
+var eventKindTexts = map[access.EventKind]string{
+	access.Ejected:          "set aside as sick",
+	access.Trial:            "tried again",
+	access.Ramp:             "coming back slowly",
+	access.Restored:         "back in full use",
+	access.ForcedUnderFloor: "kept in use for the floor",
+	access.PathLost:         "path lost",
+	access.PathRestored:     "path back",
+	access.Crashed:          "ended under its runs",
+	access.Quarantined:      "request held back: it crashes upstreams",
+	access.Released:         "request held back no longer",
+	access.Leaving:          "leaving",
+	access.TableAccepted:    "table accepted",
+	access.TableRejected:    "table rejected",
+	access.TableOlder:       "older table not taken",
+	access.PlatformLost:     "platform stopped answering",
+	access.PlatformRestored: "platform answers again",
+}
+
+// formatEventKind says an event's kind in words; one that is not known stands for itself.
+func formatEventKind(kind access.EventKind) string {
+	return cmp.Or(eventKindTexts[kind], string(kind))
+}
+
+// formatDuration writes a span with two units at most: 850ms, 45s, 2m 10s, 3h 5m, 2d 4h.
+func formatDuration(d clock.Millis) string {
 	type unit struct {
 		size clock.Millis
 		name string
@@ -140,29 +140,29 @@
 	return ""
 }
 
-func ago(d clock.Millis) string {
+func formatAge(d clock.Millis) string {
 	if d < clock.Second {
 		return "just now"
 	}
-	return span(d) + " ago"
+	return formatDuration(d) + " ago"
 }
 
-// number writes a count with thousands apart: 12,345.
-func number[T uint64 | int](n T) string {
+// formatCount writes a count with thousands apart: 12,345.
+func formatCount[T uint64 | int](n T) string {
 	return humanize.Comma(int64(n))
 }
 
-// decimal writes a count that need not be whole, with a digit after the point
+// formatDecimal writes a count that need not be whole, with a digit after the point
 // if it is small.
-func decimal(x float64) string {
+func formatDecimal(x float64) string {
 	if x < 10 {
 		return strconv.FormatFloat(x, 'f', 1, 64)
 	}
-	return number(uint64(x))
+	return formatCount(uint64(x))
 }
 
-// share writes a share of 1 in percent with two digits that count.
-func share(x float64) string {
+// formatPercent writes a share of 1 in percent with two digits that count.
+func formatPercent(x float64) string {
 	percent := 100 * x
 	size := math.Abs(percent)
 	switch {
@@ -175,28 +175,28 @@
 	}
 }
 
-// promise writes the share that an objective promises, with all its digits.
-func promise(x float64) string {
+// formatTarget writes the share that an objective promises, with all its digits.
+func formatTarget(x float64) string {
 	return strconv.FormatFloat(100*x, 'g', 6, 64) + "%"
 }
 
-// times writes a burn rate.
-func times(rate float64) string {
+// formatBurnRate writes a burn rate.
+func formatBurnRate(rate float64) string {
 	if rate >= 10 {
 		return strconv.FormatFloat(rate, 'f', 0, 64) + "x"
 	}
 	return strconv.FormatFloat(rate, 'f', 1, 64) + "x"
 }
 
-func plural[T uint64 | int](n T, one, many string) string {
+func pluralize[T uint64 | int](n T, one, many string) string {
 	if n == 1 {
-		return number(n) + " " + one
+		return formatCount(n) + " " + one
 	}
-	return number(n) + " " + many
+	return formatCount(n) + " " + many
 }
 
-// list joins names as a sentence does: a, b and c.
-func list(names []string) string {
+// joinNames joins names as a sentence does: a, b and c.
+func joinNames(names []string) string {
 	switch len(names) {
 	case 0:
 		return ""
@@ -208,31 +208,31 @@
 	}
 }
 
-// evidenceWords says what a gate had seen when it set its upstream aside.
-func evidenceWords(e access.Evidence, reason string) string {
+// formatEvidence says what a gate had seen when it set its upstream aside.
+func formatEvidence(e access.Evidence, reason string) string {
 	var parts []string
-	of := " of " + plural(e.Outcomes, "request", "requests")
+	of := " of " + pluralize(e.Outcomes, "request", "requests")
 	if e.Failed > 0 {
-		parts = append(parts, number(e.Failed)+of+" failed against a usual "+share(e.BaselineFailed))
+		parts = append(parts, formatCount(e.Failed)+of+" failed against a usual "+formatPercent(e.BaselineFailed))
 		of = ""
 	}
 	if e.Slow > 0 {
-		parts = append(parts, number(e.Slow)+of+" were slow against a usual "+span(e.BaselineLatency))
+		parts = append(parts, formatCount(e.Slow)+of+" were slow against a usual "+formatDuration(e.BaselineLatency))
 		of = ""
 	}
 	if e.Overdue > 0 {
-		parts = append(parts, number(e.Overdue)+of+" had no answer in time")
+		parts = append(parts, formatCount(e.Overdue)+of+" had no answer in time")
 	}
 	if len(parts) == 0 {
-		parts = append(parts, meaning(reason))
+		parts = append(parts, describeReason(reason))
 	}
-	return list(parts)
+	return joinNames(parts)
 }
 
-// plain drops control characters: callers choose some texts, and a terminal
+// stripControl drops control characters: callers choose some texts, and a terminal
 // obeys escape sequences in them. Line ends, as in a table's list of faults,
 // become spaces.
-func plain(text string) string {
+func stripControl(text string) string {
 	return strings.Map(func(r rune) rune {
 		switch {
 		case unicode.IsSpace(r):
