--- a/capacity/gates.go
+++ b/capacity/gates.go
@@ -57,13 +57,13 @@
 type quick struct{ body int }
 
 // Do answers.
-func (q quick) Do(context.Context, *gate.Call) (gate.Answer, error) {
-	return gate.Answer{Status: 200, Body: make([]byte, q.body)}, nil
+func (q quick) Do(context.Context, *gate.Call) (gate.Response, error) {
+	return gate.Response{Status: 200, Body: make([]byte, q.body)}, nil
 }
 
 // Probe finds it healthy.
 func (quick) Probe(string) bool { return true }
-func (quick) Renew()            {}
+func (quick) ResetConnections() {}
 
 // IsGone reports a server that is there.
 func (quick) IsGone() bool { return false }
@@ -100,7 +100,7 @@
 		return held(func() (any, error) {
 			all := make([]*gate.Gate, 0, n)
 			for i := range n {
-				backend := gate.NewHTTP(gate.HTTPConfig{Address: ip(i) + ":8080", Connections: 7, Limit: 1 << 20})
+				backend := gate.NewHTTP(gate.HTTPConfig{Address: ip(i) + ":8080", MaxConnections: 7, MaxBody: 1 << 20})
 				all = append(all, newGate(i, backend, pool))
 			}
 			return all, nil
@@ -108,11 +108,11 @@
 	})
 }
 
-func fenceOf(n int) *lease.Fence[*wire.Reply] {
-	f := lease.NewFence[*wire.Reply](1)
+func fenceOf(n int) *lease.Deduplicator[*wire.Reply] {
+	f := lease.NewDeduplicator[*wire.Reply](1)
 	for i := range n {
 		key := lease.Key{Entry: 1, Seq: uint64(i), Attempt: 1}
-		f.Take(hour, key, 1, hour+clock.Second)
+		f.Accept(hour, key, 1, hour+clock.Second)
 		f.Begin(hour, key)
 		f.Finish(key, nil)
 	}
--- a/embedding/example_balancer_test.go
+++ b/embedding/example_balancer_test.go
@@ -177,7 +177,7 @@
 func (b *balancer) updateBaselines() {
 	own := make([]health.Baseline, 0, len(b.servers))
 	for _, s := range b.servers {
-		own = append(own, s.judge.Own())
+		own = append(own, s.judge.LocalBaseline())
 	}
 	usual := health.Median(own)
 	for _, s := range b.servers {
--- a/embedding/example_lease_test.go
+++ b/embedding/example_lease_test.go
@@ -16,12 +16,12 @@
 	incarnation uint64 // drawn at random at each start of the process
 
 	mu    sync.Mutex // guards fence
-	fence *lease.Fence[string]
+	fence *lease.Deduplicator[string]
 	ran   int
 }
 
 func newWorker(incarnation uint64, started clock.Millis) *worker {
-	w := &worker{incarnation: incarnation, fence: lease.NewFence[string](incarnation)}
+	w := &worker{incarnation: incarnation, fence: lease.NewDeduplicator[string](incarnation)}
 	w.clock.Advance(started)
 	return w
 }
@@ -37,11 +37,11 @@
 // lock, right before the run: after that, not run is never said of it.
 func (w *worker) receive(d dispatch) string {
 	w.mu.Lock()
-	verdict := w.fence.Take(w.clock.Now(), d.key, d.incarnation, d.lease)
+	verdict := w.fence.Accept(w.clock.Now(), d.key, d.incarnation, d.lease)
 	if verdict != lease.Fresh {
 		w.mu.Unlock()
 		return map[lease.Verdict]string{
-			lease.Stale: "stale, not run", lease.Voided: "voided, not run", lease.Duplicate: "duplicate, dropped",
+			lease.Stale: "stale, not run", lease.Revoked: "voided, not run", lease.Duplicate: "duplicate, dropped",
 		}[verdict]
 	}
 	begun := w.fence.Begin(w.clock.Now(), d.key)
@@ -60,7 +60,7 @@
 func (w *worker) resolve(d dispatch) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	what, result := w.fence.Settle(w.clock.Now(), d.key, d.incarnation, d.lease)
+	what, result := w.fence.Resolve(w.clock.Now(), d.key, d.incarnation, d.lease)
 	switch what {
 	case lease.NotRun:
 		return "not run and never will be: may go elsewhere"
@@ -80,7 +80,7 @@
 // estimates from the times that it hears.
 type sender struct {
 	clock    clock.Manual
-	estimate lease.Estimate
+	estimate lease.ClockEstimate
 	seq      uint64
 }
 
@@ -96,7 +96,7 @@
 // A payroll entry must be recorded once, whatever the network does.
 func Example_lease() {
 	w, s := newWorker(7, 90*clock.Minute), &sender{}
-	s.estimate.Heard(s.clock.Now(), w.incarnation, w.clock.Now())
+	s.estimate.Update(s.clock.Now(), w.incarnation, w.clock.Now())
 
 	first := s.dispatch()
 	fmt.Println("arrives:", w.receive(first))
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -22,7 +22,7 @@
 	// MayMatch reports whether a request with the hint may be a suspect.
 	MayMatch(hint uint64) bool
 	// Status says how a request may be sent.
-	Status(f quarantine.Fingerprint) quarantine.Standing
+	Status(f quarantine.Fingerprint) quarantine.Status
 	// Clear takes in that a request succeeded.
 	Clear(f quarantine.Fingerprint)
 }
@@ -62,14 +62,14 @@
 
 // quarantineStatus says how the request may be sent. Its fingerprint is worked out only where its
 // hint is that of a suspect.
-func (r *request) quarantineStatus() quarantine.Standing {
+func (r *request) quarantineStatus() quarantine.Status {
 	crashes := r.entry.config.CrashTracker
 	if crashes == nil || crashes.IsEmpty() {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	subject := r.quarantineRequest()
 	if !crashes.MayMatch(subject.Hint()) {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	return crashes.Status(r.requestFingerprint())
 }
@@ -85,7 +85,7 @@
 
 // tryAsSuspect sends a request under which backend servers have ended to one upstream, one
 // send at a time. It returns false where the request is to be looked at anew.
-func (r *request) tryAsSuspect(now clock.Millis, s quarantine.Standing) (finalAnswer, bool) {
+func (r *request) tryAsSuspect(now clock.Millis, s quarantine.Status) (finalAnswer, bool) {
 	look := trialFilter{fingerprint: r.fingerprint, tried: append(slices.Clone(r.tried), r.selection.full...), verdict: s.Verdict}
 	if s.Verdict == quarantine.Quarantined {
 		if !r.service.hasUntestedVersion(s.Versions) {
--- a/entry/resend.go
+++ b/entry/resend.go
@@ -31,7 +31,7 @@
 type idempotency struct {
 	key    string
 	digest resend.Digest
-	resend resend.Mark
+	resend resend.Header
 }
 
 // checkResend decides about a keyed request before it goes anywhere. It returns
@@ -63,7 +63,7 @@
 		return idempotency{}, nil
 	}
 	if keys != 1 || marks > 1 {
-		return idempotency{}, errors.Annotatef(resend.ErrMark, "%d keys and %d marks", keys, marks)
+		return idempotency{}, errors.Annotatef(resend.ErrMalformed, "%d keys and %d marks", keys, marks)
 	}
 	s := idempotency{key: string(key), digest: digestOf(request)}
 	if err := resend.CheckKey(s.key); err != nil {
@@ -73,7 +73,7 @@
 		return s, nil
 	}
 	var err error
-	s.resend, err = resend.ParseMark(string(mark))
+	s.resend, err = resend.ParseHeader(string(mark))
 	return s, errors.Trace(err)
 }
 
@@ -118,17 +118,17 @@
 	now := r.entry.config.Now()
 	age := r.idempotency.resend.Age + now - r.started
 	version := r.entry.table.Load().Version // before the nodes: at most as new as they
-	reach := resend.Reach(age, r.entry.config.KeyMargin)
+	reach := resend.MaxAge(age, r.entry.config.KeyMargin)
 	nodes := r.service.keyNodes(now, reach)
 	all := r.lookupKey(now, nodes)
 	now = r.entry.config.Now()
-	answers := make([]resend.Answer, 0, len(all))
+	answers := make([]resend.LookupResult, 0, len(all))
 	for i := range all {
 		answers = append(answers, all[i].answer(now))
 	}
-	decision := resend.Settle(resend.Question{
+	decision := resend.Resolve(resend.Lookup{
 		Age:       r.idempotency.resend.Age + now - r.started,
-		Known:     now - clock.Millis(r.entry.routesChangedAt.Load()),
+		KnownFor:  now - clock.Millis(r.entry.routesChangedAt.Load()),
 		Retention: resend.Retention,
 		Margin:    r.entry.config.KeyMargin,
 		Version:   version,
@@ -155,7 +155,7 @@
 func undecided(reason string, after clock.Millis) finalAnswer {
 	status := fasthttp.StatusBadGateway
 	switch reason {
-	case string(resend.ReasonRunning), string(resend.ReasonOutranked), string(wire.ReasonKeyVoided):
+	case string(resend.ReasonRunning), string(resend.ReasonSuperseded), string(wire.ReasonKeyVoided):
 		status = fasthttp.StatusConflict
 	}
 	return finalAnswer{outcome: access.Unknown, status: status, reason: reason, retryAfter: after}
@@ -169,13 +169,13 @@
 }
 
 // answer is what the node said, with the reach of its memory as of now.
-func (a *lookupResult) answer(now clock.Millis) resend.Answer {
+func (a *lookupResult) answer(now clock.Millis) resend.LookupResult {
 	if a.reply == nil {
-		return resend.Answer{}
+		return resend.LookupResult{}
 	}
-	return resend.Answer{
-		Heard:    true,
-		Standing: resend.Standing(a.reply.Standing),
+	return resend.LookupResult{
+		Answered: true,
+		Status:   resend.Status(a.reply.Standing),
 		Covers:   a.reply.Covers + now - a.receivedAt,
 		Version:  a.reply.Version,
 	}
@@ -222,7 +222,7 @@
 		select {
 		case a := <-channel:
 			all[a.node] = a
-			if a.reply != nil && resend.Definite([]resend.Answer{a.answer(a.receivedAt)}) {
+			if a.reply != nil && resend.Definite([]resend.LookupResult{a.answer(a.receivedAt)}) {
 				return all
 			}
 		case <-timer.C:
--- a/entry/service.go
+++ b/entry/service.go
@@ -47,7 +47,7 @@
 	recheckAt          clock.Millis // when the first hold-off ends; 0 without one
 	uses               []floor.Use
 	reach              grade.LinkCount
-	membership         *resend.Roster
+	membership         *resend.Membership
 	nodes              map[string]GateClient // the ways to the roster's
 
 	candidates   []choice.Candidate
@@ -68,7 +68,7 @@
 		lowestFailureShare: 1,
 		retryBudget:        retry.New(retryConfig(c, seed)),
 		dirty:              true,
-		membership:         resend.NewRoster(resend.Retention),
+		membership:         resend.NewMembership(resend.Retention),
 		nodes:              map[string]GateClient{},
 	}
 }
--- a/fleet/crash_bench_test.go
+++ b/fleet/crash_bench_test.go
@@ -41,7 +41,7 @@
 	}
 	defer f.Close()
 	backend := func(i int) *standin.Backend { return f.Backends[fmt.Sprintf("conferme-%d", i%upstreams+1)] }
-	fault := standin.Fault{Kind: standin.Crashes, Path: deadly, Down: 2 * clock.Second, After: 40}
+	fault := standin.Fault{Kind: standin.Crashes, Path: deadly, Downtime: 2 * clock.Second, CrashDelay: 40}
 	for i := range upstreams {
 		backend(i).SetFault(fault)
 	}
@@ -54,7 +54,7 @@
 		}
 		if name == "episodes" {
 			failing := fault
-			failing.Episode = 0.8 * float64(i%2)
+			failing.FailFastShare = 0.8 * float64(i%2)
 			for j := range upstreams / 2 {
 				backend(i*5 + j).SetFault(failing)
 			}
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -72,7 +72,7 @@
 func TestADeadlyRequestIsStoppedAmongFailingServers(t *testing.T) {
 	f := crashing(t, 6, table.Brief)
 	for _, name := range []string{"conferme-1", "conferme-2", "conferme-3", "conferme-5"} {
-		f.Backends[name].SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly, Episode: 0.9})
+		f.Backends[name].SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly, FailFastShare: 0.9})
 	}
 	third := -1
 	for i := range 60 {
--- a/fleet/episodes_bench_test.go
+++ b/fleet/episodes_bench_test.go
@@ -49,7 +49,7 @@
 	nodes := callers(f)
 	name := func(i int) string { return fmt.Sprintf("conferme-%d", i%9+1) }
 	fault := func(episode float64) standin.Fault {
-		return standin.Fault{Kind: standin.Crashes, Path: deadly, Down: clock.Millis(2000 + r.IntN(3000)), After: clock.Millis(20 + r.IntN(100)), Episode: episode}
+		return standin.Fault{Kind: standin.Crashes, Path: deadly, Downtime: clock.Millis(2000 + r.IntN(3000)), CrashDelay: clock.Millis(20 + r.IntN(100)), FailFastShare: episode}
 	}
 	for i := range 9 {
 		f.Backends[name(i)].SetFault(fault(0))
--- a/fleet/once_test.go
+++ b/fleet/once_test.go
@@ -106,7 +106,7 @@
 	done := make(chan answer)
 	go func() { done <- w.post(t, far.Caller) }()
 	await(t, backend, ran(2))
-	beside.Relay.SetMode(standin.SilentOld)
+	beside.Relay.SetMode(standin.BlackholeOpen)
 	if got := <-done; got.outcome != "served" {
 		t.Errorf("got %d %s %s, want served", got.status, got.outcome, got.reason)
 	}
--- a/fleet/resend_test.go
+++ b/fleet/resend_test.go
@@ -219,7 +219,7 @@
 	f, far := keyedTable(t, c)
 	o := newOperation("turno-14")
 	first := o.send(t, far.Caller)
-	f.Members[0].Relay.SetMode(standin.SilentOld)
+	f.Members[0].Relay.SetMode(standin.BlackholeOpen)
 	if got := o.resend(t, far.Caller); got.replay != "true" || got.body != first.body {
 		t.Errorf("got %v, replay %q; want the first answer", got, got.replay)
 	}
--- a/gate/backend.go
+++ b/gate/backend.go
@@ -18,16 +18,16 @@
 const (
 	// ErrRefused means that no connection could be opened: the backend server
 	// got nothing.
-	ErrRefused = errors.ConstError("backend server refused the connection")
-	ErrTimeout = errors.ConstError("backend server didn't answer in time")
-	ErrTorn    = errors.ConstError("backend server's answer broke off")
+	ErrRefused   = errors.ConstError("backend server refused the connection")
+	ErrTimeout   = errors.ConstError("backend server didn't answer in time")
+	ErrTruncated = errors.ConstError("backend server's answer broke off")
 	// ErrCrashed means that the answer broke off since the backend server's process
 	// ended. Do doesn't return it: the gate finds out.
-	ErrCrashed = errors.ConstError("backend server ended while it ran the request")
-	ErrLarge   = errors.ConstError("backend server's answer is over the bound")
-	// ErrForeign means an answer that isn't the backend server's answer to
+	ErrCrashed  = errors.ConstError("backend server ended while it ran the request")
+	ErrTooLarge = errors.ConstError("backend server's answer is over the bound")
+	// ErrMismatchedReply means an answer that isn't the backend server's answer to
 	// this request: without its seal, under another id or recoded.
-	ErrForeign = errors.ConstError("backend server's answer isn't the request's own")
+	ErrMismatchedReply = errors.ConstError("backend server's answer isn't the request's own")
 	// ErrCancelled means that the caller has left.
 	ErrCancelled = errors.ConstError("the caller has left")
 )
@@ -64,8 +64,8 @@
 	Repeatable bool
 }
 
-// Answer is a whole answer of the backend server.
-type Answer struct {
+// Response is a whole answer of the backend server.
+type Response struct {
 	Status  int
 	Headers wire.Headers
 	Body    []byte
@@ -79,10 +79,10 @@
 
 // HTTPConfig configures an HTTP backend.
 type HTTPConfig struct {
-	Address     string
-	Connections int
-	// Limit bounds an answer's body in bytes.
-	Limit int
+	Address        string
+	MaxConnections int
+	// MaxBody bounds an answer's body in bytes.
+	MaxBody int
 	// Headers are the names that the backend server knows; empty ones stand
 	// for DefaultHeaders.
 	Headers Headers
@@ -131,45 +131,45 @@
 // Do sends a request and returns the whole answer. It returns one of the errors
 // above. At the deadline, or when the context ends, it closes the connection,
 // which is how a backend server learns that the request is cancelled.
-func (h *HTTP) Do(ctx context.Context, c *Call) (Answer, error) {
+func (h *HTTP) Do(ctx context.Context, c *Call) (Response, error) {
 	deadline := time.Now().Add(c.Deadline.Duration())
-	conn, err := h.take(ctx, deadline, c.Repeatable)
+	conn, err := h.acquire(ctx, deadline, c.Repeatable)
 	if err != nil {
-		return Answer{}, errors.Trace(err)
+		return Response{}, errors.Trace(err)
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
-	h.fill(request, c)
+	h.buildRequest(request, c)
 	response.Header.DisableNormalizing()
 	response.SkipBody = c.Method == fasthttp.MethodHead
 	err = conn.exchange(ctx, h, request, response, c.ID)
 	if err != nil {
-		h.drop(conn)
-		return Answer{}, h.fault(ctx, conn, err)
+		h.discard(conn)
+		return Response{}, h.classifyError(ctx, conn, err)
 	}
-	answer := h.answerOf(c.Method, response)
-	h.give(conn, response)
+	answer := h.newResponse(c.Method, response)
+	h.release(conn, response)
 	return answer, nil
 }
 
-// fault says why an exchange ended without a whole answer.
-func (*HTTP) fault(ctx context.Context, conn *backendConn, err error) error {
+// classifyError says why an exchange ended without a whole answer.
+func (*HTTP) classifyError(ctx context.Context, conn *backendConn, err error) error {
 	var network net.Error
 	switch {
-	case conn.isOver.Load():
-		return errors.Annotate(ErrTorn, "the backend server started again")
-	case errors.Is(err, ErrForeign), errors.Is(err, ErrLarge):
+	case conn.isObsolete.Load():
+		return errors.Annotate(ErrTruncated, "the backend server started again")
+	case errors.Is(err, ErrMismatchedReply), errors.Is(err, ErrTooLarge):
 		return errors.Trace(err)
 	case ctx.Err() != nil:
 		return errors.Annotate(ErrCancelled, err.Error())
 	case errors.Is(err, fasthttp.ErrTimeout), errors.As(err, &network) && network.Timeout():
 		return errors.Annotate(ErrTimeout, err.Error())
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return errors.Annotate(ErrLarge, err.Error())
+		return errors.Annotate(ErrTooLarge, err.Error())
 	default:
-		return errors.Annotate(ErrTorn, err.Error())
+		return errors.Annotate(ErrTruncated, err.Error())
 	}
 }
 
@@ -179,7 +179,7 @@
 // Probe asks a health endpoint and reports an answer 2xx.
 func (h *HTTP) Probe(path string) bool {
 	ctx := context.Background()
-	conn, err := h.take(ctx, time.Now().Add(probeTimeout.Duration()), true)
+	conn, err := h.acquire(ctx, time.Now().Add(probeTimeout.Duration()), true)
 	if err != nil {
 		return false // a refusal shows with the next request too
 	}
@@ -190,15 +190,15 @@
 	request.SetRequestURI(path)
 	request.Header.SetHost(h.config.Address)
 	if err := conn.exchange(ctx, h, request, response, ""); err != nil {
-		h.drop(conn)
+		h.discard(conn)
 		return false
 	}
 	ok := response.StatusCode()/100 == fasthttp.StatusOK/100
-	h.give(conn, response)
+	h.release(conn, response)
 	return ok
 }
 
-func (h *HTTP) fill(request *fasthttp.Request, c *Call) {
+func (h *HTTP) buildRequest(request *fasthttp.Request, c *Call) {
 	request.Header.DisableNormalizing()
 	request.Header.SetNoDefaultContentType(true)
 	request.Header.SetMethod(c.Method)
@@ -224,8 +224,8 @@
 	}
 }
 
-func (h *HTTP) answerOf(method string, response *fasthttp.Response) Answer {
-	a := Answer{Status: response.StatusCode()}
+func (h *HTTP) newResponse(method string, response *fasthttp.Response) Response {
+	a := Response{Status: response.StatusCode()}
 	a.Body = append(a.Body, response.Body()...)
 	for name, value := range response.Header.All() {
 		if !wire.OfConnection(name) {
@@ -236,8 +236,8 @@
 		// It has no body whose length could tell.
 		a.Headers = a.Headers.Add([]byte(fasthttp.HeaderContentLength), strconv.AppendInt(nil, int64(length), 10))
 	}
-	value, _ := field(response, fasthttp.HeaderRetryAfter)
-	after, told := retryAfter(value)
+	value, _ := headerValue(response, fasthttp.HeaderRetryAfter)
+	after, told := parseRetryAfter(value)
 	a.RetryAfter = after
 	limited := a.Status == fasthttp.StatusTooManyRequests
 	unavailable := a.Status == fasthttp.StatusServiceUnavailable
@@ -246,19 +246,19 @@
 	return a
 }
 
-// retryAfter reads the header's form in seconds, the one that servers under
+// parseRetryAfter reads the header's form in seconds, the one that servers under
 // load use.
-func retryAfter(text []byte) (clock.Millis, bool) {
+func parseRetryAfter(text []byte) (clock.Millis, bool) {
 	if len(text) == 0 {
 		return 0, false
 	}
 	seconds, err := strconv.ParseFloat(string(text), 64)
-	if err != nil || seconds < 0 || seconds > float64(mostRetryAfter) {
+	if err != nil || seconds < 0 || seconds > float64(maxRetryAfter) {
 		return 0, false
 	}
 	return clock.FromDuration(time.Duration(seconds * float64(time.Second))), true
 }
 
-// mostRetryAfter is the longest that a backend server's word is taken for, in
+// maxRetryAfter is the longest that a backend server's word is taken for, in
 // seconds.
-const mostRetryAfter = 3600
+const maxRetryAfter = 3600
--- a/gate/backend_test.go
+++ b/gate/backend_test.go
@@ -64,17 +64,17 @@
 		want    error
 	}{
 		{"nothing listens", closedPort(t), gate.ErrRefused},
-		{"closes without an answer", answering(t, "", false), gate.ErrTorn},
-		{"half a header", answering(t, "HTTP/1.1 200 OK\r\nConte", false), gate.ErrTorn},
-		{"half a body", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", false), gate.ErrTorn},
-		{"no HTTP", answering(t, "220 ready\r\n\r\n", false), gate.ErrTorn},
+		{"closes without an answer", answering(t, "", false), gate.ErrTruncated},
+		{"half a header", answering(t, "HTTP/1.1 200 OK\r\nConte", false), gate.ErrTruncated},
+		{"half a body", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", false), gate.ErrTruncated},
+		{"no HTTP", answering(t, "220 ready\r\n\r\n", false), gate.ErrTruncated},
 		{"silent", answering(t, "", true), gate.ErrTimeout},
-		{"body over the bound", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", false), gate.ErrLarge},
+		{"body over the bound", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", false), gate.ErrTooLarge},
 		{"whole", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false), nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			backend := gate.NewHTTP(gate.HTTPConfig{Address: tt.address, Connections: 1, Limit: 1000})
+			backend := gate.NewHTTP(gate.HTTPConfig{Address: tt.address, MaxConnections: 1, MaxBody: 1000})
 			defer backend.Close()
 			_, err := backend.Do(t.Context(), &gate.Call{Method: "POST", URI: "/x", Deadline: 300})
 			if !errors.Is(err, tt.want) {
@@ -104,11 +104,11 @@
 			got <- n
 		}
 	}()
-	backend := gate.NewHTTP(gate.HTTPConfig{Address: listener.Addr().String(), Connections: 4, Limit: 1000})
+	backend := gate.NewHTTP(gate.HTTPConfig{Address: listener.Addr().String(), MaxConnections: 4, MaxBody: 1000})
 	defer backend.Close()
 	for _, method := range []string{"GET", "POST"} {
-		if _, err := backend.Do(t.Context(), &gate.Call{Method: method, URI: "/x", Deadline: clock.Second}); !errors.Is(err, gate.ErrTorn) {
-			t.Errorf("%s: got error %v, want %v", method, err, gate.ErrTorn)
+		if _, err := backend.Do(t.Context(), &gate.Call{Method: method, URI: "/x", Deadline: clock.Second}); !errors.Is(err, gate.ErrTruncated) {
+			t.Errorf("%s: got error %v, want %v", method, err, gate.ErrTruncated)
 		}
 	}
 	<-got
@@ -134,7 +134,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			backend := gate.NewHTTP(gate.HTTPConfig{Address: answering(t, tt.text, false), Connections: 1, Limit: 1000})
+			backend := gate.NewHTTP(gate.HTTPConfig{Address: answering(t, tt.text, false), MaxConnections: 1, MaxBody: 1000})
 			defer backend.Close()
 			got, err := backend.Do(t.Context(), &gate.Call{Method: "GET", URI: "/x", Deadline: clock.Second})
 			if err != nil {
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -25,10 +25,10 @@
 	closing chan struct{}
 }
 
-func (b *broken) Do(_ context.Context, c *gate.Call) (gate.Answer, error) {
+func (b *broken) Do(_ context.Context, c *gate.Call) (gate.Response, error) {
 	b.begun <- c.ID
 	<-b.end
-	return gate.Answer{}, gate.ErrTorn
+	return gate.Response{}, gate.ErrTruncated
 }
 
 func (b *broken) IsGone() bool {
@@ -40,19 +40,19 @@
 	}
 }
 
-// kept holds the events that were noted.
-type kept struct {
+// retainedReply holds the events that were noted.
+type retainedReply struct {
 	mu    sync.Mutex
 	kinds []access.EventKind
 }
 
-func (k *kept) RecordEvent(e access.Event) {
+func (k *retainedReply) RecordEvent(e access.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.kinds = append(k.kinds, e.Kind)
 }
 
-func (k *kept) count(kind access.EventKind) int {
+func (k *retainedReply) count(kind access.EventKind) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(slices.DeleteFunc(slices.Clone(k.kinds), func(other access.EventKind) bool { return other != kind }))
@@ -75,11 +75,11 @@
 			b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, isGone: tt.isGone}
 			log, told := lines.Silent(), make(lineHook, 8)
 			log.AddHook(told)
-			journal := &kept{}
+			journal := &retainedReply{}
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 3},
-				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: journal, Keys: gate.NewKeys(now), Log: log,
+				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: journal, Keys: gate.NewKeyStore(now), Log: log,
 			})
 			replies := make(chan *wire.Reply, 3)
 			for seq := range uint64(3) {
@@ -134,16 +134,16 @@
 // said is what a node knows of all requests.
 type said struct {
 	mu       sync.Mutex
-	standing quarantine.Standing
+	standing quarantine.Status
 	// asked, if not nil, gets one for each question.
 	asked chan struct{}
 	// succeeded and missed count what the gate told.
 	succeeded, missed int
 	// ended, if not nil, gets the ends that the gate told.
-	ended chan quarantine.End
+	ended chan quarantine.Crash
 }
 
-func (s *said) Standing(*wire.Dispatch) quarantine.Standing {
+func (s *said) Status(*wire.Dispatch) quarantine.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.asked != nil {
@@ -152,25 +152,25 @@
 	return s.standing
 }
 
-func (s *said) Ended(e quarantine.End) {
+func (s *said) RecordCrash(e quarantine.Crash) {
 	if s.ended != nil {
 		s.ended <- e
 	}
 }
 
-func (s *said) Succeeded(*wire.Dispatch) {
+func (s *said) RecordSuccess(*wire.Dispatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.succeeded++
 }
 
-func (s *said) Missed(quarantine.End) {
+func (s *said) RecordInconclusive(quarantine.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.missed++
 }
 
-func (s *said) say(standing quarantine.Standing) {
+func (s *said) say(standing quarantine.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.standing = standing
@@ -179,7 +179,7 @@
 // Guards against suspected requests running beside each other: an end would then speak
 // against all of them.
 func TestSuspectsRunOneAtATime(t *testing.T) {
-	s := &said{standing: quarantine.Standing{Verdict: quarantine.Suspected}, asked: make(chan struct{}, 16)}
+	s := &said{standing: quarantine.Status{Verdict: quarantine.Suspected}, asked: make(chan struct{}, 16)}
 	g, h := gateOf(t, gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 4}, Crashes: s,
 	})
@@ -191,7 +191,7 @@
 	for range 3 {
 		<-s.asked
 	}
-	s.say(quarantine.Standing{IsCleared: true}) // by the first one's end
+	s.say(quarantine.Status{IsCleared: true}) // by the first one's end
 	g.Handle(dispatch(1000, "harmless"), func(r *wire.Reply) { replies <- r })
 	if got := <-h.begun; got != "harmless" {
 		t.Errorf("got %s begun beside the suspect %s, want only the harmless one", got, first)
@@ -211,7 +211,7 @@
 // Guards against a request that is held back reaching the backend server through an entry
 // that hasn't heard of it.
 func TestAQuarantinedRequestIsNotRun(t *testing.T) {
-	s := &said{standing: quarantine.Standing{Verdict: quarantine.Quarantined, Versions: []string{"v1"}}}
+	s := &said{standing: quarantine.Status{Verdict: quarantine.Quarantined, Versions: []string{"v1"}}}
 	for _, tt := range []struct {
 		name    string
 		entry   quarantine.Verdict
@@ -249,8 +249,8 @@
 	told := make(chan struct{}, 8)
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.Brief, Queue: 4}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeys(now), Log: lines.Silent(),
-		Changed: func() { told <- struct{}{} },
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
+		OnChange: func() { told <- struct{}{} },
 	})
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-b.begun
@@ -273,11 +273,11 @@
 // answers is a backend server that gives the same answer to all.
 type answers struct {
 	held
-	answer gate.Answer
+	answer gate.Response
 	err    error
 }
 
-func (a *answers) Do(context.Context, *gate.Call) (gate.Answer, error) {
+func (a *answers) Do(context.Context, *gate.Call) (gate.Response, error) {
 	return a.answer, a.err
 }
 
@@ -286,24 +286,24 @@
 func TestAFailureClearsNobody(t *testing.T) {
 	for _, tt := range []struct {
 		name                      string
-		answer                    gate.Answer
+		answer                    gate.Response
 		err                       error
 		wantSucceeded, wantMissed int
 	}{
-		{"success", gate.Answer{Status: 200}, nil, 1, 0},
-		{"the caller's fault", gate.Answer{Status: 404}, nil, 1, 0},
-		{"failure", gate.Answer{Status: 500}, nil, 0, 1},
-		{"shed", gate.Answer{Status: 503, Shed: true}, nil, 0, 1},
-		{"no answer in time", gate.Answer{}, gate.ErrTimeout, 0, 1},
-		{"nothing sent", gate.Answer{}, gate.ErrRefused, 0, 0},
+		{"success", gate.Response{Status: 200}, nil, 1, 0},
+		{"the caller's fault", gate.Response{Status: 404}, nil, 1, 0},
+		{"failure", gate.Response{Status: 500}, nil, 0, 1},
+		{"shed", gate.Response{Status: 503, Shed: true}, nil, 0, 1},
+		{"no answer in time", gate.Response{}, gate.ErrTimeout, 0, 1},
+		{"nothing sent", gate.Response{}, gate.ErrRefused, 0, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &said{standing: quarantine.Standing{Verdict: quarantine.Suspected}}
+			s := &said{standing: quarantine.Status{Verdict: quarantine.Suspected}}
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
 				Incarnation: incarnation, Now: now, Backend: &answers{answer: tt.answer, err: tt.err}, Pool: newPool(t), Journal: nobody{},
-				Keys: gate.NewKeys(now), Log: lines.Silent(), Crashes: s,
+				Keys: gate.NewKeyStore(now), Log: lines.Silent(), Crashes: s,
 			})
 			replies := make(chan *wire.Reply, 1)
 			g.Handle(dispatch(1, "suspect"), func(r *wire.Reply) { replies <- r })
@@ -319,11 +319,11 @@
 // since its connection broke off a moment before the address was closed.
 func TestACrashIsFoundThoughTheAddressClosesLast(t *testing.T) {
 	b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, closing: make(chan struct{})}
-	s := &said{ended: make(chan quarantine.End, 2)}
+	s := &said{ended: make(chan quarantine.Crash, 2)}
 	now := clock.NewSystem().Now
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 2},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeys(now), Log: lines.Silent(), Crashes: s,
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(), Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 2)
 	for _, name := range []string{"first", "second"} {
--- a/gate/exchange.go
+++ b/gate/exchange.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// idleConnection is shorter than the keep-alive of common HTTP servers, so
+	// defaultIdleTimeout is shorter than the keep-alive of common HTTP servers, so
 	// that a request seldom meets a connection that the other side is closing.
-	idleConnection = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is taken from the span that a backend server announces: its
 	// clock began earlier, and the request needs time to arrive.
 	idleMargin = 500 * time.Millisecond
-	// justUsed is how long after an answer a connection counts as one that the
+	// recentUseWindow is how long after an answer a connection counts as one that the
 	// other side can't have forgotten: servers and what stands between keep
 	// idle connections for seconds.
-	justUsed = 250 * time.Millisecond
-	// mostForeign bounds the late answers to earlier requests that are passed
+	recentUseWindow = 250 * time.Millisecond
+	// maxLateResponses bounds the late answers to earlier requests that are passed
 	// over on one connection.
-	mostForeign = 4
-	bufferSize  = 4 << 10
+	maxLateResponses = 4
+	bufferSize       = 4 << 10
 )
 
 // backendConn is one connection to the backend server.
@@ -37,26 +37,26 @@
 
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// used is when the last answer on it ended, until when an idle one is given
+	// lastUsed is when the last answer on it ended, until when an idle one is given
 	// up.
-	used, until time.Time
-	// isOver says that the process at the other side is gone.
-	isOver atomic.Bool
+	lastUsed, idleUntil time.Time
+	// isObsolete says that the process at the other side is gone.
+	isObsolete atomic.Bool
 }
 
-// take returns a connection: an idle one that still stands, else a new one. A
+// acquire returns a connection: an idle one that still stands, else a new one. A
 // connection that the other side has forgotten resets what is sent next, and
 // whether that ran can't be known: a request that may run once only is put on
 // one that was in use a moment ago, or on a new one. The price is a connection's
 // setup, about 1 ms.
-func (h *HTTP) take(ctx context.Context, deadline time.Time, repeatable bool) (*backendConn, error) {
-	conn, ok := h.reserve(repeatable)
+func (h *HTTP) acquire(ctx context.Context, deadline time.Time, repeatable bool) (*backendConn, error) {
+	conn, ok := h.acquireIdle(repeatable)
 	if conn != nil {
-		h.use(conn)
+		h.markBusy(conn)
 		return conn, errors.Trace(conn.SetDeadline(deadline))
 	}
 	if !ok {
-		return nil, errors.Annotatef(ErrRefused, "%d connections are in use", h.config.Connections)
+		return nil, errors.Annotatef(ErrRefused, "%d connections are in use", h.config.MaxConnections)
 	}
 	dialer := net.Dialer{Timeout: connectTimeout.Duration(), Deadline: deadline}
 	raw, err := dialer.DialContext(ctx, "tcp", h.config.Address)
@@ -74,45 +74,45 @@
 		reader: bufio.NewReaderSize(raw, bufferSize),
 		writer: bufio.NewWriterSize(raw, bufferSize),
 	}
-	h.use(conn)
+	h.markBusy(conn)
 	return conn, nil
 }
 
-func (h *HTTP) use(conn *backendConn) {
+func (h *HTTP) markBusy(conn *backendConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.busy[conn] = struct{}{}
 }
 
-// reserve returns an idle connection that is fit for the request, or nil and
+// acquireIdle returns an idle connection that is fit for the request, or nil and
 // whether a new one may be opened, which is counted then.
-func (h *HTTP) reserve(repeatable bool) (*backendConn, bool) {
+func (h *HTTP) acquireIdle(repeatable bool) (*backendConn, bool) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.idle) > 0 {
 		last := len(h.idle) - 1
 		conn := h.idle[last]
-		recent := now.Sub(conn.used) < justUsed
-		if !repeatable && !recent && h.open < h.config.Connections {
+		recent := now.Sub(conn.lastUsed) < recentUseWindow
+		if !repeatable && !recent && h.open < h.config.MaxConnections {
 			break // it stays for others
 		}
 		h.idle = h.idle[:last]
-		if (repeatable || recent) && now.Before(conn.until) && conn.silent() {
+		if (repeatable || recent) && now.Before(conn.idleUntil) && conn.isIdle() {
 			return conn, true
 		}
 		h.open--
 		_ = conn.Close() // nothing is under way on it
 	}
-	if h.open >= h.config.Connections {
+	if h.open >= h.config.MaxConnections {
 		return nil, false
 	}
 	h.open++
 	return nil, true
 }
 
-// drop closes a connection whose state isn't known.
-func (h *HTTP) drop(conn *backendConn) {
+// discard closes a connection whose state isn't known.
+func (h *HTTP) discard(conn *backendConn) {
 	h.mu.Lock()
 	h.open--
 	delete(h.busy, conn)
@@ -120,16 +120,16 @@
 	_ = conn.Close() // what was to be read is given up
 }
 
-// give keeps a connection for the next request if the answer leaves it fit.
-func (h *HTTP) give(conn *backendConn, response *fasthttp.Response) {
+// release keeps a connection for the next request if the answer leaves it fit.
+func (h *HTTP) release(conn *backendConn, response *fasthttp.Response) {
 	length := response.Header.ContentLength()
 	framed := length >= 0 || length == -1 // by length or in chunks
-	if response.Header.ConnectionClose() || !framed || conn.reader.Buffered() > 0 || conn.isOver.Load() {
-		h.drop(conn)
+	if response.Header.ConnectionClose() || !framed || conn.reader.Buffered() > 0 || conn.isObsolete.Load() {
+		h.discard(conn)
 		return
 	}
-	conn.used = time.Now()
-	conn.until = conn.used.Add(keepFor(response))
+	conn.lastUsed = time.Now()
+	conn.idleUntil = conn.lastUsed.Add(idleTimeout(response))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.busy, conn)
@@ -141,30 +141,30 @@
 	h.idle = append(h.idle, conn)
 }
 
-// keepFor is how long an idle connection is used again: less than the backend
+// idleTimeout is how long an idle connection is used again: less than the backend
 // server says, if it does.
-func keepFor(response *fasthttp.Response) time.Duration {
-	value, ok := field(response, "Keep-Alive")
+func idleTimeout(response *fasthttp.Response) time.Duration {
+	value, ok := headerValue(response, "Keep-Alive")
 	if !ok {
-		return idleConnection
+		return defaultIdleTimeout
 	}
 	_, text, ok := bytes.Cut(value, []byte("timeout="))
 	if !ok {
-		return idleConnection
+		return defaultIdleTimeout
 	}
 	if end := bytes.IndexByte(text, ','); end >= 0 {
 		text = text[:end]
 	}
 	seconds, err := strconv.Atoi(string(bytes.TrimSpace(text)))
 	if err != nil {
-		return idleConnection
+		return defaultIdleTimeout
 	}
-	return min(idleConnection, max(time.Duration(seconds)*time.Second-idleMargin, 0))
+	return min(defaultIdleTimeout, max(time.Duration(seconds)*time.Second-idleMargin, 0))
 }
 
-// silent reports whether the other side has neither closed an idle connection
+// isIdle reports whether the other side has neither closed an idle connection
 // nor sent anything on it: such bytes belong to no request.
-func (c *backendConn) silent() bool {
+func (c *backendConn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -200,11 +200,11 @@
 	if err := c.writer.Flush(); err != nil {
 		return errors.Annotate(err, "writing the request")
 	}
-	for range mostForeign {
-		if err := response.ReadLimitBody(c.reader, h.config.Limit); err != nil {
+	for range maxLateResponses {
+		if err := response.ReadLimitBody(c.reader, h.config.MaxBody); err != nil {
 			return errors.Annotate(err, "reading the answer")
 		}
-		if own, err := h.own(response, id); own || err != nil {
+		if own, err := h.matches(response, id); own || err != nil {
 			if !stop() && err == nil {
 				// The caller left while the last byte came: the connection is being
 				// broken off and isn't fit for another request.
@@ -213,31 +213,31 @@
 			return err
 		}
 	}
-	return errors.Annotatef(ErrForeign, "%d answers to other requests", mostForeign)
+	return errors.Annotatef(ErrMismatchedReply, "%d answers to other requests", maxLateResponses)
 }
 
-// own reports whether an answer is the request's own, and an error if it can't
+// matches reports whether an answer is the request's own, and an error if it can't
 // be passed on. An answer under another id is a late one to an earlier request
 // on the connection: the request's own still comes.
-func (h *HTTP) own(response *fasthttp.Response, id string) (bool, error) {
+func (h *HTTP) matches(response *fasthttp.Response, id string) (bool, error) {
 	names := &h.config.Headers
 	if names.Instance == "" || id == "" {
 		return true, nil
 	}
-	echoed, ok := field(response, names.Request)
+	echoed, ok := headerValue(response, names.Request)
 	switch {
 	case !ok && names.notRun(response):
 		return true, nil // a refusal before the request was read
 	case !ok:
-		return false, errors.Annotate(ErrForeign, "it has no request id")
+		return false, errors.Annotate(ErrMismatchedReply, "it has no request id")
 	case string(echoed) != id:
 		return false, nil
 	}
-	if _, ok := field(response, fasthttp.HeaderContentEncoding); ok {
-		return false, errors.Annotate(ErrForeign, "its body is recoded")
+	if _, ok := headerValue(response, fasthttp.HeaderContentEncoding); ok {
+		return false, errors.Annotate(ErrMismatchedReply, "its body is recoded")
 	}
-	if _, ok := field(response, names.Seal); !ok && response.StatusCode() < fasthttp.StatusBadRequest {
-		return false, errors.Annotate(ErrForeign, "a success without a seal")
+	if _, ok := headerValue(response, names.Seal); !ok && response.StatusCode() < fasthttp.StatusBadRequest {
+		return false, errors.Annotate(ErrMismatchedReply, "a success without a seal")
 	}
 	return true, nil
 }
--- a/gate/exchange_test.go
+++ b/gate/exchange_test.go
@@ -69,7 +69,7 @@
 
 func (u *upstream) backend(t *testing.T) *gate.HTTP {
 	t.Helper()
-	h := gate.NewHTTP(gate.HTTPConfig{Address: u.address, Connections: 2, Limit: 1000, Headers: sealed, Instance: "i-1"})
+	h := gate.NewHTTP(gate.HTTPConfig{Address: u.address, MaxConnections: 2, MaxBody: 1000, Headers: sealed, Instance: "i-1"})
 	t.Cleanup(h.Close)
 	return h
 }
@@ -87,10 +87,10 @@
 	}{
 		{"own", whole, nil},
 		{"late answer of another first", "HTTP/1.1 200 OK\r\nId: a\r\nSeal: s\r\nContent-Length: 1\r\n\r\nx" + whole, nil},
-		{"no id", "HTTP/1.1 200 OK\r\nSeal: s\r\nContent-Length: 1\r\n\r\nx", gate.ErrForeign},
-		{"no seal", "HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 1\r\n\r\nx", gate.ErrForeign},
-		{"recoded", "HTTP/1.1 200 OK\r\nId: b\r\nSeal: s\r\nContent-Encoding: br\r\nContent-Length: 1\r\n\r\nx", gate.ErrForeign},
-		{"no answer at all", "\x00\x01\x02garbage\r\n\r\n", gate.ErrTorn},
+		{"no id", "HTTP/1.1 200 OK\r\nSeal: s\r\nContent-Length: 1\r\n\r\nx", gate.ErrMismatchedReply},
+		{"no seal", "HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 1\r\n\r\nx", gate.ErrMismatchedReply},
+		{"recoded", "HTTP/1.1 200 OK\r\nId: b\r\nSeal: s\r\nContent-Encoding: br\r\nContent-Length: 1\r\n\r\nx", gate.ErrMismatchedReply},
+		{"no answer at all", "\x00\x01\x02garbage\r\n\r\n", gate.ErrTruncated},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -180,7 +180,7 @@
 // the upstream learns of it; without that the slot stays taken.
 func TestCancelledCallEndsAtOnce(t *testing.T) {
 	address := answering(t, "", true)
-	backend := gate.NewHTTP(gate.HTTPConfig{Address: address, Connections: 1, Limit: 1000})
+	backend := gate.NewHTTP(gate.HTTPConfig{Address: address, MaxConnections: 1, MaxBody: 1000})
 	defer backend.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -27,28 +27,28 @@
 // Backend runs one request at the backend server, errors as HTTP.Do returns
 // them.
 type Backend interface {
-	Do(ctx context.Context, c *Call) (Answer, error)
+	Do(ctx context.Context, c *Call) (Response, error)
 	// Probe asks the backend server's health endpoint.
 	Probe(path string) bool
 	// IsGone reports whether the backend server's process has ended.
 	IsGone() bool
-	// Renew takes in that the backend server is another process from now on.
-	Renew()
+	// ResetConnections takes in that the backend server is another process from now on.
+	ResetConnections()
 	Close()
 }
 
-// Judge holds the verdict on the upstream.
-type Judge interface {
+// Detector holds the verdict on the upstream.
+type Detector interface {
 	Admit(now clock.Millis, repeatable bool) bool
 	Observe(now clock.Millis, o health.Observation) bool
 	SetBaseline(b health.Baseline)
 	Status(now clock.Millis) health.Status
-	Own() health.Baseline
+	LocalBaseline() health.Baseline
 	OverdueAfter() clock.Millis
 }
 
-// judgeOf returns the judge that a service's caution asks for.
-func judgeOf(caution table.Caution, seed uint64) Judge {
+// newDetector returns the judge that a service's caution asks for.
+func newDetector(caution table.Caution, seed uint64) Detector {
 	if caution == table.Brief {
 		return grade.NewDetector()
 	}
@@ -60,9 +60,9 @@
 	RecordEvent(e access.Event)
 }
 
-// Refusals counts dispatches that a gate refused to run.
-type Refusals interface {
-	Refused(service, upstream string, reason wire.Reason)
+// RefusalRecorder counts dispatches that a gate refused to run.
+type RefusalRecorder interface {
+	RecordRefusal(service, upstream string, reason wire.Reason)
 }
 
 // Config configures a Gate.
@@ -75,69 +75,69 @@
 	Backend     Backend
 	Pool        *ants.Pool
 	Journal     Journal
-	// Changed is told of news that entries should hear at once; it may be nil
+	// OnChange is told of news that entries should hear at once; it may be nil
 	// and must not block.
-	Changed func()
-	// Excused reports whether a call that the backend server made through this
+	OnChange func()
+	// DependencyFailed reports whether a call that the backend server made through this
 	// node failed within a span: what failed then may not be its own fault. It
 	// may be nil.
-	Excused func(from, to clock.Millis) bool
-	// Invite asks an entry, or any one for entry 0, for a request, and returns
+	DependencyFailed func(from, to clock.Millis) bool
+	// RequestWork asks an entry, or any one for entry 0, for a request, and returns
 	// false where it can't be reached. It may be nil and must not block.
-	Invite func(entry uint64, i *wire.Invitation) bool
-	// Stalled tells an entry that a run most likely comes to no end. It may be nil and must
+	RequestWork func(entry uint64, i *wire.Invitation) bool
+	// OnHung tells an entry that a run most likely comes to no end. It may be nil and must
 	// not block.
-	Stalled func(entry uint64, s *wire.Stalled)
+	OnHung func(entry uint64, s *wire.Stalled)
 	// Crashes may be nil.
-	Crashes Crashes
+	Crashes CrashTracker
 	// Refusals may be nil.
-	Refusals Refusals
+	Refusals RefusalRecorder
 	// Keys is shared by all gates of a node.
-	Keys *Keys
-	// Before is the gate that an upstream of this name had before; nil without.
-	Before *Gate
-	Log    logrus.FieldLogger
+	Keys *KeyStore
+	// Previous is the gate that an upstream of this name had before; nil without.
+	Previous *Gate
+	Log      logrus.FieldLogger
 }
 
 // Gate guards one upstream. It is safe for concurrent use.
 type Gate struct {
-	config Config
-	log    logrus.FieldLogger
-	made   clock.Millis
-	before atomic.Pointer[Gate]
+	config    Config
+	log       logrus.FieldLogger
+	createdAt clock.Millis
+	previous  atomic.Pointer[Gate]
 
 	mu       sync.Mutex
 	service  table.Service
 	upstream table.Upstream
-	fence    *lease.Fence[*wire.Reply]
-	judge    Judge
+	dedup    *lease.Deduplicator[*wire.Reply]
+	detector Detector
 	slots    *limit.Slots
 	quota    *retry.Quota
 	jobs     map[uint64]*job
-	// places are the enquiries that wait, by ticket, and holds the slots kept for
+	// waiters are the enquiries that wait, by ticket, and holds the slots kept for
 	// dispatches that were announced.
-	places  map[uint64]*place
-	holds   map[lease.Key]*time.Timer
-	tickets uint64
+	waiters      map[uint64]*waiter
+	reservations map[lease.Key]*time.Timer
+	lastTicket   uint64
 	// senders are the entries that lately sent what may be repeated; invited counts
 	// the invitations that they got.
-	senders []uint64
-	invited int
-	leaving bool // for good since endedAt, as the node is shutting down or has another gate
-	endedAt clock.Millis
-	listed  bool // as the instance list says
-	leftAt  clock.Millis
-	state   health.State
-	level   grade.Level
-	// life counts the processes that the upstream has been.
-	life  int
-	crash crash
-	// finished holds marks of requests that succeeded in this process.
-	finished []uint64
-	// suspect is the ticket of the suspected request that runs, parked those that wait
+	senders       []uint64
+	workRequests  int
+	leaving       bool // for good since endedAt, as the node is shutting down or has another gate
+	endedAt       clock.Millis
+	listedLeaving bool // as the instance list says
+	leavingSince  clock.Millis
+	state         health.State
+	level         grade.Level
+	// generation counts the processes that the upstream has been.
+	generation int
+	crash      crashState
+	// succeeded holds marks of requests that succeeded in this process.
+	succeeded []uint64
+	// trialTicket is the ticket of the suspected request that runs, parked those that wait
 	// for its end, each with a slot.
-	suspect uint64
-	parked  []*job
+	trialTicket uint64
+	parked      []*job
 }
 
 // job is one dispatch that waits for a slot or runs.
@@ -146,54 +146,54 @@
 	answer   func(*wire.Reply)
 	key      lease.Key
 	ticket   uint64
-	until    clock.Millis
+	deadline clock.Millis
 	running  bool
 	overdue  bool
 	// run is the judge's own of it, nil where that keeps none.
 	run *grade.Run
-	// life is the upstream's when the run began. One of a process that is gone holds
+	// generation is the upstream's when the run began. One of a process that is gone holds
 	// no slot, and speaks for or against nobody.
-	life  int
-	began clock.Millis
+	generation int
+	began      clock.Millis
 	// isTrial says that it runs as a suspect, beside no other one.
 	isTrial bool
 	timer   *time.Timer
-	// abandon breaks off the call; it is set while it runs.
-	abandon context.CancelFunc
+	// cancel breaks off the call; it is set while it runs.
+	cancel  context.CancelFunc
 	refusal *wire.Reply // when its key may not run here
 }
 
 // New returns a gate that admits requests.
 func New(c Config) *Gate {
 	g := &Gate{
-		config:   c,
-		log:      c.Log.WithFields(logrus.Fields{"service": c.Service.Name, "upstream": c.Upstream.Name}),
-		made:     c.Now(),
-		service:  c.Service,
-		upstream: c.Upstream,
-		fence:    lease.NewFence[*wire.Reply](c.Incarnation),
-		judge:    judgeOf(c.Service.Caution, c.Seed),
-		slots:    limit.NewSlots(slotsOf(&c.Service, &c.Upstream, c.Seed)),
-		quota:    retry.NewQuota(c.Now(), quotaOf(&c.Service)),
-		jobs:     map[uint64]*job{},
-		places:   map[uint64]*place{},
-		holds:    map[lease.Key]*time.Timer{},
+		config:       c,
+		log:          c.Log.WithFields(logrus.Fields{"service": c.Service.Name, "upstream": c.Upstream.Name}),
+		createdAt:    c.Now(),
+		service:      c.Service,
+		upstream:     c.Upstream,
+		dedup:        lease.NewDeduplicator[*wire.Reply](c.Incarnation),
+		detector:     newDetector(c.Service.Caution, c.Seed),
+		slots:        limit.NewSlots(slotsOf(&c.Service, &c.Upstream, c.Seed)),
+		quota:        retry.NewQuota(c.Now(), quotaOf(&c.Service)),
+		jobs:         map[uint64]*job{},
+		waiters:      map[uint64]*waiter{},
+		reservations: map[lease.Key]*time.Timer{},
 	}
-	g.before.Store(c.Before)
-	if c.Invite != nil {
-		time.AfterFunc(inviteEvery.Duration(), g.invite)
+	g.previous.Store(c.Previous)
+	if c.RequestWork != nil {
+		time.AfterFunc(workRequestInterval.Duration(), g.requestWork)
 	}
 	return g
 }
 
-// placesPerSlot is how many places there are in a queue for each slot where
+// queuePerSlot is how many places there are in a queue for each slot where
 // requests wait at several gates at once: most of the places are given up again.
-const placesPerSlot = 3
+const queuePerSlot = 3
 
 func slotsOf(s *table.Service, u *table.Upstream, seed uint64) limit.SlotsConfig {
 	c := limit.SlotsConfig{Slots: u.Slots, Queue: s.Queue, Seed: seed}
 	if s.Caution == table.Brief {
-		c.Queue = max(c.Queue, placesPerSlot*u.Slots)
+		c.Queue = max(c.Queue, queuePerSlot*u.Slots)
 	}
 	return c
 }
@@ -207,60 +207,60 @@
 func (g *Gate) Handle(d *wire.Dispatch, answer func(*wire.Reply)) {
 	now := g.config.Now()
 	key := d.ID.Key(d.Attempt)
-	if before, ok := g.before.Load().remembers(key); ok {
+	if before, ok := g.previous.Load().findGate(key); ok {
 		before.Handle(d, answer)
 		return
 	}
 	g.mu.Lock()
-	verdict := g.fence.Take(now, key, d.Incarnation, d.Lease)
+	verdict := g.dedup.Accept(now, key, d.Incarnation, d.Lease)
 	if verdict == lease.Duplicate {
 		g.mu.Unlock()
 		return
 	}
-	g.learn(d)
-	g.noteSender(d.ID.Entry, d.Repeatable)
-	if reply, ok := g.known(now, d); ok && verdict == lease.Fresh {
-		g.keep(now, &job{key: key}, reply)
+	g.updateBaseline(d)
+	g.recordSender(d.ID.Entry, d.Repeatable)
+	if reply, ok := g.keyRefusal(now, d); ok && verdict == lease.Fresh {
+		g.recordReply(now, &job{key: key}, reply)
 		g.mu.Unlock()
 		answer(reply)
 		return
 	}
-	if g.takeHold(key) {
-		g.runHeld(now, key, verdict, d, answer)
+	if g.takeReservation(key) {
+		g.runReserved(now, key, verdict, d, answer)
 		return
 	}
-	if d.Verdict == uint8(quarantine.Quarantined) && g.standing(d) == quarantine.Refuse {
+	if d.Verdict == uint8(quarantine.Quarantined) && g.quarantineAdmission(d) == quarantine.Refuse {
 		g.refuse(now, key, d, answer, wire.ReasonQuarantined, 0) // at once, and not after a wait for a slot
 		return
 	}
-	reason, after := g.refusal(now, verdict, admission{isRepeatable: d.Repeatable, isRetry: d.Retry, isForced: d.Forced})
+	reason, after := g.refusalReason(now, verdict, admission{isRepeatable: d.Repeatable, isRetry: d.Retry, isForced: d.Forced})
 	if reason != "" {
 		g.refuse(now, key, d, answer, reason, after)
 		return
 	}
-	g.offer(now, key, d, answer)
+	g.schedule(now, key, d, answer)
 }
 
-// learn takes over the service's baseline as the entry sees it.
-func (g *Gate) learn(d *wire.Dispatch) {
+// updateBaseline takes over the service's baseline as the entry sees it.
+func (g *Gate) updateBaseline(d *wire.Dispatch) {
 	if d.Baseline.Known {
-		g.judge.SetBaseline(d.Baseline.Plain())
+		g.detector.SetBaseline(d.Baseline.Plain())
 	}
 }
 
-// runHeld runs a dispatch in the slot that was kept for it. It was admitted when
+// runReserved runs a dispatch in the slot that was kept for it. It was admitted when
 // that was asked for; what can have changed since ends it. It unlocks the gate.
-func (g *Gate) runHeld(now clock.Millis, key lease.Key, verdict lease.Verdict, d *wire.Dispatch, answer func(*wire.Reply)) {
+func (g *Gate) runReserved(now clock.Millis, key lease.Key, verdict lease.Verdict, d *wire.Dispatch, answer func(*wire.Reply)) {
 	until := min(now+d.Budget, d.Lease)
-	if verdict == lease.Fresh && !g.left() && !g.crash.isDown && now < until {
-		g.tickets++
-		j := &job{dispatch: d, answer: answer, key: key, ticket: g.tickets, until: until}
+	if verdict == lease.Fresh && !g.isLeaving() && !g.crash.isDown && now < until {
+		g.lastTicket++
+		j := &job{dispatch: d, answer: answer, key: key, ticket: g.lastTicket, deadline: until}
 		g.jobs[j.ticket] = j
 		g.mu.Unlock()
 		g.start(j)
 		return
 	}
-	calls := g.release(now)
+	calls := g.releaseSlot(now)
 	reason := wire.ReasonLeaving
 	switch {
 	case verdict != lease.Fresh:
@@ -272,16 +272,16 @@
 	callAll(calls)
 }
 
-// offer gives a dispatch a slot, a place in the queue, or a refusal. It
+// schedule gives a dispatch a slot, a place in the queue, or a refusal. It
 // unlocks the gate.
-func (g *Gate) offer(now clock.Millis, key lease.Key, d *wire.Dispatch, answer func(*wire.Reply)) {
-	g.tickets++
-	j := &job{dispatch: d, answer: answer, key: key, ticket: g.tickets, until: min(now+d.Budget, d.Lease)}
-	patience := j.until
+func (g *Gate) schedule(now clock.Millis, key lease.Key, d *wire.Dispatch, answer func(*wire.Reply)) {
+	g.lastTicket++
+	j := &job{dispatch: d, answer: answer, key: key, ticket: g.lastTicket, deadline: min(now+d.Budget, d.Lease)}
+	patience := j.deadline
 	if d.Bounded {
 		patience = now
 	}
-	offer := g.slots.Acquire(now, limit.Request{Ticket: j.ticket, Deadline: j.until, Until: patience, Priority: d.Priority})
+	offer := g.slots.Acquire(now, limit.Request{Ticket: j.ticket, Deadline: j.deadline, Until: patience, Priority: d.Priority})
 	switch offer.Result {
 	case limit.Run:
 		g.jobs[j.ticket] = j
@@ -289,8 +289,8 @@
 		g.start(j)
 	case limit.Wait:
 		g.jobs[j.ticket] = j
-		j.timer = time.AfterFunc((patience - now + 1).Duration(), g.expire)
-		late := g.late(now) // whose place it may have taken
+		j.timer = time.AfterFunc((patience - now + 1).Duration(), g.expireWaiters)
+		late := g.refuseExpired(now) // whose place it may have taken
 		g.mu.Unlock()
 		callAll(late)
 	case limit.Late:
@@ -304,15 +304,15 @@
 func (g *Gate) Update(s table.Service, u table.Upstream) {
 	g.mu.Lock()
 	if s.Caution != g.service.Caution {
-		g.judge = judgeOf(s.Caution, g.config.Seed)
+		g.detector = newDetector(s.Caution, g.config.Seed)
 	}
-	before, started := g.left(), g.upstream.Started
+	before, started := g.isLeaving(), g.upstream.Started
 	g.service, g.upstream = s, u
 	g.quota.Adjust(quotaOf(&s))
-	late := g.noteLeft(before, "zero weight")
-	late = append(late, g.late(g.config.Now())...) // first: a new slot must not go to one of them
+	late := g.startLeaving(before, "zero weight")
+	late = append(late, g.refuseExpired(g.config.Now())...) // first: a new slot must not go to one of them
 	now := g.config.Now()
-	late = append(late, g.turns(now, g.slots.Resize(slotsOf(&s, &u, g.config.Seed)))...)
+	late = append(late, g.startWaiters(now, g.slots.Resize(slotsOf(&s, &u, g.config.Seed)))...)
 	if started != u.Started {
 		late = append(late, g.restart(now)...)
 	}
@@ -320,12 +320,12 @@
 	callAll(late)
 }
 
-// Probe asks the backend server's health endpoint, if the table names one, and
+// ProbeHealth asks the backend server's health endpoint, if the table names one, and
 // takes the result in. It blocks for the answer.
-func (g *Gate) Probe() {
+func (g *Gate) ProbeHealth() {
 	g.mu.Lock()
 	path := g.service.Probe
-	judge, heeds := g.judge.(prober)
+	judge, heeds := g.detector.(probeRecorder)
 	g.mu.Unlock()
 	if path == "" || !heeds {
 		return
@@ -334,18 +334,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	judge.Probed(now, ok)
-	g.noteState(now)
+	judge.RecordProbe(now, ok)
+	g.recordState(now)
 }
 
-// prober is a judge that heeds probes. Each takes 25 ms of a slot, and where health
+// probeRecorder is a judge that heeds probes. Each takes 25 ms of a slot, and where health
 // answers say that all is well in an episode, too, they are in vain.
-type prober interface {
-	Probed(now clock.Millis, ok bool)
+type probeRecorder interface {
+	RecordProbe(now clock.Millis, ok bool)
 }
 
-// Busy returns how many requests wait or run.
-func (g *Gate) Busy() int {
+// Pending returns how many requests wait or run.
+func (g *Gate) Pending() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.jobs)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -23,23 +23,23 @@
 	isFailing bool
 }
 
-func (h *held) Do(ctx context.Context, c *gate.Call) (gate.Answer, error) {
+func (h *held) Do(ctx context.Context, c *gate.Call) (gate.Response, error) {
 	h.begun <- c.ID
 	select {
 	case <-h.end:
 		if h.isFailing {
-			return gate.Answer{Status: 500}, nil
+			return gate.Response{Status: 500}, nil
 		}
-		return gate.Answer{Status: 200}, nil
+		return gate.Response{Status: 200}, nil
 	case <-ctx.Done():
-		return gate.Answer{}, gate.ErrCancelled
+		return gate.Response{}, gate.ErrCancelled
 	}
 }
 
 func (*held) Probe(string) bool { return true }
 func (*held) IsGone() bool      { return false }
 func (*held) Close()            {}
-func (*held) Renew()            {}
+func (*held) ResetConnections() {}
 
 type nobody struct{}
 
@@ -58,21 +58,21 @@
 	t.Helper()
 	s := table.Service{Name: "conferme", Caution: table.Brief, Queue: 4}
 	u := table.Upstream{Name: "c1", Weight: 100, Slots: 1}
-	g, h := gateOf(t, gate.Config{Service: s, Upstream: u, Changed: changed})
+	g, h := gateOf(t, gate.Config{Service: s, Upstream: u, OnChange: changed})
 	return g, h, s, u
 }
 
 // gateAfter returns a gate of an upstream that had another one before.
 func gateAfter(t *testing.T, before *gate.Gate, s table.Service, u table.Upstream) (*gate.Gate, *held) {
 	t.Helper()
-	return gateOf(t, gate.Config{Service: s, Upstream: u, Before: before})
+	return gateOf(t, gate.Config{Service: s, Upstream: u, Previous: before})
 }
 
 func gateOf(t *testing.T, c gate.Config) (*gate.Gate, *held) {
 	t.Helper()
 	h := &held{begun: make(chan string, 8), end: make(chan struct{})}
 	c.Incarnation, c.Now, c.Backend, c.Pool, c.Journal, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), nobody{}, lines.Silent()
-	c.Keys = gate.NewKeys(c.Now)
+	c.Keys = gate.NewKeyStore(c.Now)
 	return gate.New(c), h
 }
 
@@ -106,7 +106,7 @@
 // enquire asks for a slot and waits for the answer.
 func enquire(g *gate.Gate, e *wire.Enquiry) *wire.Hold {
 	answers := make(chan *wire.Hold, 1)
-	g.Enquire(e, func(h *wire.Hold) { answers <- h })
+	g.ProbeCapacity(e, func(h *wire.Hold) { answers <- h })
 	return <-answers
 }
 
@@ -154,7 +154,7 @@
 		d.Repeatable = repeatable
 		g.Handle(d, func(r *wire.Reply) { replies <- r })
 		<-h.begun
-		g.Settle(&wire.Settle{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease, Abandon: true})
+		g.Resolve(&wire.Settle{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease, Abandon: true})
 		if !repeatable {
 			close(h.end)
 		}
@@ -202,9 +202,9 @@
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	first, second := make(chan *wire.Hold, 1), make(chan *wire.Hold, 1)
-	g.Enquire(waiting(2), func(h *wire.Hold) { first <- h })
-	g.Enquire(waiting(3), func(h *wire.Hold) { second <- h })
-	g.Waive(waiveOf(waiting(2)))
+	g.ProbeCapacity(waiting(2), func(h *wire.Hold) { first <- h })
+	g.ProbeCapacity(waiting(3), func(h *wire.Hold) { second <- h })
+	g.ReleaseReservation(waiveOf(waiting(2)))
 	close(h.end)
 	if got := <-second; !got.Held {
 		t.Errorf("got %s for the second in line, want the slot kept for it", got.Reason)
@@ -224,7 +224,7 @@
 		if got := enquire(g, e); !got.Held {
 			t.Fatalf("enquiry %d: got %s, want the slot", seq, got.Reason)
 		}
-		g.Waive(waiveOf(e))
+		g.ReleaseReservation(waiveOf(e))
 	}
 }
 
@@ -235,7 +235,7 @@
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	told := make(chan *wire.Hold, 1)
-	g.Enquire(waiting(2), func(h *wire.Hold) { told <- h })
+	g.ProbeCapacity(waiting(2), func(h *wire.Hold) { told <- h })
 	u.Weight = 0
 	g.Update(s, u)
 	if got := <-told; got.Held || got.Reason != wire.ReasonLeaving {
@@ -317,8 +317,8 @@
 	return gate.New(gate.Config{
 		Service:  table.Service{Name: "conferme", Caution: table.Brief, Queue: 4},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1}, Incarnation: incarnation, Now: now, Backend: h,
-		Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeys(now), Log: lines.Silent(),
-		Invite: func(entry uint64, _ *wire.Invitation) bool {
+		Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
+		RequestWork: func(entry uint64, _ *wire.Invitation) bool {
 			invite(entry)
 			return true
 		},
@@ -350,8 +350,8 @@
 		s.Caution, s.Probe = tt.caution, "/health"
 		now := clock.NewSystem().Now
 		gate.New(gate.Config{
-			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: nobody{}, Keys: gate.NewKeys(now), Log: lines.Silent(),
-		}).Probe()
+			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
+		}).ProbeHealth()
 		if b.probes != tt.want {
 			t.Errorf("%s: got %d probes, want %d", tt.caution, b.probes, tt.want)
 		}
--- a/gate/headers.go
+++ b/gate/headers.go
@@ -45,7 +45,7 @@
 
 // notRun reports whether the backend server says that it did not begin.
 func (h *Headers) notRun(response *fasthttp.Response) bool {
-	value, ok := field(response, h.NotRun)
+	value, ok := headerValue(response, h.NotRun)
 	status := response.StatusCode()
 	if h.NotRunValue == "" {
 		return ok || (h.Instance != "" && status == fasthttp.StatusMisdirectedRequest)
@@ -54,8 +54,8 @@
 	return ok && forLoad && string(value) == h.NotRunValue
 }
 
-// field returns a header of an answer. Names compare without regard to case.
-func field(response *fasthttp.Response, name string) ([]byte, bool) {
+// headerValue returns a header of an answer. Names compare without regard to case.
+func headerValue(response *fasthttp.Response, name string) ([]byte, bool) {
 	if name == "" {
 		return nil, false
 	}
--- a/gate/invite.go
+++ b/gate/invite.go
@@ -9,67 +9,67 @@
 )
 
 const (
-	// inviteEvery is the span between two invitations while the upstream wants a
+	// workRequestInterval is the span between two invitations while the upstream wants a
 	// request: an entry has its next one some time later, or none.
-	inviteEvery = 100 * clock.Millis(1)
-	// inviteFor is how long an invitation stands: long enough for an entry with a
+	workRequestInterval = 100 * clock.Millis(1)
+	// workRequestTTL is how long an invitation stands: long enough for an entry with a
 	// request every other second.
-	inviteFor = clock.Second
-	// mostSenders is how many entries are remembered: with some that have left
+	workRequestTTL = clock.Second
+	// maxSenders is how many entries are remembered: with some that have left
 	// since, enough to reach one that has a request soon.
-	mostSenders = 32
-	// leastInvited is how many entries are invited in turn at least: a gate that knows
+	maxSenders = 32
+	// minWorkTargets is how many entries are invited in turn at least: a gate that knows
 	// fewer that have sent it requests asks any others beside these. An upstream far
 	// from all callers is chosen by nobody, and the one entry that followed an
 	// invitation may have no next request for seconds.
-	leastInvited = 8
+	minWorkTargets = 8
 )
 
-// seeker is a judge that wants a request where an upstream has got none for long.
-type seeker interface {
-	Wants(now clock.Millis) bool
+// idleDetector is a judge that wants a request where an upstream has got none for long.
+type idleDetector interface {
+	NeedsRequest(now clock.Millis) bool
 }
 
-// noteSender remembers an entry that sends what may be repeated. The gate's lock
+// recordSender remembers an entry that sends what may be repeated. The gate's lock
 // is held.
-func (g *Gate) noteSender(entry uint64, isRepeatable bool) {
+func (g *Gate) recordSender(entry uint64, isRepeatable bool) {
 	if !isRepeatable || slices.Contains(g.senders, entry) {
 		return
 	}
-	if len(g.senders) >= mostSenders {
+	if len(g.senders) >= maxSenders {
 		g.senders = slices.Delete(g.senders, 0, 1)
 	}
 	g.senders = append(g.senders, entry)
 }
 
-// invite asks one entry after the other for a request while the upstream wants
+// requestWork asks one entry after the other for a request while the upstream wants
 // one, until the gate leaves.
-func (g *Gate) invite() {
+func (g *Gate) requestWork() {
 	g.mu.Lock()
 	if g.leaving {
 		g.mu.Unlock()
 		return
 	}
 	wants := false
-	if judge, ok := g.judge.(seeker); ok && !g.left() {
-		wants = judge.Wants(g.config.Now())
+	if judge, ok := g.detector.(idleDetector); ok && !g.isLeaving() {
+		wants = judge.NeedsRequest(g.config.Now())
 	}
 	entry := uint64(0)
 	if wants {
-		entry = g.nextInvited()
+		entry = g.nextWorkTarget()
 	}
 	name := g.upstream.Name
 	g.mu.Unlock()
-	if wants && !g.config.Invite(entry, &wire.Invitation{Upstream: name, For: inviteFor}) {
+	if wants && !g.config.RequestWork(entry, &wire.Invitation{Upstream: name, For: workRequestTTL}) {
 		g.forgetSender(entry)
 	}
-	time.AfterFunc(inviteEvery.Duration(), g.invite)
+	time.AfterFunc(workRequestInterval.Duration(), g.requestWork)
 }
 
-// nextInvited is the entry whose turn it is, 0 for any one. The gate's lock is held.
-func (g *Gate) nextInvited() uint64 {
-	g.invited++
-	if turn := g.invited % max(len(g.senders), leastInvited); turn < len(g.senders) {
+// nextWorkTarget is the entry whose turn it is, 0 for any one. The gate's lock is held.
+func (g *Gate) nextWorkTarget() uint64 {
+	g.workRequests++
+	if turn := g.workRequests % max(len(g.senders), minWorkTargets); turn < len(g.senders) {
 		return g.senders[turn]
 	}
 	return 0
--- a/gate/journal.go
+++ b/gate/journal.go
@@ -10,15 +10,15 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-func (g *Gate) note(e access.Event) {
+func (g *Gate) recordEvent(e access.Event) {
 	e.Service, e.Upstream, e.Node = g.service.Name, g.upstream.Name, g.upstream.Node
 	g.config.Journal.RecordEvent(e)
 }
 
-// noteState journals a change of the verdict.
-func (g *Gate) noteState(now clock.Millis) {
-	s := g.judge.Status(now)
-	g.noteLevel(s.Severity)
+// recordState journals a change of the verdict.
+func (g *Gate) recordState(now clock.Millis) {
+	s := g.detector.Status(now)
+	g.publishLevel(s.Severity)
 	if s.State == g.state {
 		return
 	}
@@ -28,7 +28,7 @@
 		e.Until = s.Until
 		e.Evidence = evidenceOf(s.Evidence)
 	}
-	g.note(e)
+	g.recordEvent(e)
 	g.log.WithFields(logrus.Fields{
 		"state":    s.State.String(),
 		"evidence": e.Evidence,
@@ -36,17 +36,17 @@
 	}).Info("verdict changed")
 }
 
-// noteLevel tells entries at once of a severity that changes where they send. The
+// publishLevel tells entries at once of a severity that changes where they send. The
 // next heartbeat or reply may be a second away, in which 24 entries would give
 // a failing upstream some ten more requests.
-func (g *Gate) noteLevel(severity float64) {
+func (g *Gate) publishLevel(severity float64) {
 	if g.service.Caution != table.Brief {
 		return
 	}
 	before := g.level
 	g.level = grade.LevelOf(severity)
-	if g.config.Changed != nil && grade.ShouldAnnounce(before, g.level) {
-		g.config.Changed()
+	if g.config.OnChange != nil && grade.ShouldAnnounce(before, g.level) {
+		g.config.OnChange()
 	}
 }
 
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -9,41 +9,41 @@
 // for other upstreams have time for it still.
 func (g *Gate) Leave() {
 	g.mu.Lock()
-	before := g.left()
+	before := g.isLeaving()
 	if !g.leaving {
 		g.leaving, g.endedAt = true, g.config.Now()
 	}
-	refused := g.noteLeft(before, "shutdown")
+	refused := g.startLeaving(before, "shutdown")
 	g.mu.Unlock()
 	callAll(refused)
 }
 
-// Listed takes in whether the instance list says that the instance is leaving.
-func (g *Gate) Listed(leaving bool) {
+// SetListedLeaving takes in whether the instance list says that the instance is leaving.
+func (g *Gate) SetListedLeaving(leaving bool) {
 	g.mu.Lock()
-	before := g.left()
-	g.listed = leaving
-	refused := g.noteLeft(before, "instance list")
+	before := g.isLeaving()
+	g.listedLeaving = leaving
+	refused := g.startLeaving(before, "instance list")
 	g.mu.Unlock()
 	callAll(refused)
 }
 
-// left reports whether the upstream is leaving. Entries that have heard it send
+// isLeaving reports whether the upstream is leaving. Entries that have heard it send
 // no new work; from those that haven't the gate takes it for the table's drain
 // time, but none while the node shuts down.
-func (g *Gate) left() bool {
-	return g.leaving || g.listed || g.upstream.Weight == 0
+func (g *Gate) isLeaving() bool {
+	return g.leaving || g.listedLeaving || g.upstream.Weight == 0
 }
 
-// noteLeft notes that the upstream leaves and refuses what waits for it: sent to it
+// startLeaving notes that the upstream leaves and refuses what waits for it: sent to it
 // later, a request would reach an upstream that is to get no new work. The gate's
 // lock is held; the refusals are answered without it.
-func (g *Gate) noteLeft(before bool, reason string) []func() {
-	if before || !g.left() {
+func (g *Gate) startLeaving(before bool, reason string) []func() {
+	if before || !g.isLeaving() {
 		return nil
 	}
-	g.leftAt = g.config.Now()
+	g.leavingSince = g.config.Now()
 	g.log.WithField("reason", reason).Info("leaving")
-	g.note(access.Event{At: g.leftAt, Kind: access.Leaving, Reason: reason})
-	return g.giveUp(g.leftAt, g.slots.Flush(), wire.ReasonLeaving)
+	g.recordEvent(access.Event{At: g.leavingSince, Kind: access.Leaving, Reason: reason})
+	return g.refuseWaiters(g.leavingSince, g.slots.Flush(), wire.ReasonLeaving)
 }
--- a/gate/refuse.go
+++ b/gate/refuse.go
@@ -16,35 +16,35 @@
 	return admission{isRepeatable: e.Repeatable, isRetry: e.Retry, isForced: e.Forced}
 }
 
-// refusal says why a request isn't admitted, or nothing.
-func (g *Gate) refusal(now clock.Millis, v lease.Verdict, a admission) (wire.Reason, clock.Millis) {
+// refusalReason says why a request isn't admitted, or nothing.
+func (g *Gate) refusalReason(now clock.Millis, v lease.Verdict, a admission) (wire.Reason, clock.Millis) {
 	switch {
 	case v == lease.Stale:
 		return wire.ReasonStale, 0
-	case v == lease.Voided:
+	case v == lease.Revoked:
 		return wire.ReasonVoided, 0
-	case g.leaving, g.left() && now-g.leftAt >= g.service.Drain:
+	case g.leaving, g.isLeaving() && now-g.leavingSince >= g.service.Drain:
 		return wire.ReasonLeaving, 0
 	case g.crash.isDown:
-		return wire.ReasonRefused, returnEvery
-	case a.isRetry && !g.grants(now):
+		return wire.ReasonRefused, recoveryInterval
+	case a.isRetry && !g.hasRetryBudget(now):
 		return wire.ReasonBudget, g.quota.RetryAfter(now)
-	case a.isForced || g.judge.Admit(now, a.isRepeatable):
+	case a.isForced || g.detector.Admit(now, a.isRepeatable):
 		return "", 0
 	default:
-		g.noteState(now)
-		return wire.ReasonAside, max(g.judge.Status(now).Until-now, 0)
+		g.recordState(now)
+		return wire.ReasonAside, max(g.detector.Status(now).Until-now, 0)
 	}
 }
 
-// grants reports whether the service's retry budget has room for a retry here.
-func (g *Gate) grants(now clock.Millis) bool {
-	return g.quota.Allows(now, g.judge.Status(now).State == health.Ejected)
+// hasRetryBudget reports whether the service's retry budget has room for a retry here.
+func (g *Gate) hasRetryBudget(now clock.Millis) bool {
+	return g.quota.Allows(now, g.detector.Status(now).State == health.Ejected)
 }
 
 // refuse answers that a dispatch was not run. It unlocks the gate.
 func (g *Gate) refuse(now clock.Millis, key lease.Key, d *wire.Dispatch, answer func(*wire.Reply), reason wire.Reason, after clock.Millis) {
-	g.fence.Refuse(key)
+	g.dedup.Refuse(key)
 	g.countRefusal(reason)
 	reply := g.reply(now, d)
 	g.mu.Unlock()
@@ -55,14 +55,14 @@
 // countRefusal is called with the gate's lock held.
 func (g *Gate) countRefusal(reason wire.Reason) {
 	if g.config.Refusals != nil {
-		g.config.Refusals.Refused(g.service.Name, g.upstream.Name, reason)
+		g.config.Refusals.RecordRefusal(g.service.Name, g.upstream.Name, reason)
 	}
 }
 
-// expire refuses the waiters whose deadline passed.
-func (g *Gate) expire() {
+// expireWaiters refuses the waiters whose deadline passed.
+func (g *Gate) expireWaiters() {
 	g.mu.Lock()
-	late := g.late(g.config.Now())
+	late := g.refuseExpired(g.config.Now())
 	g.mu.Unlock()
 	callAll(late)
 }
@@ -74,21 +74,21 @@
 	}
 }
 
-// late takes out the waiters whose deadline passed. The gate's lock is held;
+// refuseExpired takes out the waiters whose deadline passed. The gate's lock is held;
 // the answers are given without it.
-func (g *Gate) late(now clock.Millis) []func() {
-	return g.giveUp(now, g.slots.Expire(now), wire.ReasonLate)
+func (g *Gate) refuseExpired(now clock.Millis) []func() {
+	return g.refuseWaiters(now, g.slots.Expire(now), wire.ReasonLate)
 }
 
-// giveUp refuses waiters. The gate's lock is held.
-func (g *Gate) giveUp(now clock.Millis, tickets []uint64, reason wire.Reason) []func() {
+// refuseWaiters refuses waiters. The gate's lock is held.
+func (g *Gate) refuseWaiters(now clock.Millis, tickets []uint64, reason wire.Reason) []func() {
 	var refused []func()
 	for _, ticket := range tickets {
-		if p, ok := g.places[ticket]; ok {
+		if p, ok := g.waiters[ticket]; ok {
 			p.timer.Stop()
-			delete(g.places, ticket)
-			h := g.holdOf(now, p, reason)
-			refused = append(refused, func() { p.answer(h) })
+			delete(g.waiters, ticket)
+			h := g.newReservation(now, p, reason)
+			refused = append(refused, func() { p.respond(h) })
 			continue
 		}
 		j, ok := g.jobs[ticket]
@@ -99,7 +99,7 @@
 		if j.timer != nil {
 			j.timer.Stop()
 		}
-		g.fence.Refuse(j.key)
+		g.dedup.Refuse(j.key)
 		g.countRefusal(reason)
 		reply := g.reply(now, j.dispatch)
 		reply.Outcome, reply.Reason, reply.RetryAfter = wire.NotRun, reason, g.slots.RetryAfter(now)
--- a/gate/resend.go
+++ b/gate/resend.go
@@ -9,78 +9,78 @@
 )
 
 const (
-	// keysKept bounds the keys that a node remembers: at 550 bytes for the
+	// maxKeys bounds the keys that a node remembers: at 550 bytes for the
 	// longest key they take 55 MB at most, and 160 sends with a key a second
 	// reach back the whole retention.
-	keysKept = 100_000
-	// answerKept bounds a kept answer in bytes, headers included: with it a
+	maxKeys = 100_000
+	// maxRetainedReply bounds a kept answer in bytes, headers included: with it a
 	// question's answer stays within one frame.
-	answerKept = 32 << 10
-	// bytesKept bounds all kept answers of a node in bytes.
-	bytesKept = 32 << 20
+	maxRetainedReply = 32 << 10
+	// maxRetainedBytes bounds all kept answers of a node in bytes.
+	maxRetainedBytes = 32 << 20
 )
 
-// Keys is what a node's gates know together of idempotency keys. One memory
+// KeyStore is what a node's gates know together of idempotency keys. One memory
 // for all of them outlives a gate that a table edit replaces or removes. It is
 // safe for concurrent use.
-type Keys struct {
-	now    func() clock.Millis
-	mu     sync.Mutex
-	memory *resend.Memory[*wire.Reply]
+type KeyStore struct {
+	now   func() clock.Millis
+	mu    sync.Mutex
+	store *resend.Store[*wire.Reply]
 }
 
-// NewKeys returns a memory that begins now.
-func NewKeys(now func() clock.Millis) *Keys {
-	return &Keys{now: now, memory: resend.NewMemory[*wire.Reply](resend.MemoryConfig{
+// NewKeyStore returns a memory that begins now.
+func NewKeyStore(now func() clock.Millis) *KeyStore {
+	return &KeyStore{now: now, store: resend.NewStore[*wire.Reply](resend.StoreConfig{
 		Start:     now(),
 		Retention: resend.Retention,
-		Keys:      keysKept,
-		Answer:    answerKept,
-		Bytes:     bytesKept,
+		MaxKeys:   maxKeys,
+		MaxReply:  maxRetainedReply,
+		MaxBytes:  maxRetainedBytes,
 	})}
 }
 
-// Void says what is known of a resend's key and forbids earlier sends.
-func (k *Keys) Void(v *wire.Void) *wire.Voided {
-	claim := resend.Claim{
-		Key:    resend.Key{Caller: v.Caller, Service: v.Service, Text: v.Key},
-		Digest: digestOf(v.Digest),
-		Ballot: resend.Ballot{Number: v.Number, Entry: v.ID.Entry, Seq: v.ID.Seq},
+// Revoke says what is known of a resend's key and forbids earlier sends.
+func (k *KeyStore) Revoke(v *wire.Void) *wire.Voided {
+	claim := resend.Send{
+		Key:        resend.Key{Caller: v.Caller, Service: v.Service, Text: v.Key},
+		Digest:     digestOf(v.Digest),
+		Precedence: resend.Precedence{Number: v.Number, Entry: v.ID.Entry, Seq: v.ID.Seq},
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
-	standing, reply := k.memory.Void(now, claim)
-	out := &wire.Voided{ID: v.ID, Standing: uint8(standing), Covers: k.memory.Covers(now)}
+	standing, reply := k.store.Revoke(now, claim)
+	out := &wire.Voided{ID: v.ID, Standing: uint8(standing), Covers: k.store.Covers(now)}
 	if reply != nil {
 		out.Status, out.Headers, out.Body, out.Upstream = reply.Status, reply.Headers, reply.Body, reply.Upstream.Name
 	}
 	return out
 }
 
-func (k *Keys) look(now clock.Millis, c resend.Claim) (resend.Standing, *wire.Reply) {
+func (k *KeyStore) lookup(now clock.Millis, c resend.Send) (resend.Status, *wire.Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.memory.Look(now, c)
+	return k.store.Lookup(now, c)
 }
 
-func (k *Keys) begin(now clock.Millis, c resend.Claim) (resend.Standing, *wire.Reply) {
+func (k *KeyStore) begin(now clock.Millis, c resend.Send) (resend.Status, *wire.Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.memory.Begin(now, c)
+	return k.store.Begin(now, c)
 }
 
-// end takes in what became of a send that was begun.
-func (k *Keys) end(key resend.Key, r *wire.Reply) {
+// finish takes in what became of a send that was begun.
+func (k *KeyStore) finish(key resend.Key, r *wire.Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch r.Outcome {
 	case wire.NotRun:
-		k.memory.NotRun(key)
+		k.store.RecordNotRun(key)
 	case wire.Answered:
-		k.memory.Done(key, r, len(r.Body)+len(r.Headers))
+		k.store.RecordReply(key, r, len(r.Body)+len(r.Headers))
 	default:
-		k.memory.Lost(key)
+		k.store.RecordLost(key)
 	}
 }
 
@@ -90,31 +90,31 @@
 	return d
 }
 
-// claim is what a dispatch claims for its key; false without one.
-func (g *Gate) claim(d *wire.Dispatch) (resend.Claim, bool) {
+// newSend is what a dispatch claims for its key; false without one.
+func (g *Gate) newSend(d *wire.Dispatch) (resend.Send, bool) {
 	if d.Key == "" {
-		return resend.Claim{}, false
+		return resend.Send{}, false
 	}
-	c := resend.Claim{
-		Key:      resend.Key{Caller: d.Caller, Service: g.config.Service.Name, Text: d.Key},
-		Digest:   digestOf(d.Digest),
-		Received: d.Lease - d.Span,
-		Gate:     g.made,
+	c := resend.Send{
+		Key:         resend.Key{Caller: d.Caller, Service: g.config.Service.Name, Text: d.Key},
+		Digest:      digestOf(d.Digest),
+		Received:    d.Lease - d.Span,
+		GateCreated: g.createdAt,
 	}
 	if d.Resend > 0 {
-		c.Ballot = resend.Ballot{Number: d.Resend, Entry: d.ID.Entry, Seq: d.ID.Seq}
+		c.Precedence = resend.Precedence{Number: d.Resend, Entry: d.ID.Entry, Seq: d.ID.Seq}
 	}
 	return c, true
 }
 
-// known answers a dispatch whose key may not run here, or returns false. It
+// keyRefusal answers a dispatch whose key may not run here, or returns false. It
 // spares such a dispatch the queue; that it doesn't run is up to beginKey.
-func (g *Gate) known(now clock.Millis, d *wire.Dispatch) (*wire.Reply, bool) {
-	c, ok := g.claim(d)
+func (g *Gate) keyRefusal(now clock.Millis, d *wire.Dispatch) (*wire.Reply, bool) {
+	c, ok := g.newSend(d)
 	if !ok {
 		return nil, false
 	}
-	standing, answer := g.config.Keys.look(now, c)
+	standing, answer := g.config.Keys.lookup(now, c)
 	if standing == resend.Free {
 		return nil, false
 	}
@@ -125,7 +125,7 @@
 // for all gates of the node: of two sends that waited only one begins, and none
 // that a resend has voided in the meantime.
 func (g *Gate) beginKey(now clock.Millis, j *job) bool {
-	c, ok := g.claim(j.dispatch)
+	c, ok := g.newSend(j.dispatch)
 	if !ok {
 		return true
 	}
@@ -139,14 +139,14 @@
 
 // endKey takes in what became of a begun dispatch.
 func (g *Gate) endKey(d *wire.Dispatch, r *wire.Reply) {
-	if c, ok := g.claim(d); ok {
-		g.config.Keys.end(c.Key, r)
+	if c, ok := g.newSend(d); ok {
+		g.config.Keys.finish(c.Key, r)
 	}
 }
 
 // keyReply says why a dispatch doesn't run. Not run is said only where nothing
 // that was sent with the key is known to have run.
-func (g *Gate) keyReply(now clock.Millis, d *wire.Dispatch, s resend.Standing, answer *wire.Reply) *wire.Reply {
+func (g *Gate) keyReply(now clock.Millis, d *wire.Dispatch, s resend.Status, answer *wire.Reply) *wire.Reply {
 	r := g.reply(now, d)
 	switch s {
 	case resend.Ran:
@@ -156,9 +156,9 @@
 		r.Outcome, r.Reason, r.RetryAfter = wire.Broken, wire.ReasonKeyRunning, clock.Second
 	case resend.Lost:
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonKeyLost
-	case resend.Other:
+	case resend.Reused:
 		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyReused
-	case resend.Outranked:
+	case resend.Superseded:
 		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyVoided
 	default:
 		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyForgotten
@@ -166,12 +166,12 @@
 	return r
 }
 
-// keep records a refusal for a settlement: an answer of an earlier send must
+// recordReply records a refusal for a settlement: an answer of an earlier send must
 // not be denied as not run.
-func (g *Gate) keep(now clock.Millis, j *job, r *wire.Reply) {
-	if r.Outcome != wire.NotRun && g.fence.Begin(now, j.key) {
-		g.fence.Finish(j.key, r)
+func (g *Gate) recordReply(now clock.Millis, j *job, r *wire.Reply) {
+	if r.Outcome != wire.NotRun && g.dedup.Begin(now, j.key) {
+		g.dedup.Finish(j.key, r)
 		return
 	}
-	g.fence.Refuse(j.key)
+	g.dedup.Refuse(j.key)
 }
--- a/gate/restart.go
+++ b/gate/restart.go
@@ -16,11 +16,11 @@
 // stays: what it voided, or saw begin, must not run on the new process either. It
 // returns what is to be done without the lock, which is held.
 func (g *Gate) restart(now clock.Millis) []func() {
-	g.life++
-	g.crash, g.finished = crash{}, nil
-	g.judge = judgeOf(g.service.Caution, g.config.Seed)
+	g.generation++
+	g.crash, g.succeeded = crashState{}, nil
+	g.detector = newDetector(g.service.Caution, g.config.Seed)
 	g.state, g.level = health.InUse, grade.Healthy
-	g.config.Backend.Renew()
+	g.config.Backend.ResetConnections()
 	g.log.Info("upstream started again")
 	runs := 0
 	for _, j := range g.jobs {
@@ -28,31 +28,31 @@
 			runs++
 		}
 	}
-	return g.turns(now, g.slots.Restart(runs))
+	return g.startWaiters(now, g.slots.Restart(runs))
 }
 
-// turns is what waiters do that have got a slot. The gate's lock is held.
-func (g *Gate) turns(now clock.Millis, tickets []uint64) []func() {
+// startWaiters is what waiters do that have got a slot. The gate's lock is held.
+func (g *Gate) startWaiters(now clock.Millis, tickets []uint64) []func() {
 	var calls []func()
 	for _, ticket := range tickets {
-		turn, takesSlot := g.turn(now, ticket)
+		turn, takesSlot := g.startWaiter(now, ticket)
 		if turn != nil {
 			calls = append(calls, turn)
 		}
 		if !takesSlot {
-			calls = append(calls, g.release(now)...)
+			calls = append(calls, g.releaseSlot(now)...)
 		}
 	}
 	return calls
 }
 
-// remembers returns the gate, this one or one before it, that has taken in a dispatch or
+// findGate returns the gate, this one or one before it, that has taken in a dispatch or
 // voided it. An upstream that comes back under its name has a gate of its own: asked for
 // what the one before has begun, that would call it not run.
-func (g *Gate) remembers(key lease.Key) (*Gate, bool) {
-	for one := g; one != nil; one = one.before.Load() {
+func (g *Gate) findGate(key lease.Key) (*Gate, bool) {
+	for one := g; one != nil; one = one.previous.Load() {
 		one.mu.Lock()
-		isKnown := one.fence.Knows(key)
+		isKnown := one.dedup.Contains(key)
 		one.mu.Unlock()
 		if isKnown {
 			return one, true
@@ -61,12 +61,12 @@
 	return nil, false
 }
 
-// Forget lets go of the gates before this one that ended before an instant, when no
+// ForgetPrevious lets go of the gates before this one that ended before an instant, when no
 // entry asks for their dispatches any more.
-func (g *Gate) Forget(ended clock.Millis) {
-	for one := g; one != nil; one = one.before.Load() {
-		if before := one.before.Load(); before != nil && before.endedBefore(ended) {
-			one.before.Store(nil)
+func (g *Gate) ForgetPrevious(ended clock.Millis) {
+	for one := g; one != nil; one = one.previous.Load() {
+		if before := one.previous.Load(); before != nil && before.endedBefore(ended) {
+			one.previous.Store(nil)
 		}
 	}
 }
@@ -77,13 +77,13 @@
 	return g.leaving && g.endedAt < at && len(g.jobs) == 0
 }
 
-// lastBytes is how long an answer of a process that is gone may still be on its way
+// resetDelay is how long an answer of a process that is gone may still be on its way
 // from the backend server beside this node.
-const lastBytes = 100 * time.Millisecond
+const resetDelay = 100 * time.Millisecond
 
-// Renew drops the connections to a process that is gone. What runs there gets no answer
+// ResetConnections drops the connections to a process that is gone. What runs there gets no answer
 // any more: until its deadline it would keep its caller waiting.
-func (h *HTTP) Renew() {
+func (h *HTTP) ResetConnections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.idle {
@@ -91,19 +91,19 @@
 		_ = c.Close() // nothing is under way on it
 	}
 	h.idle = nil
-	end := time.Now().Add(lastBytes)
+	end := time.Now().Add(resetDelay)
 	for c := range h.busy {
-		c.isOver.Store(true)
+		c.isObsolete.Store(true)
 		_ = c.SetDeadline(end) // one that is closed already needs none
 	}
 }
 
-// settledBefore answers a settlement for a gate before this one.
-func (g *Gate) settledBefore(key lease.Key, s *wire.Settle) (*wire.Settled, *wire.Reply, bool) {
-	one, ok := g.before.Load().remembers(key)
+// resolvePrevious answers a settlement for a gate before this one.
+func (g *Gate) resolvePrevious(key lease.Key, s *wire.Settle) (*wire.Settled, *wire.Reply, bool) {
+	one, ok := g.previous.Load().findGate(key)
 	if !ok {
 		return nil, nil, false
 	}
-	settled, reply := one.Settle(s)
+	settled, reply := one.Resolve(s)
 	return settled, reply, true
 }
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -36,7 +36,7 @@
 	close(h.end)
 	<-replies
 	<-replies
-	if got := g.Describe().Running; got != 0 {
+	if got := g.MetricsState().Running; got != 0 {
 		t.Errorf("got %d runs after all ended, want 0", got)
 	}
 }
@@ -71,7 +71,7 @@
 	old.Handle(first, func(*wire.Reply) {})
 	<-h.begun
 	settle := func(g *gate.Gate, d *wire.Dispatch) *wire.Settled {
-		got, _ := g.Settle(&wire.Settle{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease})
+		got, _ := g.Resolve(&wire.Settle{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease})
 		return got
 	}
 	if got := settle(old, second); got == nil || !got.Voided {
@@ -112,15 +112,15 @@
 		_, _ = bufio.NewReader(conn).ReadString('\n') // then it is silent
 		close(read)
 	}()
-	h := gate.NewHTTP(gate.HTTPConfig{Address: listener.Addr().String(), Connections: 4, Limit: 1 << 10})
+	h := gate.NewHTTP(gate.HTTPConfig{Address: listener.Addr().String(), MaxConnections: 4, MaxBody: 1 << 10})
 	done := make(chan error, 1)
 	go func() {
 		_, err := h.Do(t.Context(), &gate.Call{ID: "x", Method: "POST", URI: "/", Deadline: clock.Minute})
 		done <- err
 	}()
 	<-read
-	h.Renew()
-	if got := <-done; !errors.Is(got, gate.ErrTorn) {
+	h.ResetConnections()
+	if got := <-done; !errors.Is(got, gate.ErrTruncated) {
 		t.Errorf("got %v, want the answer torn", got)
 	}
 }
--- a/gate/run.go
+++ b/gate/run.go
@@ -30,7 +30,7 @@
 		return
 	}
 	d := j.dispatch
-	ctx, cancel := g.breakable(j)
+	ctx, cancel := g.callContext(j)
 	defer cancel()
 	answer, err := g.config.Backend.Do(ctx, &Call{
 		ID:         wire.NameOf(d.Label, d.ID),
@@ -40,21 +40,21 @@
 		URI:        d.URI,
 		Headers:    d.Headers,
 		Body:       d.Body,
-		Deadline:   j.until - now,
+		Deadline:   j.deadline - now,
 		Repeatable: d.Repeatable,
 	})
-	g.finish(j, now, answer, g.crashOf(j, err))
+	g.finish(j, now, answer, g.detectCrash(j, err))
 }
 
-// breakable returns what a job's call ends with early: the caller's leaving, for
+// callContext returns what a job's call ends with early: the caller's leaving, for
 // one that may run more than once.
-func (g *Gate) breakable(j *job) (context.Context, context.CancelFunc) {
+func (g *Gate) callContext(j *job) (context.Context, context.CancelFunc) {
 	if !j.dispatch.Repeatable {
 		return context.Background(), func() {}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.mu.Lock()
-	j.abandon = cancel
+	j.cancel = cancel
 	g.mu.Unlock()
 	return ctx, cancel
 }
@@ -67,14 +67,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	if now >= j.until {
+	if now >= j.deadline {
 		return now, wire.ReasonVoided, false
 	}
-	switch reason, isParked := g.trial(j); {
+	switch reason, isParked := g.admitSuspect(j); {
 	case isParked:
 		return now, "", true
 	case reason != "":
-		g.fence.Refuse(j.key)
+		g.dedup.Refuse(j.key)
 		return now, reason, false
 	case !g.beginKey(now, j):
 		return now, wire.ReasonVoided, false
@@ -83,11 +83,11 @@
 		g.endKey(j.dispatch, &wire.Reply{Outcome: wire.NotRun})
 		return now, reason, false
 	}
-	j.running, j.life, j.began = true, g.life, now
+	j.running, j.generation, j.began = true, g.generation, now
 	if j.timer != nil {
 		j.timer.Stop()
 	}
-	g.watch(now, j)
+	g.watchRun(now, j)
 	return now, "", false
 }
 
@@ -95,10 +95,10 @@
 // begin. A retry is counted here, as it is sent: it may have waited since it was granted.
 func (g *Gate) beginRun(now clock.Millis, j *job) wire.Reason {
 	if j.dispatch.Retry && !g.quota.Allows(now, false) {
-		g.fence.Refuse(j.key)
+		g.dedup.Refuse(j.key)
 		return wire.ReasonBudget
 	}
-	if !g.fence.Begin(now, j.key) {
+	if !g.dedup.Begin(now, j.key) {
 		return wire.ReasonVoided
 	}
 	if j.dispatch.Retry {
@@ -109,37 +109,37 @@
 	return ""
 }
 
-func (g *Gate) finish(j *job, began clock.Millis, a Answer, err error) {
+func (g *Gate) finish(j *job, began clock.Millis, a Response, err error) {
 	g.mu.Lock()
 	now := g.config.Now()
 	j.timer.Stop()
 	delete(g.jobs, j.ticket)
-	isCurrent := j.life == g.life
-	g.noteFinished(now, j, a, err)
+	isCurrent := j.generation == g.generation
+	g.recordFinished(now, j, a, err)
 	if isCurrent {
-		g.judged(now, j, a, err)
+		g.observeRun(now, j, a, err)
 	}
 	var calls []func()
 	if isCurrent {
-		calls = g.release(now) // first: the reply says how busy the upstream is now
+		calls = g.releaseSlot(now) // first: the reply says how busy the upstream is now
 	}
 	calls = append(calls, g.endTrial(j)...)
 	reply := g.reply(now, j.dispatch)
 	reply.Took = now - began
-	describe(reply, a, err)
+	fillReply(reply, a, err)
 	g.endKey(j.dispatch, reply)
-	g.fence.Finish(j.key, kept(j.dispatch, reply))
+	g.dedup.Finish(j.key, retainedReply(j.dispatch, reply))
 	g.mu.Unlock()
 	j.answer(reply)
 	g.logOutcome(j.dispatch, reply, now-began, err)
 	callAll(calls)
 }
 
-// excused reports whether a failure answer may be that of a call which the
+// dependencyFailed reports whether a failure answer may be that of a call which the
 // backend server made. Held against it, sickness of one service would spread to
 // those that call it as false ejections.
-func (g *Gate) excused(from, to clock.Millis) bool {
-	return g.config.Excused != nil && g.config.Excused(from, to)
+func (g *Gate) dependencyFailed(from, to clock.Millis) bool {
+	return g.config.DependencyFailed != nil && g.config.DependencyFailed(from, to)
 }
 
 // logOutcome leaves a line, under the id that entry and report know too, of a
@@ -161,9 +161,9 @@
 	return subject.Fingerprint().String()
 }
 
-// kept is the reply that a settlement may ask for again. A repeatable request
+// retainedReply is the reply that a settlement may ask for again. A repeatable request
 // is sent anew in place of asking, so its answer takes no memory here.
-func kept(d *wire.Dispatch, reply *wire.Reply) *wire.Reply {
+func retainedReply(d *wire.Dispatch, reply *wire.Reply) *wire.Reply {
 	if d.Repeatable {
 		return nil
 	}
@@ -182,25 +182,25 @@
 		reply = g.reply(now, j.dispatch)
 		reply.Outcome, reply.Reason, reply.RetryAfter = wire.NotRun, reason, clock.Second
 	}
-	g.keep(now, j, reply)
-	calls := append(g.release(now), g.endTrial(j)...)
+	g.recordReply(now, j, reply)
+	calls := append(g.releaseSlot(now), g.endTrial(j)...)
 	g.mu.Unlock()
 	j.answer(reply)
 	callAll(calls)
 }
 
-// release frees a slot. It returns what is to be done then: the refusals of waiters
+// releaseSlot frees a slot. It returns what is to be done then: the refusals of waiters
 // that were passed over, and the turn of the one that takes it. The gate's lock is
 // held.
-func (g *Gate) release(now clock.Millis) []func() {
+func (g *Gate) releaseSlot(now clock.Millis) []func() {
 	var calls []func()
 	for {
 		ticket, ok := g.slots.Release(now)
-		calls = append(calls, g.late(now)...)
+		calls = append(calls, g.refuseExpired(now)...)
 		if !ok {
 			return calls
 		}
-		turn, takesSlot := g.turn(now, ticket)
+		turn, takesSlot := g.startWaiter(now, ticket)
 		if turn != nil {
 			calls = append(calls, turn)
 		}
@@ -210,33 +210,33 @@
 	}
 }
 
-// turn is what the waiter of a ticket does now that it has a slot, nil if there is none,
+// startWaiter is what the waiter of a ticket does now that it has a slot, nil if there is none,
 // and whether it takes the slot. The gate's lock is held.
-func (g *Gate) turn(now clock.Millis, ticket uint64) (call func(), takesSlot bool) {
+func (g *Gate) startWaiter(now clock.Millis, ticket uint64) (call func(), takesSlot bool) {
 	if j, ok := g.jobs[ticket]; ok {
 		return func() { g.start(j) }, true
 	}
-	p, ok := g.places[ticket]
+	p, ok := g.waiters[ticket]
 	if !ok {
 		return nil, false
 	}
 	p.timer.Stop()
-	delete(g.places, ticket)
+	delete(g.waiters, ticket)
 	// What has changed while it waited counts: an upstream that fails fast frees its
 	// slots first.
-	reason, after := g.refusal(now, lease.Fresh, admissionOf(p.enquiry))
+	reason, after := g.refusalReason(now, lease.Fresh, admissionOf(p.probe))
 	if reason == "" {
-		g.hold(p.key)
+		g.reserve(p.key)
 	}
-	h := g.holdOf(now, p, reason)
+	h := g.newReservation(now, p, reason)
 	h.RetryAfter = after
-	return func() { p.answer(h) }, reason == ""
+	return func() { p.respond(h) }, reason == ""
 }
 
 // resultOf sorts an outcome for the verdict. What says nothing about sickness
 // must not count as failed: shed load, the caller's own faults, and deadlines
 // that no healthy upstream would have met.
-func resultOf(a Answer, err error, tooShort bool) health.Result {
+func resultOf(a Response, err error, tooShort bool) health.Result {
 	switch {
 	case errors.Is(err, ErrCancelled):
 		return health.Cancelled
@@ -244,7 +244,7 @@
 		return health.ShortDeadline
 	case errors.Is(err, ErrTimeout):
 		return health.Overdue
-	case errors.Is(err, ErrLarge):
+	case errors.Is(err, ErrTooLarge):
 		return health.CallerFault
 	case err != nil:
 		return health.Failed
@@ -259,17 +259,17 @@
 	}
 }
 
-// describe fills in what the entry is told. Not run is said only where the
+// fillReply fills in what the entry is told. Not run is said only where the
 // backend server got nothing, or says itself that it did not begin.
-func describe(r *wire.Reply, a Answer, err error) {
+func fillReply(r *wire.Reply, a Response, err error) {
 	switch {
 	case errors.Is(err, ErrRefused):
 		r.Outcome, r.Reason = wire.NotRun, wire.ReasonRefused
 	case errors.Is(err, ErrTimeout):
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonTimeout
-	case errors.Is(err, ErrLarge):
+	case errors.Is(err, ErrTooLarge):
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonTooLarge
-	case errors.Is(err, ErrForeign):
+	case errors.Is(err, ErrMismatchedReply):
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonForeign
 	case errors.Is(err, ErrCancelled):
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonLeft
--- a/gate/settle.go
+++ b/gate/settle.go
@@ -5,19 +5,19 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Settle says what became of a dispatch and voids one that has not begun. It
+// Resolve says what became of a dispatch and voids one that has not begun. It
 // returns the reply once more if there is one.
-func (g *Gate) Settle(s *wire.Settle) (*wire.Settled, *wire.Reply) {
+func (g *Gate) Resolve(s *wire.Settle) (*wire.Settled, *wire.Reply) {
 	now := g.config.Now()
 	key := s.ID.Key(s.Attempt)
-	if settled, reply, ok := g.settledBefore(key, s); ok {
+	if settled, reply, ok := g.resolvePrevious(key, s); ok {
 		return settled, reply
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	state, reply := g.fence.Settle(now, key, s.Incarnation, s.Lease)
+	state, reply := g.dedup.Resolve(now, key, s.Incarnation, s.Lease)
 	if s.Abandon && state == lease.Begun {
-		g.breakOff(key)
+		g.cancelCall(key)
 	}
 	if state == lease.Done && reply != nil {
 		return nil, reply
@@ -31,23 +31,23 @@
 	}, nil
 }
 
-// Abandon takes in that the caller of a dispatch has left: it doesn't begin any
+// Cancel takes in that the caller of a dispatch has left: it doesn't begin any
 // more, or is broken off.
-func (g *Gate) Abandon(id wire.RequestID, attempt uint8) {
+func (g *Gate) Cancel(id wire.RequestID, attempt uint8) {
 	key := id.Key(attempt)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fence.Refuse(key)
-	g.breakOff(key)
+	g.dedup.Refuse(key)
+	g.cancelCall(key)
 }
 
-// breakOff ends the call of a dispatch whose caller has left, if it may run more
+// cancelCall ends the call of a dispatch whose caller has left, if it may run more
 // than once: its slot is then free for others. One that may run only once goes
 // on, for its caller meant it. The gate's lock is held.
-func (g *Gate) breakOff(key lease.Key) {
+func (g *Gate) cancelCall(key lease.Key) {
 	for _, j := range g.jobs {
-		if j.key == key && j.abandon != nil {
-			j.abandon()
+		if j.key == key && j.cancel != nil {
+			j.cancel()
 		}
 	}
 }
--- a/gate/stalled_test.go
+++ b/gate/stalled_test.go
@@ -26,7 +26,7 @@
 	h.gate, h.backend = gateOf(t, gate.Config{
 		Service:  table.Service{Name: "conferme", Caution: table.Brief},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: count},
-		Stalled:  func(_ uint64, s *wire.Stalled) { h.stalled <- s },
+		OnHung:   func(_ uint64, s *wire.Stalled) { h.stalled <- s },
 	})
 	for seq := range uint64(count) {
 		d := dispatch(seq+1, "hangs")
@@ -50,7 +50,7 @@
 		t.Errorf("got %d runs ended by the gate, want none", got)
 	}
 	for seq := range uint64(3) {
-		h.gate.Abandon(wire.RequestID{Entry: 1, Seq: seq + 1}, 1)
+		h.gate.Cancel(wire.RequestID{Entry: 1, Seq: seq + 1}, 1)
 		if got := <-h.replies; got.Outcome != wire.Broken {
 			t.Errorf("got %v for a run that was given up, want it broken off", got.Outcome)
 		}
@@ -77,7 +77,7 @@
 // A caller that leaves says nothing of the upstream.
 func TestLeavingIsNoStall(t *testing.T) {
 	h := hung(t, 1, func(d *wire.Dispatch) { d.Usual = clock.Hour })
-	h.gate.Abandon(wire.RequestID{Entry: 1, Seq: 1}, 1)
+	h.gate.Cancel(wire.RequestID{Entry: 1, Seq: 1}, 1)
 	if got := <-h.replies; got.Reason != wire.ReasonLeft {
 		t.Errorf("got %q, want it told that the caller has left", got.Reason)
 	}
--- a/gate/status.go
+++ b/gate/status.go
@@ -13,8 +13,8 @@
 	return g.status(g.config.Now())
 }
 
-// Describe is what metrics say of the gate.
-func (g *Gate) Describe() metrics.GateState {
+// MetricsState is what metrics say of the gate.
+func (g *Gate) MetricsState() metrics.GateState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
@@ -23,8 +23,8 @@
 	return metrics.GateState{
 		Service:    g.service.Name,
 		Upstream:   g.upstream.Name,
-		Verdict:    g.judge.Status(now).State,
-		Leaving:    g.left(),
+		Verdict:    g.detector.Status(now).State,
+		Leaving:    g.isLeaving(),
 		Running:    load.InFlight,
 		Waiting:    load.Waiting,
 		Slots:      g.upstream.Slots,
@@ -35,10 +35,10 @@
 }
 
 func (g *Gate) status(now clock.Millis) wire.Upstream {
-	g.noteState(now)
-	s := g.judge.Status(now)
+	g.recordState(now)
+	s := g.detector.Status(now)
 	load := g.slots.Load()
-	own := g.judge.Own()
+	own := g.detector.LocalBaseline()
 	return wire.Upstream{
 		Name:     g.upstream.Name,
 		State:    uint8(s.State),
@@ -47,7 +47,7 @@
 		InFlight: load.InFlight,
 		Waiting:  load.Waiting,
 		Until:    max(s.Until-now, 0),
-		Leaving:  g.left(),
+		Leaving:  g.isLeaving(),
 		Down:     g.crash.isDown,
 		Own:      wire.BaselineOf(own),
 	}
--- a/gate/trial.go
+++ b/gate/trial.go
@@ -14,86 +14,86 @@
 )
 
 const (
-	// mostFinished is how many requests that succeeded here are remembered: one that did
+	// maxSucceeded is how many requests that succeeded here are remembered: one that did
 	// doesn't crash the process a moment later.
-	mostFinished = 256
-	// mostHashed bounds, in bytes, the bodies that are looked at for that.
-	mostHashed = 64 << 10
+	maxSucceeded = 256
+	// maxHashedBody bounds, in bytes, the bodies that are looked at for that.
+	maxHashedBody = 64 << 10
 )
 
-var finishedSeed = maphash.MakeSeed()
+var succeededSeed = maphash.MakeSeed()
 
-// hashOf is the place and mark of a request among those that succeeded; 0 for one that is
+// requestHash is the place and mark of a request among those that succeeded; 0 for one that is
 // too large to be remembered.
-func hashOf(d *wire.Dispatch) uint64 {
-	if len(d.Body) > mostHashed {
+func requestHash(d *wire.Dispatch) uint64 {
+	if len(d.Body) > maxHashedBody {
 		return 0
 	}
-	hash := maphash.String(finishedSeed, d.Caller)
-	for _, part := range [...]uint64{maphash.String(finishedSeed, d.Method), maphash.String(finishedSeed, d.URI), maphash.Bytes(finishedSeed, d.Body)} {
+	hash := maphash.String(succeededSeed, d.Caller)
+	for _, part := range [...]uint64{maphash.String(succeededSeed, d.Method), maphash.String(succeededSeed, d.URI), maphash.Bytes(succeededSeed, d.Body)} {
 		hash = hash*31 + part
 	}
 	return max(hash, 1)
 }
 
-// noteFinished takes in how a run ended that didn't end the process. One that was answered
+// recordFinished takes in how a run ended that didn't end the process. One that was answered
 // with a failure may not have come to what crashes it, as in an episode in which a backend
 // server fails all it gets at once. The gate's lock is held.
-func (g *Gate) noteFinished(now clock.Millis, j *job, a Answer, err error) {
+func (g *Gate) recordFinished(now clock.Millis, j *job, a Response, err error) {
 	isSuccess := err == nil && !a.Shed && a.Status < fasthttp.StatusInternalServerError
-	if hash := hashOf(j.dispatch); isSuccess && hash != 0 && j.life == g.life {
-		if g.finished == nil {
-			g.finished = make([]uint64, mostFinished)
+	if hash := requestHash(j.dispatch); isSuccess && hash != 0 && j.generation == g.generation {
+		if g.succeeded == nil {
+			g.succeeded = make([]uint64, maxSucceeded)
 		}
-		g.finished[hash%mostFinished] = hash
+		g.succeeded[hash%maxSucceeded] = hash
 	}
 	switch {
 	case g.config.Crashes == nil:
 	case isSuccess:
-		g.config.Crashes.Succeeded(j.dispatch)
+		g.config.Crashes.RecordSuccess(j.dispatch)
 	case j.isTrial && !errors.Is(err, ErrRefused) && !errors.Is(err, ErrCrashed):
-		miss := g.endOf(now)
-		miss.Suspects = append(miss.Suspects, suspectOf(now, j))
-		g.config.Crashes.Missed(miss)
+		miss := g.newCrash(now)
+		miss.Suspects = append(miss.Suspects, newSuspect(now, j))
+		g.config.Crashes.RecordInconclusive(miss)
 	}
 }
 
-// hasFinished reports whether a request succeeded in this process before.
-func (g *Gate) hasFinished(d *wire.Dispatch) bool {
-	hash := hashOf(d)
-	return hash != 0 && g.finished != nil && g.finished[hash%mostFinished] == hash
+// hasSucceeded reports whether a request succeeded in this process before.
+func (g *Gate) hasSucceeded(d *wire.Dispatch) bool {
+	hash := requestHash(d)
+	return hash != 0 && g.succeeded != nil && g.succeeded[hash%maxSucceeded] == hash
 }
 
-// standing says how a dispatch may run, by what is known of its request.
-func (g *Gate) standing(d *wire.Dispatch) quarantine.Admission {
+// quarantineAdmission says how a dispatch may run, by what is known of its request.
+func (g *Gate) quarantineAdmission(d *wire.Dispatch) quarantine.Admission {
 	if g.config.Crashes == nil {
 		return quarantine.Run
 	}
-	s := g.config.Crashes.Standing(d)
+	s := g.config.Crashes.Status(d)
 	return s.Admit(quarantine.Verdict(d.Verdict), g.upstream.Version)
 }
 
-// trial decides how a job that is to begin may run: not at all, or later, beside no other
+// admitSuspect decides how a job that is to begin may run: not at all, or later, beside no other
 // suspect. The gate's lock is held.
-func (g *Gate) trial(j *job) (reason wire.Reason, isParked bool) {
-	switch g.standing(j.dispatch) {
+func (g *Gate) admitSuspect(j *job) (reason wire.Reason, isParked bool) {
+	switch g.quarantineAdmission(j.dispatch) {
 	case quarantine.Refuse:
 		return wire.ReasonQuarantined, false
 	case quarantine.Run:
 		return "", false
 	default: // on trial
 	}
-	if g.suspect != 0 && g.suspect != j.ticket {
+	if g.trialTicket != 0 && g.trialTicket != j.ticket {
 		g.parked = append(g.parked, j)
-		j.timer = time.AfterFunc((j.until - g.config.Now() + 1).Duration(), func() { g.unpark(j) })
+		j.timer = time.AfterFunc((j.deadline - g.config.Now() + 1).Duration(), func() { g.expireParked(j) })
 		return "", true
 	}
-	g.suspect, j.isTrial = j.ticket, true
+	g.trialTicket, j.isTrial = j.ticket, true
 	return "", false
 }
 
-// unpark refuses a job whose time is over before its trial.
-func (g *Gate) unpark(j *job) {
+// expireParked refuses a job whose time is over before its trial.
+func (g *Gate) expireParked(j *job) {
 	g.mu.Lock()
 	before := len(g.parked)
 	g.parked = slices.DeleteFunc(g.parked, func(other *job) bool { return other == j })
@@ -107,10 +107,10 @@
 // endTrial returns the jobs that waited for the end of a trial, which are looked at anew.
 // The gate's lock is held.
 func (g *Gate) endTrial(j *job) []func() {
-	if g.suspect != j.ticket {
+	if g.trialTicket != j.ticket {
 		return nil
 	}
-	g.suspect = 0
+	g.trialTicket = 0
 	var calls []func()
 	for _, waiting := range g.parked {
 		waiting.timer.Stop()
--- a/gate/waiting_test.go
+++ b/gate/waiting_test.go
@@ -19,7 +19,7 @@
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
 	holds := make(chan *wire.Hold, 1)
-	g.Enquire(&wire.Enquiry{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, Patience: clock.Minute}, func(hold *wire.Hold) { holds <- hold })
+	g.ProbeCapacity(&wire.Enquiry{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, Patience: clock.Minute}, func(hold *wire.Hold) { holds <- hold })
 	for g.Status().Severity < grade.EjectThreshold {
 		<-worse // until the run has lasted so long that the upstream is set aside
 	}
@@ -27,7 +27,7 @@
 	if got := <-holds; got.Held || got.Reason != wire.ReasonAside {
 		t.Errorf("got a slot: %v, %q; want it refused, as the upstream is set aside", got.Held, got.Reason)
 	}
-	if got := g.Describe().Running; got != 0 {
+	if got := g.MetricsState().Running; got != 0 {
 		t.Errorf("got %d slots taken, want none", got)
 	}
 }
--- a/grade/judge.go
+++ b/grade/judge.go
@@ -32,8 +32,8 @@
 // half of which may be in an episode.
 func (*Detector) SetBaseline(health.Baseline) {}
 
-// Own tells no figures of its own; Status carries the probability.
-func (*Detector) Own() health.Baseline { return health.Baseline{} }
+// LocalBaseline tells no figures of its own; Status carries the probability.
+func (*Detector) LocalBaseline() health.Baseline { return health.Baseline{} }
 
 // OverdueAfter is the age at which a request without an answer is evidence.
 func (*Detector) OverdueAfter() clock.Millis { return overdueAfter }
@@ -71,13 +71,13 @@
 	return j.state != before
 }
 
-// Look returns when to look next at a run that has come to no end.
-func (j *Detector) Look(now clock.Millis, r *Run) clock.Millis {
+// NextCheck returns when to look next at a run that has come to no end.
+func (j *Detector) NextCheck(now clock.Millis, r *Run) clock.Millis {
 	return j.filter.NextCheck(now, r)
 }
 
-// Hangs is the probability that a run will come to no end of its own.
-func (j *Detector) Hangs(now clock.Millis, r *Run) float64 {
+// HangProbability is the probability that a run will come to no end of its own.
+func (j *Detector) HangProbability(now clock.Millis, r *Run) float64 {
 	return j.filter.HangProbability(now, r)
 }
 
@@ -135,8 +135,8 @@
 	j.state = next
 }
 
-// Wants reports whether the upstream has got no request for too long.
-func (j *Detector) Wants(now clock.Millis) bool {
+// NeedsRequest reports whether the upstream has got no request for too long.
+func (j *Detector) NeedsRequest(now clock.Millis) bool {
 	return j.trials.Due(now, j.filter.Probability(now))
 }
 
--- a/health/baseline.go
+++ b/health/baseline.go
@@ -108,7 +108,7 @@
 	return min(max(overdueMin, overdueFactor*j.computeSlowThreshold()), overdueMax)
 }
 
-// Own returns the upstream's own recent figures, for replies to carry.
-func (j *Detector) Own() Baseline {
+// LocalBaseline returns the upstream's own recent figures, for replies to carry.
+func (j *Detector) LocalBaseline() Baseline {
 	return j.local.baseline()
 }
--- a/health/comeback.go
+++ b/health/comeback.go
@@ -203,11 +203,11 @@
 // probesNeeded in a row end a hold-off.
 const probesNeeded = 2
 
-// Probed takes the answer of a probe. A failed one starts suspicion: the
+// RecordProbe takes the answer of a probe. A failed one starts suspicion: the
 // tests get a head start, once. Good ones end a hold-off after half of it,
 // but only if probes have failed in it: those that a sick upstream answers
 // anyway say nothing. Neither ever sets aside or readmits by itself.
-func (j *Detector) Probed(now clock.Millis, ok bool) {
+func (j *Detector) RecordProbe(now clock.Millis, ok bool) {
 	j.advance(now)
 	c := &j.recovery
 	switch {
--- a/health/comeback_test.go
+++ b/health/comeback_test.go
@@ -119,7 +119,7 @@
 func TestProbesDecideNothing(t *testing.T) {
 	j := warm(table.Fast)
 	for i := range clock.Millis(1000) {
-		j.Probed(clock.Minute+i, false)
+		j.RecordProbe(clock.Minute+i, false)
 	}
 	if got := j.Status(clock.Minute + clock.Second).State; got != health.InUse {
 		t.Errorf("got %v after failed probes alone, want in use", got)
@@ -127,16 +127,16 @@
 	sick, now := setAside(t)
 	until := sick.Status(now).Until
 	for at := now; at < until; at += 100 {
-		sick.Probed(at, true)
+		sick.RecordProbe(at, true)
 		if got := sick.Status(at).State; got != health.Ejected {
 			t.Fatalf("got %v after probes that never failed, want aside", got)
 		}
 	}
 	crashed, now := setAside(t)
 	until = crashed.Status(now).Until
-	crashed.Probed(now+100, false)
-	crashed.Probed(until-1000, true)
-	crashed.Probed(until-500, true)
+	crashed.RecordProbe(now+100, false)
+	crashed.RecordProbe(until-1000, true)
+	crashed.RecordProbe(until-500, true)
 	if got := crashed.Status(until - 500).State; got != health.Trial {
 		t.Errorf("got %v after probes that failed and pass again, want trial", got)
 	}
--- a/health/judge_test.go
+++ b/health/judge_test.go
@@ -168,7 +168,7 @@
 		j.Observe(now, health.Observation{Result: health.Good, Latency: 40, Caller: "a"})
 		j.Admit(now, true)
 		j.Status(now)
-		j.Own()
+		j.LocalBaseline()
 		j.OverdueAfter()
 	})
 	if got != 0 {
@@ -217,6 +217,6 @@
 		j.SetBaseline(usual)
 		j.Observe(now, health.Observation{Result: health.Good, Latency: 40, Caller: "a"})
 		j.Admit(now, true)
-		j.Own()
+		j.LocalBaseline()
 	}
 }
--- a/lease/fence_test.go
+++ b/lease/fence_test.go
@@ -17,12 +17,12 @@
 // the gate. The gate says not run, so another crew is asked. Only then does
 // the first frame leave the stalled link. If it ran now, two crews would go.
 func TestFenceRefusesDispatchThatItsSettlementOvertook(t *testing.T) {
-	f := lease.NewFence[string](incarnation)
-	if got, _ := f.Settle(10, key, incarnation, 100); got != lease.NotRun {
+	f := lease.NewDeduplicator[string](incarnation)
+	if got, _ := f.Resolve(10, key, incarnation, 100); got != lease.NotRun {
 		t.Fatalf("got settlement %v, want %v", got, lease.NotRun)
 	}
-	if got := f.Take(20, key, incarnation, 100); got != lease.Voided {
-		t.Errorf("got %v for the late frame, want %v", got, lease.Voided)
+	if got := f.Accept(20, key, incarnation, 100); got != lease.Revoked {
+		t.Errorf("got %v for the late frame, want %v", got, lease.Revoked)
 	}
 }
 
@@ -30,8 +30,8 @@
 // asks the new one. The new one never saw the request; were it to say not run,
 // the entry would confirm a second time elsewhere.
 func TestFenceOfNewIncarnationDoesNotVouch(t *testing.T) {
-	f := lease.NewFence[string](incarnation + 1)
-	if got, _ := f.Settle(10, key, incarnation, 100); got != lease.Forgotten {
+	f := lease.NewDeduplicator[string](incarnation + 1)
+	if got, _ := f.Resolve(10, key, incarnation, 100); got != lease.Forgotten {
 		t.Errorf("got settlement %v, want %v", got, lease.Forgotten)
 	}
 }
@@ -39,12 +39,12 @@
 // A gate is frozen with a payroll entry in its socket and wakes a minute
 // later, when the caller was long told that the outcome is unknown.
 func TestFenceRefusesDispatchAfterItsLease(t *testing.T) {
-	f := lease.NewFence[string](incarnation)
-	if got := f.Take(clock.Minute, key, incarnation, 100); got != lease.Stale {
+	f := lease.NewDeduplicator[string](incarnation)
+	if got := f.Accept(clock.Minute, key, incarnation, 100); got != lease.Stale {
 		t.Errorf("got %v, want %v", got, lease.Stale)
 	}
-	f = lease.NewFence[string](incarnation)
-	f.Take(50, key, incarnation, 100)
+	f = lease.NewDeduplicator[string](incarnation)
+	f.Accept(50, key, incarnation, 100)
 	if f.Begin(clock.Minute, key) {
 		t.Error("got a begin after the lease, want none")
 	}
@@ -53,14 +53,14 @@
 // An entry is paused after its request ran and asks when the gate has long
 // forgotten it. To be told not run would send the price revision once more.
 func TestFenceForgetsOnlyWithoutVouching(t *testing.T) {
-	f := lease.NewFence[string](incarnation)
-	f.Take(0, key, incarnation, 100)
+	f := lease.NewDeduplicator[string](incarnation)
+	f.Accept(0, key, incarnation, 100)
 	f.Begin(0, key)
 	f.Finish(key, "ok")
-	if got, result := f.Settle(200, key, incarnation, 100); got != lease.Done || result != "ok" {
+	if got, result := f.Resolve(200, key, incarnation, 100); got != lease.Done || result != "ok" {
 		t.Errorf("got %v %q, want %v %q", got, result, lease.Done, "ok")
 	}
-	if got, _ := f.Settle(clock.Minute, key, incarnation, 100); got != lease.Forgotten {
+	if got, _ := f.Resolve(clock.Minute, key, incarnation, 100); got != lease.Forgotten {
 		t.Errorf("got %v, want %v", got, lease.Forgotten)
 	}
 	if got := f.Len(); got != 0 {
@@ -72,7 +72,7 @@
 // once, and never once its entry was told that it is not run.
 func TestFenceRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := lease.NewFence[int](incarnation)
+		f := lease.NewDeduplicator[int](incarnation)
 		now := clock.Millis(0)
 		runs := map[lease.Key]int{}
 		denied := map[lease.Key]bool{}
@@ -84,7 +84,7 @@
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0:
-				f.Take(now, k, incarnation, leases[k])
+				f.Accept(now, k, incarnation, leases[k])
 			case 1:
 				if f.Begin(now, k) {
 					runs[k]++
@@ -92,7 +92,7 @@
 			case 2:
 				f.Finish(k, 1)
 			case 3:
-				got, _ := f.Settle(now, k, incarnation, leases[k])
+				got, _ := f.Resolve(now, k, incarnation, leases[k])
 				denied[k] = denied[k] || got == lease.NotRun
 				if got == lease.NotRun && runs[k] > 0 {
 					t.Fatalf("got not run for %v that ran", k)
@@ -111,13 +111,13 @@
 // that runs ahead would let a paused gate begin a request after its deadline.
 func TestEstimateNeverRunsAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var e lease.Estimate
+		var e lease.ClockEstimate
 		skew := clock.Millis(rapid.Int64Range(-1000, 1000).Draw(t, "skew"))
 		now := clock.Millis(5000)
 		for range 20 {
 			now += clock.Millis(rapid.Int64Range(0, 3000).Draw(t, "span"))
 			delay := clock.Millis(rapid.Int64Range(0, 2000).Draw(t, "delay"))
-			e.Heard(now, incarnation, now+skew-delay)
+			e.Update(now, incarnation, now+skew-delay)
 			if got, want := e.At(now), now+skew; got > want {
 				t.Fatalf("got %v, want at most %v", got, want)
 			}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -8,30 +8,30 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// renewal is the age at which an estimate gives way to any newer one, even a
+// maxEstimateAge is the age at which an estimate gives way to any newer one, even a
 // lower one: a gate's machine that was suspended, or whose clock runs slow,
 // would otherwise get leases that are too long for ever after.
-const renewal = 5 * clock.Second
+const maxEstimateAge = 5 * clock.Second
 
-// Estimate is an entry's estimate of one gate's clock.
+// ClockEstimate is an entry's estimate of one gate's clock.
 //
 // It guards against a dispatch that is read long after it was sent, by a gate
 // that was paused or over a link that stalled: such a lease is over when the
 // gate looks at its clock. The estimate never runs ahead of the gate's clock
 // by more than drift, because a time that was heard was already past.
-type Estimate struct {
+type ClockEstimate struct {
 	incarnation uint64
-	gate        clock.Millis
-	heard       clock.Millis
+	gateTime    clock.Millis
+	receivedAt  clock.Millis
 	known       bool
 }
 
-// Heard takes in the gate's clock from any frame of the gate. It reports
+// Update takes in the gate's clock from any frame of the gate. It reports
 // whether the gate has a new incarnation, whose clock starts anew.
-func (e *Estimate) Heard(now clock.Millis, incarnation uint64, gate clock.Millis) bool {
+func (e *ClockEstimate) Update(now clock.Millis, incarnation uint64, gate clock.Millis) bool {
 	fresh := !e.known || incarnation != e.incarnation
-	if fresh || gate >= e.At(now) || now-e.heard > renewal {
-		e.gate, e.heard = gate, now
+	if fresh || gate >= e.At(now) || now-e.receivedAt > maxEstimateAge {
+		e.gateTime, e.receivedAt = gate, now
 	}
 	changed := e.known && incarnation != e.incarnation
 	e.incarnation, e.known = incarnation, true
@@ -39,16 +39,16 @@
 }
 
 // Known reports whether the gate's clock was ever heard.
-func (e *Estimate) Known() bool {
+func (e *ClockEstimate) Known() bool {
 	return e.known
 }
 
 // Incarnation returns the gate's incarnation as last heard.
-func (e *Estimate) Incarnation() uint64 {
+func (e *ClockEstimate) Incarnation() uint64 {
 	return e.incarnation
 }
 
 // At returns the estimate of the gate's clock at an instant of the entry's.
-func (e *Estimate) At(now clock.Millis) clock.Millis {
-	return e.gate + now - e.heard
+func (e *ClockEstimate) At(now clock.Millis) clock.Millis {
+	return e.gateTime + now - e.receivedAt
 }
--- a/link/answer.go
+++ b/link/answer.go
@@ -13,7 +13,7 @@
 	now := p.config.Now()
 	p.mu.Lock()
 	p.judge.Heard(now)
-	p.estimate.Heard(now, p.estimate.Incarnation(), r.Time)
+	p.estimate.Update(now, p.estimate.Incarnation(), r.Time)
 	one, ok := p.pending[key]
 	if ok {
 		p.probe.Proved(one.sent)
--- a/link/dial.go
+++ b/link/dial.go
@@ -72,7 +72,7 @@
 	p.dialling = false
 	p.judge.Opened(now)
 	p.probe = path.Probe{}
-	changed := p.estimate.Heard(now, remote.Incarnation, remote.Time)
+	changed := p.estimate.Update(now, remote.Incarnation, remote.Time)
 	undecided := make([]*pending, 0, len(p.pending))
 	for _, one := range p.pending {
 		if one.unsent {
--- a/link/enquire.go
+++ b/link/enquire.go
@@ -32,7 +32,7 @@
 	now := p.config.Now()
 	p.mu.Lock()
 	p.judge.Heard(now)
-	p.estimate.Heard(now, p.estimate.Incarnation(), h.Time)
+	p.estimate.Update(now, p.estimate.Incarnation(), h.Time)
 	told, ok := p.enquiries.answered(p, key)
 	p.mu.Unlock()
 	if ok {
--- a/link/peer.go
+++ b/link/peer.go
@@ -90,7 +90,7 @@
 	probe     path.Probe
 	checking  bool // a check of the probe is due
 	state     path.State
-	estimate  lease.Estimate
+	estimate  lease.ClockEstimate
 	pending   map[lease.Key]*pending
 	voids     map[wire.RequestID]*voiding
 	enquiries questions[lease.Key, wire.Hold]
@@ -326,6 +326,6 @@
 		p.judge.Echoed(now, b.Heard)
 	}
 	if p.estimate.Known() {
-		p.estimate.Heard(now, p.estimate.Incarnation(), b.Time)
+		p.estimate.Update(now, p.estimate.Incarnation(), b.Time)
 	}
 }
--- a/link/probe_test.go
+++ b/link/probe_test.go
@@ -116,7 +116,7 @@
 	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), Beat: clock.Second, Redial: 20, Watcher: w})
 	peer.EnsureLink()
 	reach(t, peer.Ready)
-	relay.SetMode(standin.SilentOld)
+	relay.SetMode(standin.BlackholeOpen)
 	send(t, peer, &waiting{lost: make(chan struct{}, 1)})
 	<-w.entered
 	<-time.After(time.Second)
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -49,8 +49,8 @@
 	OverdueAfter() clock.Millis
 	Status(now clock.Millis) health.Status
 	Admit(now clock.Millis, repeatable bool) bool
-	Probed(now clock.Millis, ok bool)
-	Own() health.Baseline
+	RecordProbe(now clock.Millis, ok bool)
+	LocalBaseline() health.Baseline
 }
 
 // Rule makes verdicts. AtEntry has each entry judge for itself by the answers
--- a/measure/path.go
+++ b/measure/path.go
@@ -115,7 +115,7 @@
 
 // reply tells the entry that a request has ended or was refused.
 func (r *run) reply(q request) {
-	q.baseline = r.upstreams[q.upstream].gate.Own()
+	q.baseline = r.upstreams[q.upstream].gate.LocalBaseline()
 	r.queue.add(event{at: r.now + hop, kind: replies, request: q})
 }
 
--- a/measure/rules.go
+++ b/measure/rules.go
@@ -57,8 +57,8 @@
 }
 
 func (u *proxyRule) SetBaseline(health.Baseline)         {}
-func (u *proxyRule) Probed(clock.Millis, bool)           {}
-func (u *proxyRule) Own() health.Baseline                { return health.Baseline{} }
+func (u *proxyRule) RecordProbe(clock.Millis, bool)      {}
+func (u *proxyRule) LocalBaseline() health.Baseline      { return health.Baseline{} }
 func (u *proxyRule) OverdueAfter() clock.Millis          { return proxyTimeout }
 func (u *proxyRule) Admit(now clock.Millis, _ bool) bool { return u.Status(now).State == health.InUse }
 
--- a/measure/run.go
+++ b/measure/run.go
@@ -177,6 +177,6 @@
 	u := r.upstreams[i]
 	ok := !u.faultWindow.active(r.now) || r.scenario.ProbesPass ||
 		r.random.Float64() >= u.faultWindow.Fault.Fails+u.faultWindow.Fault.Hangs
-	u.gate.Probed(r.now, ok)
+	u.gate.RecordProbe(r.now, ok)
 	r.queue.add(event{at: r.now + probeInterval, kind: probes, request: request{upstream: i}})
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -157,8 +157,8 @@
 	s.config.Book.RecordEvent(e)
 }
 
-// Refused counts a dispatch that a gate beside this node refused to run.
-func (s *Set) Refused(service, upstream string, reason wire.Reason) {
+// RecordRefusal counts a dispatch that a gate beside this node refused to run.
+func (s *Set) RecordRefusal(service, upstream string, reason wire.Reason) {
 	s.refusals.WithLabelValues(service, upstream, string(reason)).Inc()
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -88,7 +88,7 @@
 		for _, reason := range append(constants(t, "../access", "Reason"), constants(t, "../wire", "Reason")...) {
 			s.RequestReceived()
 			s.RequestFinished(0, access.Record{Service: "conferme", Outcome: outcome, Reason: reason, Attempts: 1, NoRetry: "budget"})
-			s.Refused("conferme", "at-in-use", wire.Reason(reason))
+			s.RecordRefusal("conferme", "at-in-use", wire.Reason(reason))
 		}
 	}
 	return s
--- a/node/crashes.go
+++ b/node/crashes.go
@@ -24,14 +24,14 @@
 	changed chan struct{}
 
 	mu       sync.Mutex
-	register *quarantine.Register
+	register *quarantine.Registry
 	// told is up to where others were told, and untold what the readers are still to hear.
 	told   uint64
-	untold []quarantine.End
+	untold []quarantine.Crash
 }
 
 func newCrashes(now func() clock.Millis, tell func(c *wire.Crashes)) *crashes {
-	c := &crashes{now: now, tell: tell, register: quarantine.New(), changed: make(chan struct{}, 1)}
+	c := &crashes{now: now, tell: tell, register: quarantine.NewRegistry(), changed: make(chan struct{}, 1)}
 	c.isEmpty.Store(true)
 	return c
 }
@@ -45,36 +45,36 @@
 func (c *crashes) MayMatch(hint uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.register.Watches(hint)
+	return c.register.MayMatch(hint)
 }
 
 // Status says how a request may be sent.
-func (c *crashes) Status(f quarantine.Fingerprint) quarantine.Standing {
+func (c *crashes) Status(f quarantine.Fingerprint) quarantine.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.register.Standing(c.now(), f)
+	return c.register.Status(c.now(), f)
 }
 
-// Ended takes in the end of a backend server beside this node.
-func (c *crashes) Ended(e quarantine.End) {
+// RecordCrash takes in the end of a backend server beside this node.
+func (c *crashes) RecordCrash(e quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if isNews, _ := c.register.Merge(c.now(), []quarantine.End{e}); isNews {
+	if isNews, _ := c.register.Merge(c.now(), []quarantine.Crash{e}); isNews {
 		c.share(true)
 	}
 }
 
-// Missed takes in a trial beside this node that showed nothing.
-func (c *crashes) Missed(e quarantine.End) {
+// RecordInconclusive takes in a trial beside this node that showed nothing.
+func (c *crashes) RecordInconclusive(e quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.register.Miss(c.now(), e) {
+	if c.register.AddInconclusive(c.now(), e) {
 		c.share(true)
 	}
 }
 
-// Succeeded takes in that a run beside this node came to its end and didn't fail.
-func (c *crashes) Succeeded(d *wire.Dispatch) {
+// RecordSuccess takes in that a run beside this node came to its end and didn't fail.
+func (c *crashes) RecordSuccess(d *wire.Dispatch) {
 	if c.IsEmpty() {
 		return
 	}
@@ -96,7 +96,7 @@
 
 // merge takes in what a peer tells and returns what that peer lacks. A node that others
 // keep links to passes on what is new.
-func (c *crashes) merge(told *wire.Crashes, passesOn bool) (behind []quarantine.End) {
+func (c *crashes) merge(told *wire.Crashes, passesOn bool) (behind []quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isNews, behind := c.register.Merge(c.now(), told.Plain(c.now()))
@@ -111,7 +111,7 @@
 func (c *crashes) share(tells bool) {
 	c.isEmpty.Store(c.register.IsEmpty())
 	c.digest.Store(c.register.Digest())
-	ends, told := c.register.Since(c.told)
+	ends, told := c.register.ChangedSince(c.told)
 	c.told = told
 	if tells && len(ends) > 0 {
 		c.untold = append(c.untold, ends...)
@@ -126,7 +126,7 @@
 }
 
 // takeUntold returns what the readers are still to hear.
-func (c *crashes) takeUntold() []quarantine.End {
+func (c *crashes) takeUntold() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ends := c.untold
@@ -135,10 +135,10 @@
 }
 
 // all returns everything that is to be known elsewhere, with the digest of it.
-func (c *crashes) all() []quarantine.End {
+func (c *crashes) all() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends, _ := c.register.Since(0)
+	ends, _ := c.register.ChangedSince(0)
 	return ends
 }
 
@@ -176,14 +176,14 @@
 // byDispatch is what gates ask.
 type byDispatch struct{ *crashes }
 
-// Standing says how a dispatch's request may be sent.
-func (b byDispatch) Standing(d *wire.Dispatch) quarantine.Standing {
+// Status says how a dispatch's request may be sent.
+func (b byDispatch) Status(d *wire.Dispatch) quarantine.Status {
 	if b.IsEmpty() {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	subject := d.Subject()
 	if d.Verdict == uint8(quarantine.Free) && !b.MayMatch(subject.Hint()) {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	return b.crashes.Status(subject.Fingerprint())
 }
--- a/node/describe.go
+++ b/node/describe.go
@@ -20,7 +20,7 @@
 	gates := n.allGates()
 	all := make([]metrics.GateState, 0, len(gates))
 	for _, g := range gates {
-		all = append(all, g.Describe())
+		all = append(all, g.MetricsState())
 	}
 	return all
 }
--- a/node/edition.go
+++ b/node/edition.go
@@ -116,7 +116,7 @@
 func (n *Node) apply(t *table.Table) {
 	n.applyGates(t)
 	for _, g := range n.gates {
-		g.Listed(n.listed[n.address()])
+		g.SetListedLeaving(n.listed[n.address()])
 	}
 	n.applyPeers(t)
 	n.quotas.update(t)
@@ -162,7 +162,7 @@
 	self := n.listed[n.address()]
 	n.mu.Unlock()
 	for _, g := range n.allGates() {
-		g.Listed(self)
+		g.SetListedLeaving(self)
 		n.entry.UpdateUpstream(g.Status())
 	}
 	n.links.BeatNow()
--- a/node/gates.go
+++ b/node/gates.go
@@ -61,13 +61,13 @@
 func (n *Node) forgetRetired() {
 	before := n.clock.Now() - retiredFor
 	for name, r := range n.retired {
-		if r.at < before && r.gate.Busy() == 0 {
+		if r.at < before && r.gate.Pending() == 0 {
 			delete(n.retired, name)
 			r.gate.Close()
 		}
 	}
 	for _, g := range n.gates {
-		g.Forget(before)
+		g.ForgetPrevious(before)
 	}
 }
 
@@ -80,29 +80,29 @@
 		n.retireGate(u.Name)
 	}
 	n.gates[u.Name] = gate.New(gate.Config{
-		Before:      n.retired[u.Name].gate,
+		Previous:    n.retired[u.Name].gate,
 		Service:     s,
 		Upstream:    u,
 		Incarnation: n.incarnation,
 		Seed:        n.seed + uint64(len(n.gates)),
 		Now:         n.clock.Now,
 		Backend: gate.NewHTTP(gate.HTTPConfig{
-			Address:     u.Address,
-			Connections: u.Connections,
-			Limit:       n.settings.Limits.Answer,
-			Headers:     n.upstreamHeaders,
-			Instance:    u.Name,
+			Address:        u.Address,
+			MaxConnections: u.Connections,
+			MaxBody:        n.settings.Limits.Answer,
+			Headers:        n.upstreamHeaders,
+			Instance:       u.Name,
 		}),
-		Pool:     n.gatePool,
-		Journal:  n.metrics,
-		Refusals: n.metrics,
-		Changed:  n.changed,
-		Excused:  n.entry.FailedWithin,
-		Invite:   n.invite,
-		Stalled:  n.stalled,
-		Keys:     n.keys,
-		Crashes:  byDispatch{n.crashes},
-		Log:      n.log,
+		Pool:             n.gatePool,
+		Journal:          n.metrics,
+		Refusals:         n.metrics,
+		OnChange:         n.changed,
+		DependencyFailed: n.entry.FailedWithin,
+		RequestWork:      n.invite,
+		OnHung:           n.stalled,
+		Keys:             n.keys,
+		Crashes:          byDispatch{n.crashes},
+		Log:              n.log,
 	})
 	if n.leaving {
 		n.gates[u.Name].Leave()
@@ -220,13 +220,13 @@
 		})
 		return
 	}
-	g.Enquire(e, answer)
+	g.ProbeCapacity(e, answer)
 }
 
 // Waive lets go of a slot that an entry asked for.
 func (n *Node) Waive(w *wire.Waive) {
 	if g, ok := n.gate(w.Upstream); ok {
-		g.Waive(w)
+		g.ReleaseReservation(w)
 	}
 }
 
@@ -237,7 +237,7 @@
 		n.links.Settled(from, &wire.Settled{ID: s.ID, Attempt: s.Attempt, Forgotten: true, Time: n.clock.Now()})
 		return
 	}
-	settled, reply := g.Settle(s)
+	settled, reply := g.Resolve(s)
 	if reply != nil {
 		n.links.Answer(from, reply)
 		return
--- a/node/leave.go
+++ b/node/leave.go
@@ -129,12 +129,12 @@
 func (n *Node) Busy() int {
 	busy := n.entry.InFlight()
 	for _, g := range n.allGates() {
-		busy += g.Busy()
+		busy += g.Pending()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.retired {
-		busy += r.gate.Busy()
+		busy += r.gate.Pending()
 	}
 	return busy
 }
--- a/node/local.go
+++ b/node/local.go
@@ -45,7 +45,7 @@
 // Abandon tells the gate that the caller has left.
 func (l local) Abandon(id wire.RequestID, attempt uint8) {
 	for _, g := range l.node.allGates() {
-		g.Abandon(id, attempt)
+		g.Cancel(id, attempt)
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -77,7 +77,7 @@
 	entry           *entry.Entry
 	links           *link.Server
 	callers         *fasthttp.Server
-	keys            *gate.Keys
+	keys            *gate.KeyStore
 	crashes         *crashes
 	quotas          *quotas
 	stalls          *stalls
@@ -146,7 +146,7 @@
 		}),
 	}
 	n.seed = n.incarnation
-	n.keys = gate.NewKeys(n.clock.Now)
+	n.keys = gate.NewKeyStore(n.clock.Now)
 	n.crashes = newCrashes(n.clock.Now, func(c *wire.Crashes) { n.links.TellCrashes(c) })
 	n.quotas = newQuotas(n)
 	n.metrics = n.newMetrics(c.Lines)
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -90,7 +90,7 @@
 	for _, g := range n.allGates() {
 		for i := range cases {
 			if cases[i].Verdict == quarantine.Quarantined && slices.Contains(cases[i].Servers, g.Name()) {
-				g.Explained(cases[i].Ends)
+				g.ClearCrashEvidence(cases[i].Crashes)
 			}
 		}
 	}
--- a/node/quota.go
+++ b/node/quota.go
@@ -43,7 +43,7 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	ledger   *quota.Ledger
+	ledger   *quota.Allocator
 	nodes    []string // that the table names, in order
 	homes    map[string][]string
 	accounts *simplelru.LRU[string, *drawing]
@@ -65,7 +65,7 @@
 	}
 	return &quotas{
 		now: n.clock.Now, self: n.address(), peer: n.linkTo, isCutOff: n.isCutOff, random: rand.New(rand.NewPCG(n.seed, 4)),
-		ledger: quota.NewLedger(mostAccounts, n.seed), homes: map[string][]string{}, accounts: accounts,
+		ledger: quota.NewAllocator(mostAccounts, n.seed), homes: map[string][]string{}, accounts: accounts,
 	}
 }
 
@@ -129,7 +129,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if d, ok := q.accounts.Get(a.Name); ok {
-		d.returned = min(d.returned+1, quota.MostAsked)
+		d.returned = min(d.returned+1, quota.MaxCount)
 	}
 }
 
@@ -153,12 +153,12 @@
 			q.mu.Unlock()
 			return
 		}
-		count := min(len(d.waiting), quota.MostAsked)
+		count := min(len(d.waiting), quota.MaxCount)
 		waiting := d.waiting[:count]
 		d.waiting = d.waiting[count:]
 		now := q.now()
-		draw := quota.Draw{Account: account, Limit: d.limit, Count: count, Returned: d.returned}
-		draw.Hint, draw.Told = d.history.Hint(now)
+		draw := quota.Request{Account: account, Limit: d.limit, Count: count, Returned: d.returned}
+		draw.Hint, draw.HintHome = d.history.Hint(now)
 		d.returned = 0
 		homes := q.order(account)
 		q.mu.Unlock()
@@ -173,7 +173,7 @@
 	defer q.mu.Unlock()
 	now := q.now()
 	if ok {
-		d.history.Granted(now, d.limit, g)
+		d.history.RecordGrant(now, d.limit, g)
 	}
 	for i, one := range waiting {
 		switch {
@@ -183,7 +183,7 @@
 		case ok:
 			q.counts.Refused++
 			one <- entry.Admission{OverQuota: true, RetryAfter: retryAfter(g, i)}
-		case d.history.Alone(now, d.limit, q.random.Float64()):
+		case d.history.AdmitWithoutHome(now, d.limit, q.random.Float64()):
 			q.counts.Alone++
 			one <- entry.Admission{OK: true}
 		default:
@@ -204,7 +204,7 @@
 // drawFrom asks the homes one after the other, and returns false if none answered. For its
 // own requests this node is the home only where it comes first and isn't cut off: it would
 // else grant beside a home that all others ask.
-func (q *quotas) drawFrom(homes []string, d quota.Draw) (quota.Grant, bool) {
+func (q *quotas) drawFrom(homes []string, d quota.Request) (quota.Grant, bool) {
 	for passed, home := range homes {
 		if home == q.self {
 			if passed == 0 && !q.isCutOff() {
@@ -243,10 +243,10 @@
 }
 
 // grant decides as the account's home.
-func (q *quotas) grant(d quota.Draw) quota.Grant {
+func (q *quotas) grant(d quota.Request) quota.Grant {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Draw(q.now(), d)
+	return q.ledger.Grant(q.now(), d)
 }
 
 // answer answers another node that asks. A home that isn't the first grants only where
@@ -269,7 +269,7 @@
 				return drawn
 			}
 		}
-		draw.Limit = draw.Limit.StandIn()
+		draw.Limit = draw.Limit.Fallback()
 	}
 	return wire.DrawnOf(d.Seq, q.grant(draw))
 }
--- a/node/resend.go
+++ b/node/resend.go
@@ -11,7 +11,7 @@
 // begin earlier sends. The memory is the node's, not a gate's: it answers also
 // for gates that a table edit has removed.
 func (n *Node) Void(v *wire.Void) *wire.Voided {
-	out := n.keys.Void(v)
+	out := n.keys.Revoke(v)
 	out.Version = n.version()
 	return out
 }
--- a/node/services.go
+++ b/node/services.go
@@ -160,7 +160,7 @@
 // probe asks the health endpoints of the upstreams beside this node.
 func (n *Node) probe() {
 	for _, g := range n.allGates() {
-		_ = n.gatePool.Submit(g.Probe) // a busy node probes at the next tick
+		_ = n.gatePool.Submit(g.ProbeHealth) // a busy node probes at the next tick
 	}
 }
 
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -10,22 +10,22 @@
 )
 
 // endOf is the end of a server under runs of requests, each a trial where it says so.
-func endOf(id uint64, at clock.Millis, suspects ...quarantine.Suspect) quarantine.End {
-	return quarantine.End{ID: id, Service: "salons", Upstream: fmt.Sprint("s", id), Version: "v1", Upstreams: 9, Suspects: suspects, At: at}
+func endOf(id uint64, at clock.Millis, suspects ...quarantine.Suspect) quarantine.Crash {
+	return quarantine.Crash{ID: id, Service: "salons", Upstream: fmt.Sprint("s", id), Version: "v1", Upstreams: 9, Suspects: suspects, At: at}
 }
 
 func suspect(name byte, isTrial bool) quarantine.Suspect {
-	return quarantine.Suspect{Fingerprint: quarantine.Fingerprint{name}, Hint: uint64(name), Ran: 50, IsTrial: isTrial}
+	return quarantine.Suspect{Fingerprint: quarantine.Fingerprint{name}, Hint: uint64(name), Elapsed: 50, IsTrial: isTrial}
 }
 
-func verdict(r *quarantine.Register, now clock.Millis, name byte) quarantine.Verdict {
-	return r.Standing(now, quarantine.Fingerprint{name}).Verdict
+func verdict(r *quarantine.Registry, now clock.Millis, name byte) quarantine.Verdict {
+	return r.Status(now, quarantine.Fingerprint{name}).Verdict
 }
 
 // convicted is a register with one request held after its third end at 3 s.
-func convicted() *quarantine.Register {
-	r := quarantine.New()
-	r.Merge(3000, []quarantine.End{
+func convicted() *quarantine.Registry {
+	r := quarantine.NewRegistry()
+	r.Merge(3000, []quarantine.Crash{
 		endOf(1, 1000, suspect('d', false), suspect('b', false)), endOf(2, 2000, suspect('d', true)), endOf(3, 3000, suspect('d', true)),
 	})
 	return r
@@ -34,9 +34,9 @@
 // Guards against a request that crashed two servers going on to a fourth one, and against
 // one that ran beside it being blamed for the same ends.
 func TestThreeEndsConvictOneAndExplainThem(t *testing.T) {
-	r := quarantine.New()
+	r := quarantine.NewRegistry()
 	steps := []struct {
-		end         quarantine.End
+		end         quarantine.Crash
 		want, other quarantine.Verdict
 	}{
 		{endOf(1, 1000, suspect('d', false), suspect('b', false)), quarantine.Suspected, quarantine.Suspected},
@@ -44,7 +44,7 @@
 		{endOf(3, 1200, suspect('d', true), suspect('b', false)), quarantine.Quarantined, quarantine.Free},
 	}
 	for i, step := range steps {
-		r.Merge(1300, []quarantine.End{step.end})
+		r.Merge(1300, []quarantine.Crash{step.end})
 		if got := verdict(r, 1300, 'd'); got != step.want {
 			t.Errorf("end %d: got %v, want %v", i+1, got, step.want)
 		}
@@ -57,9 +57,9 @@
 // Guards against one cause of several ends at an instant, such as a rack's, being put down
 // to a request that ran at all of them.
 func TestEndsAtOneInstantConvictNobody(t *testing.T) {
-	r := quarantine.New()
+	r := quarantine.NewRegistry()
 	for id := range uint64(12) {
-		r.Merge(1000, []quarantine.End{endOf(id+1, 1000, suspect('p', false))})
+		r.Merge(1000, []quarantine.Crash{endOf(id+1, 1000, suspect('p', false))})
 	}
 	if got := verdict(r, 1000, 'p'); got != quarantine.Suspected {
 		t.Errorf("got %v of a request that ran at 12 servers as they ended, want it on trial", got)
@@ -80,7 +80,7 @@
 	if got := verdict(r, 3000+10*clock.Minute, 'd'); got != quarantine.Suspected {
 		t.Errorf("got %v after 10 minutes, want one trial", got)
 	}
-	r.Merge(700_000, []quarantine.End{endOf(4, 700_000, suspect('d', true))})
+	r.Merge(700_000, []quarantine.Crash{endOf(4, 700_000, suspect('d', true))})
 	if got := verdict(r, 700_000+20*clock.Minute-1, 'd'); got != quarantine.Quarantined {
 		t.Errorf("got %v nearly 20 minutes after the trial, want it held", got)
 	}
@@ -102,23 +102,23 @@
 // Guards against a gate running what an entry holds back, and against its refusing what
 // came to its end since the entry heard of it.
 func TestAdmission(t *testing.T) {
-	held := quarantine.Standing{Verdict: quarantine.Quarantined, Versions: []string{"v1"}}
+	held := quarantine.Status{Verdict: quarantine.Quarantined, Versions: []string{"v1"}}
 	tests := []struct {
 		name     string
-		standing quarantine.Standing
+		standing quarantine.Status
 		entry    quarantine.Verdict
 		version  string
 		want     quarantine.Admission
 	}{
-		{"nothing known", quarantine.Standing{}, quarantine.Free, "v1", quarantine.Run},
-		{"suspected here", quarantine.Standing{Verdict: quarantine.Suspected}, quarantine.Free, "v1", quarantine.Try},
-		{"suspected there", quarantine.Standing{}, quarantine.Suspected, "v1", quarantine.Try},
-		{"suspected there, cleared here", quarantine.Standing{IsCleared: true}, quarantine.Suspected, "v1", quarantine.Run},
+		{"nothing known", quarantine.Status{}, quarantine.Free, "v1", quarantine.Run},
+		{"suspected here", quarantine.Status{Verdict: quarantine.Suspected}, quarantine.Free, "v1", quarantine.RunAlone},
+		{"suspected there", quarantine.Status{}, quarantine.Suspected, "v1", quarantine.RunAlone},
+		{"suspected there, cleared here", quarantine.Status{IsCleared: true}, quarantine.Suspected, "v1", quarantine.Run},
 		{"held here", held, quarantine.Free, "v1", quarantine.Refuse},
-		{"held there", quarantine.Standing{}, quarantine.Quarantined, "v1", quarantine.Refuse},
-		{"held there, cleared here", quarantine.Standing{IsCleared: true}, quarantine.Quarantined, "v1", quarantine.Run},
-		{"held there, cleared and suspected here", quarantine.Standing{Verdict: quarantine.Suspected, IsCleared: true}, quarantine.Quarantined, "v1", quarantine.Try},
-		{"another version, on trial", held, quarantine.Suspected, "v2", quarantine.Try},
+		{"held there", quarantine.Status{}, quarantine.Quarantined, "v1", quarantine.Refuse},
+		{"held there, cleared here", quarantine.Status{IsCleared: true}, quarantine.Quarantined, "v1", quarantine.Run},
+		{"held there, cleared and suspected here", quarantine.Status{Verdict: quarantine.Suspected, IsCleared: true}, quarantine.Quarantined, "v1", quarantine.RunAlone},
+		{"another version, on trial", held, quarantine.Suspected, "v2", quarantine.RunAlone},
 		{"another version, unheard of there", held, quarantine.Free, "v2", quarantine.Refuse},
 		{"no version told", held, quarantine.Suspected, "", quarantine.Refuse},
 	}
@@ -132,14 +132,14 @@
 // Guards against registers that differ by the order in which they heard, and against what a
 // peer knows less of going unsaid.
 func TestRegistersAgreeInAnyOrder(t *testing.T) {
-	ends := []quarantine.End{
+	ends := []quarantine.Crash{
 		endOf(1, 1000, suspect('d', false), suspect('b', false)), endOf(2, 2000, suspect('d', true)), endOf(3, 3000, suspect('d', true), suspect('b', true)),
 	}
-	one, other := quarantine.New(), quarantine.New()
+	one, other := quarantine.NewRegistry(), quarantine.NewRegistry()
 	one.Merge(3000, ends)
 	slices.Reverse(ends)
 	for _, e := range ends {
-		other.Merge(3000, []quarantine.End{e})
+		other.Merge(3000, []quarantine.Crash{e})
 	}
 	if one.Digest() != other.Digest() || one.Digest() == 0 {
 		t.Errorf("got digests %x and %x, want one", one.Digest(), other.Digest())
@@ -164,19 +164,19 @@
 	r := convicted()
 	for i := range uint64(5000) {
 		s := quarantine.Suspect{Fingerprint: quarantine.Fingerprint{1, byte(i), byte(i >> 8)}, Hint: i}
-		r.Merge(4000+clock.Millis(i), []quarantine.End{endOf(100+i, 4000+clock.Millis(i), s)})
+		r.Merge(4000+clock.Millis(i), []quarantine.Crash{endOf(100+i, 4000+clock.Millis(i), s)})
 	}
-	if all, _ := r.Since(0); len(all) > 512 {
+	if all, _ := r.ChangedSince(0); len(all) > 512 {
 		t.Errorf("got %d ends held, want 512 at most", len(all))
 	}
 	if got := verdict(r, 9000, 'd'); got != quarantine.Quarantined {
 		t.Errorf("got %v after 5000 other ends, want it held", got)
 	}
-	many := make([]quarantine.Suspect, quarantine.MostSuspects+1)
-	if isNews, _ := r.Merge(9000, []quarantine.End{endOf(9999, 9000, many...), endOf(9998, 9000)}); isNews {
+	many := make([]quarantine.Suspect, quarantine.MaxSuspects+1)
+	if isNews, _ := r.Merge(9000, []quarantine.Crash{endOf(9999, 9000, many...), endOf(9998, 9000)}); isNews {
 		t.Error("got an end taken in with too many runs, or none")
 	}
-	r.Expire(9000 + quarantine.KeepOpen + clock.Minute)
+	r.Expire(9000 + quarantine.OpenTTL + clock.Minute)
 	if !r.IsEmpty() {
 		t.Error("got something suspected after all is too old")
 	}
--- a/quarantine/standing.go
+++ b/quarantine/standing.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// ConvictAfter is under how many ends a request must have run.
-	ConvictAfter = 3
-	// mostChance is the most that the chance of a request being there by accident may be.
-	mostChance = 1e-5
-	// mostTrials is how many trials it gets after the end from which it may be convicted,
+	// MinCrashes is under how many ends a request must have run.
+	MinCrashes = 3
+	// maxChance is the most that the chance of a request being there by accident may be.
+	maxChance = 1e-5
+	// maxTrials is how many trials it gets after the end from which it may be convicted,
 	// whatever they show but success: it is convicted then however likely chance is. It
 	// leaves room for one more that two entries send at one instant.
-	mostTrials = 2
-	// rateSpan is the time before an end in which others of its service say how often
+	maxTrials = 2
+	// rateWindow is the time before an end in which others of its service say how often
 	// its processes end by themselves.
-	rateSpan = 20 * clock.Second
-	// leastExposure is added to the time of a run: ends and runs aren't seen to the
+	rateWindow = 20 * clock.Second
+	// minExposure is added to the time of a run: ends and runs aren't seen to the
 	// millisecond.
-	leastExposure = 10 * clock.Millis(1)
-	// firstHold is how long a convicted request is held after its third end. Each
+	minExposure = 10 * clock.Millis(1)
+	// baseQuarantine is how long a convicted request is held after its third end. Each
 	// further end doubles it, up to lastHold.
-	firstHold = 10 * clock.Minute
-	lastHold  = clock.Hour
+	baseQuarantine = 10 * clock.Minute
+	maxQuarantine  = clock.Hour
 )
 
 // Verdict says how a request may be sent.
@@ -44,8 +44,8 @@
 	Quarantined
 )
 
-// Standing is what is known of a request.
-type Standing struct {
+// Status is what is known of a request.
+type Status struct {
 	Verdict Verdict
 	// IsCleared says that the request is known not to be to blame for some end at least.
 	IsCleared bool
@@ -60,8 +60,8 @@
 const (
 	// Run runs it like any other.
 	Run Admission = iota
-	// Try runs it beside no other suspect.
-	Try
+	// RunAlone runs it beside no other suspect.
+	RunAlone
 	// Refuse doesn't run it.
 	Refuse
 )
@@ -70,7 +70,7 @@
 // sends it knew. Software of another version than those that ended under it may bear it. An
 // entry that holds it back is believed, unless the gate knows that it was cleared: the
 // entry may not have heard that yet.
-func (s *Standing) Admit(entry Verdict, version string) Admission {
+func (s *Status) Admit(entry Verdict, version string) Admission {
 	isTested := version == "" || slices.Contains(s.Versions, version)
 	switch {
 	case s.Verdict == Quarantined && (isTested || entry == Free):
@@ -82,7 +82,7 @@
 	case s.Verdict == Free && entry == Free:
 		return Run
 	default:
-		return Try
+		return RunAlone
 	}
 }
 
@@ -91,9 +91,9 @@
 	Fingerprint Fingerprint
 	Verdict     Verdict
 	Service     string
-	// Ends are the processes that ended under it and that nothing else explains, oldest
+	// Crashes are the processes that ended under it and that nothing else explains, oldest
 	// first, and Requests the sends that ran there.
-	Ends     []uint64
+	Crashes  []uint64
 	Servers  []string
 	Requests []string
 	Versions []string
@@ -101,8 +101,8 @@
 	Trials int
 	// trials are the instants of all trials, also of those that showed nothing.
 	trials []clock.Millis
-	// proof is when the end was from which it may be convicted.
-	proof clock.Millis
+	// provenAt is when the end was from which it may be convicted.
+	provenAt clock.Millis
 	// Chance is how likely its trials met ends of other causes. Ends under other runs
 	// say nothing of that: several may have one cause at one instant.
 	Chance float64
@@ -110,31 +110,31 @@
 	Last, Until clock.Millis
 }
 
-// review works out all cases: a convicted request explains the ends that it ran under,
+// recomputeCases works out all cases: a convicted request explains the ends that it ran under,
 // which then count against no other one.
-func (r *Register) review() {
+func (r *Registry) recomputeCases() {
 	r.cases = map[Fingerprint]*Case{}
 	explained := map[uint64]struct{}{}
-	ends := r.inOrder()
-	each := rates(ends)
+	ends := r.sortedCrashes()
+	each := crashRates(ends)
 	for {
 		open := r.openCases(ends, each, explained)
-		guilty := worst(open)
+		guilty := strongestCase(open)
 		if guilty == nil {
-			maps.DeleteFunc(open, func(_ Fingerprint, c *Case) bool { return len(c.Ends) == 0 }) // trials alone
+			maps.DeleteFunc(open, func(_ Fingerprint, c *Case) bool { return len(c.Crashes) == 0 }) // trials alone
 			maps.Copy(r.cases, open)
 			return
 		}
 		guilty.Verdict = Quarantined
 		r.cases[guilty.Fingerprint] = guilty
-		for _, id := range guilty.Ends {
+		for _, id := range guilty.Crashes {
 			explained[id] = struct{}{}
 		}
 	}
 }
 
 // openCases gathers the cases of all ends that nothing explains.
-func (r *Register) openCases(ends []*End, each []float64, explained map[uint64]struct{}) map[Fingerprint]*Case {
+func (r *Registry) openCases(ends []*Crash, each []float64, explained map[uint64]struct{}) map[Fingerprint]*Case {
 	open := map[Fingerprint]*Case{}
 	for number, e := range ends {
 		if _, ok := explained[e.ID]; ok {
@@ -157,14 +157,14 @@
 	return open
 }
 
-func (c *Case) add(e *End, s *Suspect, rate float64) {
+func (c *Case) add(e *Crash, s *Suspect, rate float64) {
 	if s.IsTrial {
 		c.trials = append(c.trials, e.At)
 	}
-	if e.IsMiss || (len(c.Ends) > 0 && c.Ends[len(c.Ends)-1] == e.ID) {
+	if e.IsInconclusive || (len(c.Crashes) > 0 && c.Crashes[len(c.Crashes)-1] == e.ID) {
 		return // it showed nothing, or ran there twice at once
 	}
-	c.Ends = append(c.Ends, e.ID)
+	c.Crashes = append(c.Crashes, e.ID)
 	c.Servers = append(c.Servers, e.Upstream)
 	c.Requests = append(c.Requests, s.Request)
 	if !slices.Contains(c.Versions, e.Version) {
@@ -172,38 +172,38 @@
 	}
 	if s.IsTrial {
 		c.Trials++
-		c.Chance *= min(1, rate*float64(s.Ran+leastExposure))
+		c.Chance *= min(1, rate*float64(s.Elapsed+minExposure))
 	}
 	c.Last = max(c.Last, e.At)
-	if len(c.Ends) == ConvictAfter {
-		c.proof = e.At
+	if len(c.Crashes) == MinCrashes {
+		c.provenAt = e.At
 	}
-	doublings := max(len(c.Ends)-ConvictAfter, 0)
-	c.Until = c.Last + clock.Millis(min(float64(lastHold), math.Ldexp(float64(firstHold), doublings)))
+	doublings := max(len(c.Crashes)-MinCrashes, 0)
+	c.Until = c.Last + clock.Millis(min(float64(maxQuarantine), math.Ldexp(float64(baseQuarantine), doublings)))
 }
 
-// isConvicted reports whether the evidence will do.
-func (c *Case) isConvicted() bool {
-	return len(c.Ends) >= ConvictAfter &&
-		(c.Chance <= mostChance || c.spent() >= mostTrials)
+// isConclusive reports whether the evidence will do.
+func (c *Case) isConclusive() bool {
+	return len(c.Crashes) >= MinCrashes &&
+		(c.Chance <= maxChance || c.trialsSince() >= maxTrials)
 }
 
-// spent is how many trials there were since it may be convicted.
-func (c *Case) spent() int {
+// trialsSince is how many trials there were since it may be convicted.
+func (c *Case) trialsSince() int {
 	spent := 0
 	for _, at := range c.trials {
-		if at > c.proof {
+		if at > c.provenAt {
 			spent++
 		}
 	}
 	return spent
 }
 
-// worst is the convicted case that explains most, nil without one.
-func worst(open map[Fingerprint]*Case) *Case {
+// strongestCase is the convicted case that explains most, nil without one.
+func strongestCase(open map[Fingerprint]*Case) *Case {
 	var found *Case
 	for _, c := range open {
-		if c.isConvicted() && (found == nil || c.compare(found) < 0) {
+		if c.isConclusive() && (found == nil || c.compare(found) < 0) {
 			found = c
 		}
 	}
@@ -212,28 +212,28 @@
 
 func (c *Case) compare(other *Case) int {
 	return cmp.Or(
-		cmp.Compare(len(other.Ends), len(c.Ends)),
+		cmp.Compare(len(other.Crashes), len(c.Crashes)),
 		cmp.Compare(other.Trials, c.Trials),
 		cmp.Compare(c.Chance, other.Chance),
 		bytes.Compare(c.Fingerprint[:], other.Fingerprint[:]),
 	)
 }
 
-// rates returns how many ends an upstream of the service had in a millisecond before each
+// crashRates returns how many ends an upstream of the service had in a millisecond before each
 // of the ends, which are in order. Later ones say nothing of it: a verdict that stands must
 // not fall since other servers end.
-func rates(ends []*End) []float64 {
+func crashRates(ends []*Crash) []float64 {
 	all := make([]float64, len(ends))
 	before := map[string][]clock.Millis{} // of each service, within the span
 	for i, e := range ends {
-		if e.IsMiss {
+		if e.IsInconclusive {
 			continue
 		}
 		before[e.Service] = append(before[e.Service], e.At)
-		for e.At-before[e.Service][0] > rateSpan {
+		for e.At-before[e.Service][0] > rateWindow {
 			before[e.Service] = before[e.Service][1:]
 		}
-		all[i] = float64(len(before[e.Service])) / float64(max(e.Upstreams, 1)) / float64(rateSpan)
+		all[i] = float64(len(before[e.Service])) / float64(max(e.Upstreams, 1)) / float64(rateWindow)
 	}
 	return all
 }
--- a/quarantine/walk_test.go
+++ b/quarantine/walk_test.go
@@ -31,7 +31,7 @@
 	w.every(2000, 2000, w.repair)
 	w.every(2000, 8000, func() { // a node starts again and knows nothing
 		node := anyNode()
-		w.nodes[node], w.told[node], w.restarted[node] = quarantine.New(), 0, w.now
+		w.nodes[node], w.told[node], w.restarted[node] = quarantine.NewRegistry(), 0, w.now
 		w.returns(node)
 	})
 	w.every(2000, 8000, func() { // a node is cut off
--- a/quarantine/world_test.go
+++ b/quarantine/world_test.go
@@ -76,7 +76,7 @@
 	now       clock.Millis
 	events    agenda
 	count     int
-	nodes     []*quarantine.Register
+	nodes     []*quarantine.Registry
 	told      []uint64
 	cutUntil  []clock.Millis
 	restarted []clock.Millis // when a node was restarted last
@@ -100,7 +100,7 @@
 		deadly: quarantine.Request{Caller: "a", Method: "GET", URI: "/deadly"}, popular: quarantine.Request{Caller: "a", Method: "GET", URI: "/popular"},
 	}
 	for range nodes {
-		w.nodes = append(w.nodes, quarantine.New())
+		w.nodes = append(w.nodes, quarantine.NewRegistry())
 		w.told = append(w.told, 0)
 		w.cutUntil = append(w.cutUntil, 0)
 		w.restarted = append(w.restarted, -stable)
@@ -133,7 +133,7 @@
 
 // changed tells all other nodes what has changed at one.
 func (w *world) changed(node int) {
-	ends, number := w.nodes[node].Since(w.told[node])
+	ends, number := w.nodes[node].ChangedSince(w.told[node])
 	w.told[node] = number
 	if w.without == telling || w.cutUntil[node] > w.now {
 		return
@@ -145,11 +145,11 @@
 	}
 }
 
-func (w *world) deliver(to int, ends []quarantine.End, delay clock.Millis) {
+func (w *world) deliver(to int, ends []quarantine.Crash, delay clock.Millis) {
 	w.after(delay, func() {
 		if w.cutUntil[to] <= w.now {
 			w.nodes[to].Merge(w.now, ends)
-			_, w.told[to] = w.nodes[to].Since(w.told[to])
+			_, w.told[to] = w.nodes[to].ChangedSince(w.told[to])
 		}
 	})
 }
@@ -171,9 +171,9 @@
 		if w.cutUntil[other] > w.now || w.nodes[node].Digest() == w.nodes[other].Digest() {
 			continue
 		}
-		mine, _ := w.nodes[node].Since(0)
+		mine, _ := w.nodes[node].ChangedSince(0)
 		_, behind := w.nodes[other].Merge(w.now, mine)
-		theirs, _ := w.nodes[other].Since(0)
+		theirs, _ := w.nodes[other].ChangedSince(0)
 		w.nodes[node].Merge(w.now, append(theirs, behind...))
 	}
 }
@@ -186,9 +186,9 @@
 // send lets a request come to a node, and go on to servers up to three times.
 func (w *world) send(node int, request quarantine.Request, attempts int) {
 	fingerprint := request.Fingerprint()
-	standing := w.nodes[node].Standing(w.now, fingerprint)
+	standing := w.nodes[node].Status(w.now, fingerprint)
 	if w.without == convict {
-		standing = quarantine.Standing{}
+		standing = quarantine.Status{}
 	}
 	s := w.pick(fingerprint, standing.Verdict != quarantine.Free)
 	if s == nil {
@@ -227,9 +227,9 @@
 }
 
 func (w *world) begin(node int, s *server, request quarantine.Request, entry quarantine.Verdict, attempts int) {
-	gate := w.nodes[w.gateOf(s)].Standing(w.now, request.Fingerprint())
+	gate := w.nodes[w.gateOf(s)].Status(w.now, request.Fingerprint())
 	if w.without == convict {
-		gate = quarantine.Standing{}
+		gate = quarantine.Status{}
 	}
 	admission := gate.Admit(entry, "v1")
 	switch {
@@ -240,7 +240,7 @@
 		w.send(node, request, attempts)
 		return
 	}
-	isTrial := admission == quarantine.Try
+	isTrial := admission == quarantine.RunAlone
 	if isTrial && s.suspect != nil {
 		s.parked = append(s.parked, func() { w.send(node, request, attempts) })
 		return
@@ -292,17 +292,17 @@
 	gate := w.gateOf(s)
 	e := w.endOf(s)
 	e.Suspects = []quarantine.Suspect{w.suspectOf(r)}
-	if w.nodes[gate].Miss(w.now, e) {
+	if w.nodes[gate].AddInconclusive(w.now, e) {
 		w.changed(gate)
 	}
 }
 
-func (w *world) endOf(s *server) quarantine.End {
-	return quarantine.End{ID: w.random.Uint64(), Service: "service", Upstream: s.name, Version: "v1", Upstreams: len(w.servers), At: w.now}
+func (w *world) endOf(s *server) quarantine.Crash {
+	return quarantine.Crash{ID: w.random.Uint64(), Service: "service", Upstream: s.name, Version: "v1", Upstreams: len(w.servers), At: w.now}
 }
 
 func (w *world) suspectOf(r *run) quarantine.Suspect {
-	return quarantine.Suspect{Fingerprint: r.request.Fingerprint(), Hint: r.request.Hint(), Ran: w.now - r.began, IsTrial: r.isTrial}
+	return quarantine.Suspect{Fingerprint: r.request.Fingerprint(), Hint: r.request.Hint(), Elapsed: w.now - r.began, IsTrial: r.isTrial}
 }
 
 // isInTouch reports whether a node wasn't restarted or cut off for a while.
@@ -364,13 +364,13 @@
 	end := w.endOf(s)
 	runs := slices.SortedFunc(maps.Values(s.runs), func(a, b *run) int { return a.id - b.id })
 	for _, r := range runs {
-		if len(end.Suspects) < quarantine.MostSuspects && !s.finished[r.request.URI] {
+		if len(end.Suspects) < quarantine.MaxSuspects && !s.finished[r.request.URI] {
 			end.Suspects = append(end.Suspects, w.suspectOf(r))
 		}
 	}
 	s.isDown, s.runs, s.finished = true, map[int]*run{}, map[string]bool{}
 	gate := w.gateOf(s)
-	if isNews, _ := w.nodes[gate].Merge(w.now, []quarantine.End{end}); isNews {
+	if isNews, _ := w.nodes[gate].Merge(w.now, []quarantine.Crash{end}); isNews {
 		w.changed(gate)
 	}
 	for _, r := range runs {
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -27,45 +27,45 @@
 	return max(l.Burst, 1)
 }
 
-// standInShare is the part of a limit that another node grants in the home's place: the home
+// fallbackShare is the part of a limit that another node grants in the home's place: the home
 // may go on for those that reach it.
-const standInShare = 0.5
+const fallbackShare = 0.5
 
-// StandIn is what a node grants while the homes before it are out of its reach. A small burst
+// Fallback is what a node grants while the homes before it are out of its reach. A small burst
 // stays whole: half of it would refuse two requests of an account that come together.
-func (l Limit) StandIn() Limit {
-	return Limit{Rate: standInShare * l.Rate, Burst: max(standInShare*l.Burst, min(l.Burst, leastStart))}
+func (l Limit) Fallback() Limit {
+	return Limit{Rate: fallbackShare * l.Rate, Burst: max(fallbackShare*l.Burst, min(l.Burst, minInitial))}
 }
 
 const (
-	// startShare is the part of its burst with which a home begins that knows nothing of
+	// initialShare is the part of its burst with which a home begins that knows nothing of
 	// the account, leastStart the requests that it grants in any case: a home before it
 	// may have granted a whole burst a moment ago.
-	startShare = 0.5
-	leastStart = 4
-	// takenOverShare is the same for a home that hears of one that granted within the last
+	initialShare = 0.5
+	minInitial   = 4
+	// failoverShare is the same for a home that hears of one that granted within the last
 	// recently, and that has itself granted nothing for restingAfter.
-	takenOverShare = 0.25
-	recently       = 2 * clock.Second
-	restingAfter   = 500 * clock.Millis(1)
+	failoverShare = 0.25
+	recentWindow  = 2 * clock.Second
+	idleTimeout   = 500 * clock.Millis(1)
 )
 
 // bucket holds the requests that an account may send now, at its home.
 type bucket struct {
-	limit    Limit
-	level    float64
-	at       clock.Millis
-	drawn    clock.Millis // when it was asked last
-	comeback limit.RetrySchedule
+	limit       Limit
+	level       float64
+	at          clock.Millis
+	lastRequest clock.Millis // when it was asked last
+	retryAfter  limit.RetrySchedule
 }
 
 func newBucket(now clock.Millis, l Limit) *bucket {
-	start := min(max(startShare*l.depth(), leastStart), l.depth())
-	return &bucket{limit: l, level: start, at: now, drawn: now - restingAfter}
+	start := min(max(initialShare*l.depth(), minInitial), l.depth())
+	return &bucket{limit: l, level: start, at: now, lastRequest: now - idleTimeout}
 }
 
-// fill brings the level up to date, and to an edited limit.
-func (b *bucket) fill(now clock.Millis, l Limit) {
+// refill brings the level up to date, and to an edited limit.
+func (b *bucket) refill(now clock.Millis, l Limit) {
 	if now > b.at {
 		b.level += b.limit.Rate * (now - b.at).Seconds()
 		b.at = now
@@ -74,16 +74,16 @@
 	b.level = min(b.level, l.depth())
 }
 
-// heed takes in how much another home had left, as one who asked it says.
-func (b *bucket) heed(now clock.Millis, h Hint) {
-	isResting := now-b.drawn >= restingAfter
-	b.drawn = now
+// applyHint takes in how much another home had left, as one who asked it says.
+func (b *bucket) applyHint(now clock.Millis, h Hint) {
+	isResting := now-b.lastRequest >= idleTimeout
+	b.lastRequest = now
 	if !h.Known {
 		return
 	}
-	b.level = min(b.level, h.at(b.limit))
-	if isResting && h.Age <= recently {
-		b.level = min(b.level, max(takenOverShare*b.limit.depth(), 1))
+	b.level = min(b.level, h.maxLeft(b.limit))
+	if isResting && h.Age <= recentWindow {
+		b.level = min(b.level, max(failoverShare*b.limit.depth(), 1))
 	}
 }
 
@@ -94,15 +94,15 @@
 	return granted
 }
 
-// refuse returns when each of count refused requests may come back, one after the other.
-func (b *bucket) refuse(now clock.Millis, count int, random *rand.Rand) []clock.Millis {
+// scheduleRetries returns when each of count refused requests may come back, one after the other.
+func (b *bucket) scheduleRetries(now clock.Millis, count int, random *rand.Rand) []clock.Millis {
 	if count == 0 {
 		return nil
 	}
 	gap := float64(clock.Second) / b.limit.Rate
 	after := make([]clock.Millis, count)
 	for i := range after {
-		after[i] = b.comeback.Next(now, (1-b.level)*gap, gap, random)
+		after[i] = b.retryAfter.Next(now, (1-b.level)*gap, gap, random)
 	}
 	return after
 }
@@ -116,7 +116,7 @@
 	Age  clock.Millis
 }
 
-// at is the most that can be left by now.
-func (h Hint) at(l Limit) float64 {
+// maxLeft is the most that can be left by now.
+func (h Hint) maxLeft(l Limit) float64 {
 	return max(h.Left, 0) + l.Rate*max(h.Age, 0).Seconds()
 }
--- a/quota/homes.go
+++ b/quota/homes.go
@@ -7,9 +7,9 @@
 	"fuchsiapick.example/fuchsiapick/rendezvous"
 )
 
-// MostHomes is how many nodes are asked for an account one after the other, where those
+// MaxHomes is how many nodes are asked for an account one after the other, where those
 // before can't be reached: few of these are lost together.
-const MostHomes = 6
+const MaxHomes = 6
 
 // Homes returns the nodes that may grant an account's requests, its home first. All nodes
 // that know the same nodes name the same ones, and where one joins or leaves, the homes of
@@ -26,8 +26,8 @@
 	slices.SortFunc(all, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.node, b.node))
 	})
-	homes := make([]string, 0, MostHomes)
-	for _, one := range all[:min(len(all), MostHomes)] {
+	homes := make([]string, 0, MaxHomes)
+	for _, one := range all[:min(len(all), MaxHomes)] {
 		homes = append(homes, one.node)
 	}
 	return homes
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -8,19 +8,19 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// MostAsked bounds the requests of one Draw.
-const MostAsked = 64
+// MaxCount bounds the requests of one Draw.
+const MaxCount = 64
 
-// Draw asks the home of an account for leave to send requests.
-type Draw struct {
+// Request asks the home of an account for leave to send requests.
+type Request struct {
 	Account string
 	Limit   Limit
 	// Count is how many requests wait for leave, Returned how many that had it were not
 	// run.
 	Count, Returned int
 	// Hint is what another home told, Told is the mark of that home.
-	Hint Hint
-	Told uint32
+	Hint     Hint
+	HintHome uint32
 }
 
 // Grant answers a Draw.
@@ -35,41 +35,41 @@
 	Home uint32
 }
 
-// Ledger holds the accounts whose home a node is. It is not safe for concurrent use.
-type Ledger struct {
-	mark    uint32
+// Allocator holds the accounts whose home a node is. It is not safe for concurrent use.
+type Allocator struct {
+	id      uint32
 	random  *rand.Rand
 	buckets *simplelru.LRU[string, *bucket]
 }
 
-// NewLedger returns the ledger of a node, of at most that many accounts; the one that sent
+// NewAllocator returns the ledger of a node, of at most that many accounts; the one that sent
 // least lately is forgotten first. The seed makes the jitter of RetryAfter repeatable, and
 // its lower half is the mark by which others know the node.
-func NewLedger(accounts int, seed uint64) *Ledger {
+func NewAllocator(accounts int, seed uint64) *Allocator {
 	buckets, err := simplelru.NewLRU[string, *bucket](max(accounts, 1), nil)
 	if err != nil {
 		panic(err) // only a size below 1 is refused
 	}
-	return &Ledger{mark: uint32(seed), random: rand.New(rand.NewPCG(seed, 3)), buckets: buckets}
+	return &Allocator{id: uint32(seed), random: rand.New(rand.NewPCG(seed, 3)), buckets: buckets}
 }
 
-// Draw grants as many of the requests as the account may send now. An account without a
+// Grant grants as many of the requests as the account may send now. An account without a
 // rate has no limit.
-func (l *Ledger) Draw(now clock.Millis, d Draw) Grant {
-	count := min(max(d.Count, 0), MostAsked)
+func (l *Allocator) Grant(now clock.Millis, d Request) Grant {
+	count := min(max(d.Count, 0), MaxCount)
 	if !(d.Limit.Rate > 0) {
-		return Grant{Granted: count, Left: d.Limit.depth(), Home: l.mark}
+		return Grant{Granted: count, Left: d.Limit.depth(), Home: l.id}
 	}
 	b, ok := l.buckets.Get(d.Account)
 	if !ok {
 		b = newBucket(now, d.Limit)
 		l.buckets.Add(d.Account, b)
 	}
-	b.fill(now, d.Limit)
-	b.level = min(b.level+float64(min(max(d.Returned, 0), MostAsked)), d.Limit.depth())
+	b.refill(now, d.Limit)
+	b.level = min(b.level+float64(min(max(d.Returned, 0), MaxCount)), d.Limit.depth())
 	hint := d.Hint
-	hint.Known = hint.Known && d.Told != l.mark
-	b.heed(now, hint)
+	hint.Known = hint.Known && d.HintHome != l.id
+	b.applyHint(now, hint)
 	granted := b.take(count)
-	return Grant{Granted: granted, RetryAfter: b.refuse(now, count-granted, l.random), Left: b.level, Home: l.mark}
+	return Grant{Granted: granted, RetryAfter: b.scheduleRetries(now, count-granted, l.random), Left: b.level, Home: l.id}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,12 +12,12 @@
 
 var ten = quota.Limit{Rate: 10, Burst: 10}
 
-func drawOne(l *quota.Ledger, now clock.Millis) quota.Grant {
-	return l.Draw(now, quota.Draw{Account: "hotel", Limit: ten, Count: 1})
+func drawOne(l *quota.Allocator, now clock.Millis) quota.Grant {
+	return l.Grant(now, quota.Request{Account: "hotel", Limit: ten, Count: 1})
 }
 
 // admitted counts the grants of a ledger that is asked every millisecond.
-func admitted(l *quota.Ledger, from, to clock.Millis) int {
+func admitted(l *quota.Allocator, from, to clock.Millis) int {
 	count := 0
 	for now := from; now < to; now++ {
 		count += drawOne(l, now).Granted
@@ -26,7 +26,7 @@
 }
 
 func TestHomeGrantsRateAndBurst(t *testing.T) {
-	l := quota.NewLedger(10, 1)
+	l := quota.NewAllocator(10, 1)
 	drawOne(l, 0)
 	if got := admitted(l, 10*clock.Second, 20*clock.Second); got < 109 || got > 110 {
 		t.Errorf("got %d requests in 10 s after a rest, want a burst of 10 and 100", got)
@@ -37,21 +37,21 @@
 }
 
 func TestAccountsWithoutARateHaveNoLimit(t *testing.T) {
-	l := quota.NewLedger(10, 1)
+	l := quota.NewAllocator(10, 1)
 	for range 100 {
-		if got := l.Draw(5, quota.Draw{Account: "hotel", Count: 7}); got.Granted != 7 {
+		if got := l.Grant(5, quota.Request{Account: "hotel", Count: 7}); got.Granted != 7 {
 			t.Fatalf("got %d granted, want 7", got.Granted)
 		}
 	}
 }
 
 func TestLowerLimitHoldsAtOnce(t *testing.T) {
-	l := quota.NewLedger(10, 1)
+	l := quota.NewAllocator(10, 1)
 	drawOne(l, 0)
 	low := quota.Limit{Rate: 1, Burst: 1}
 	count := 0
 	for now := 10 * clock.Second; now < 20*clock.Second; now++ {
-		count += l.Draw(now, quota.Draw{Account: "hotel", Limit: low, Count: 1}).Granted
+		count += l.Grant(now, quota.Request{Account: "hotel", Limit: low, Count: 1}).Granted
 	}
 	if count != 10 {
 		t.Errorf("got %d requests in 10 s, want 10", count)
@@ -59,9 +59,9 @@
 }
 
 func TestReturnedRequestsAreGrantedAgain(t *testing.T) {
-	l := quota.NewLedger(10, 1)
-	l.Draw(0, quota.Draw{Account: "hotel", Limit: ten, Count: quota.MostAsked})
-	got := l.Draw(0, quota.Draw{Account: "hotel", Limit: ten, Count: 5, Returned: 3})
+	l := quota.NewAllocator(10, 1)
+	l.Grant(0, quota.Request{Account: "hotel", Limit: ten, Count: quota.MaxCount})
+	got := l.Grant(0, quota.Request{Account: "hotel", Limit: ten, Count: 5, Returned: 3})
 	if got.Granted != 3 || len(got.RetryAfter) != 2 {
 		t.Errorf("got %+v, want 3 granted and 2 refused", got)
 	}
@@ -76,13 +76,13 @@
 	var hint quota.Hint
 	count, told, home := 0, clock.Millis(0), uint32(0)
 	for kill := range 10 {
-		l := quota.NewLedger(10, uint64(kill)+100)
+		l := quota.NewAllocator(10, uint64(kill)+100)
 		from := clock.Millis(kill) * clock.Second
 		for now := from; now < from+clock.Second; now += 5 {
 			if hint.Known {
 				hint.Age = now - told
 			}
-			g := l.Draw(now, quota.Draw{Account: "hotel", Limit: ten, Count: 1, Hint: hint, Told: home})
+			g := l.Grant(now, quota.Request{Account: "hotel", Limit: ten, Count: 1, Hint: hint, HintHome: home})
 			count += g.Granted
 			hint, told, home = quota.Hint{Known: true, Left: g.Left}, now, g.Home
 		}
@@ -106,8 +106,8 @@
 		if quota.Homes(account, nodes[1:])[0] != homes[0] {
 			moved++
 		}
-		if len(homes) != quota.MostHomes || homes[0] == homes[1] {
-			t.Fatalf("got homes %v, want %d of them", homes, quota.MostHomes)
+		if len(homes) != quota.MaxHomes || homes[0] == homes[1] {
+			t.Fatalf("got homes %v, want %d of them", homes, quota.MaxHomes)
 		}
 	}
 	if moved != counts[nodes[0]] {
@@ -129,11 +129,11 @@
 	}{{9, 10}, {1, 5}} {
 		var h quota.History
 		for now := clock.Millis(0); now < 60*clock.Second; now += 500 {
-			h.Granted(now, ten, quota.Grant{Granted: 1, Left: test.left})
+			h.RecordGrant(now, ten, quota.Grant{Granted: 1, Left: test.left})
 		}
 		count := 0
 		for now := 60 * clock.Second; now < 70*clock.Second; now += 10 {
-			if h.Alone(now, ten, 0.5) {
+			if h.AdmitWithoutHome(now, ten, 0.5) {
 				count++
 			}
 		}
@@ -144,7 +144,7 @@
 	var idle quota.History
 	count := 0
 	for now := clock.Millis(0); now < 10*clock.Second; now += 10 {
-		if idle.Alone(now, ten, 0.99) {
+		if idle.AdmitWithoutHome(now, ten, 0.99) {
 			count++
 		}
 	}
@@ -157,7 +157,7 @@
 type world struct {
 	random  *rand.Rand
 	nodes   []string
-	ledgers map[string]*quota.Ledger
+	ledgers map[string]*quota.Allocator
 	history map[string]*quota.History
 	down    map[string]clock.Millis // until when a node is killed
 	cut     map[string]clock.Millis // until when one reaches no other
@@ -169,7 +169,7 @@
 
 func newWorld(seed uint64, nodes int) *world {
 	w := &world{
-		random: rand.New(rand.NewPCG(seed, 0)), ledgers: map[string]*quota.Ledger{}, history: map[string]*quota.History{},
+		random: rand.New(rand.NewPCG(seed, 0)), ledgers: map[string]*quota.Allocator{}, history: map[string]*quota.History{},
 		down: map[string]clock.Millis{}, cut: map[string]clock.Millis{}, cutAt: map[string]clock.Millis{},
 	}
 	for i := range nodes {
@@ -181,7 +181,7 @@
 }
 
 func (w *world) start(node string) {
-	w.ledgers[node] = quota.NewLedger(10, w.random.Uint64())
+	w.ledgers[node] = quota.NewAllocator(10, w.random.Uint64())
 	w.history[node] = &quota.History{}
 }
 
@@ -201,7 +201,7 @@
 		}
 		granted := l
 		if i > 0 {
-			granted = l.StandIn()
+			granted = l.Fallback()
 		}
 		for _, before := range homes[:i] {
 			if w.reaches(now, home, before) {
@@ -210,11 +210,11 @@
 			}
 		}
 		hint, told := h.Hint(now)
-		g := w.ledgers[home].Draw(now, quota.Draw{Account: "hotel", Limit: granted, Count: 1, Hint: hint, Told: told})
-		h.Granted(now, l, g)
+		g := w.ledgers[home].Grant(now, quota.Request{Account: "hotel", Limit: granted, Count: 1, Hint: hint, HintHome: told})
+		h.RecordGrant(now, l, g)
 		return g.Granted == 1
 	}
-	return h.Alone(now, l, w.random.Float64())
+	return h.AdmitWithoutHome(now, l, w.random.Float64())
 }
 
 func (w *world) kill(now clock.Millis, share float64) {
@@ -247,7 +247,7 @@
 		demand := l.Rate * []float64{0.5, 4}[seed/4%2]
 		var admissions []clock.Millis
 		asked, refused, over := 0, 0, 0
-		ideal := quota.NewLedger(1, seed)
+		ideal := quota.NewAllocator(1, seed)
 		for now := clock.Millis(0); now < clock.Minute; now++ {
 			if now%(5*clock.Second) == clock.Second && seed%3 > 0 {
 				w.kill(now, 0.3)
@@ -261,7 +261,7 @@
 					continue
 				}
 				asked++
-				over += 1 - ideal.Draw(now, quota.Draw{Account: "hotel", Limit: l, Count: 1}).Granted
+				over += 1 - ideal.Grant(now, quota.Request{Account: "hotel", Limit: l, Count: 1}).Granted
 				switch {
 				case w.admits(now, at, l):
 					admissions = append(admissions, now)
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -28,22 +28,22 @@
 // Digest tells a request's method, target and body from others.
 type Digest [16]byte
 
-// Ballot orders the sends of one key. The zero Ballot is an unmarked send. Of
+// Precedence orders the sends of one key. The zero Ballot is an unmarked send. Of
 // two resends the one with the higher number goes first; the request's id
 // decides between equal numbers, so that of two at once only one runs.
-type Ballot struct {
+type Precedence struct {
 	Number uint32
 	Entry  uint64
 	Seq    uint64
 }
 
-// Marked reports whether the send is marked as a resend.
-func (b Ballot) Marked() bool {
+// IsResend reports whether the send is marked as a resend.
+func (b Precedence) IsResend() bool {
 	return b.Number > 0
 }
 
-// Before reports whether b gives way to another.
-func (b Ballot) Before(other Ballot) bool {
+// Less reports whether b gives way to another.
+func (b Precedence) Less(other Precedence) bool {
 	switch {
 	case b.Number != other.Number:
 		return b.Number < other.Number
@@ -54,26 +54,26 @@
 	}
 }
 
-// Claim is one send of a key as a node meets it.
-type Claim struct {
-	Key    Key
-	Digest Digest
-	Ballot Ballot
+// Send is one send of a key as a node meets it.
+type Send struct {
+	Key        Key
+	Digest     Digest
+	Precedence Precedence
 	// Received is when the entry received the request, in the clock of the
 	// node that judges the claim, and Gate when the gate was made there. They
 	// are used for unmarked sends only.
-	Received clock.Millis
-	Gate     clock.Millis
+	Received    clock.Millis
+	GateCreated clock.Millis
 }
 
-// Standing is what a node knows of a key. Its numbers are part of the format
+// Status is what a node knows of a key. Its numbers are part of the format
 // of the links.
-type Standing uint8
+type Status uint8
 
 // The standings of a key at a node.
 const (
 	// Free means that nothing ran here as far as the memory reaches.
-	Free Standing = iota + 1
+	Free Status = iota + 1
 	// Running means that an earlier send has begun and not ended.
 	Running
 	// Ran means that an earlier send ran and its answer is kept.
@@ -81,16 +81,16 @@
 	// Lost means that an earlier send ran, or may have, without an answer that
 	// is kept.
 	Lost
-	// Other means that the key was used for another request.
-	Other
-	// Outranked means that a resend which goes first has voided the key.
-	Outranked
+	// Reused means that the key was used for another request.
+	Reused
+	// Superseded means that a resend which goes first has voided the key.
+	Superseded
 	// Forgotten means that the memory doesn't reach back far enough to tell.
 	Forgotten
 )
 
-// ErrMark reports a malformed idempotency key or resend mark.
-const ErrMark = errors.ConstError("malformed idempotency key or resend mark")
+// ErrMalformed reports a malformed idempotency key or resend mark.
+const ErrMalformed = errors.ConstError("malformed idempotency key or resend mark")
 
 const (
 	// Retention is how long a key is remembered: callers that resend do so
@@ -100,12 +100,12 @@
 	// way for some time after its caller wrote the age, and other entries had
 	// an older table in force for some seconds.
 	Margin = 10 * clock.Second
-	// DriftShare is the part of its age by which a caller's clock may run slow.
-	DriftShare = 100
+	// DriftDivisor is the part of its age by which a caller's clock may run slow.
+	DriftDivisor = 100
 )
 
-// Reach is the longest time back at which a key of some age may have been sent
+// MaxAge is the longest time back at which a key of some age may have been sent
 // first.
-func Reach(age, margin clock.Millis) clock.Millis {
-	return age + age/DriftShare + margin
+func MaxAge(age, margin clock.Millis) clock.Millis {
+	return age + age/DriftDivisor + margin
 }
--- a/resend/settle.go
+++ b/resend/settle.go
@@ -6,23 +6,23 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Answer is what one node that was asked about a resend's key said.
-type Answer struct {
-	// Heard is false for a node that couldn't be asked or didn't answer.
-	Heard    bool
-	Standing Standing
+// LookupResult is what one node that was asked about a resend's key said.
+type LookupResult struct {
+	// Answered is false for a node that couldn't be asked or didn't answer.
+	Answered bool
+	Status   Status
 	// Covers is how far back the node's memory reaches.
 	Covers clock.Millis
 	// Version is that of the table in force at the node.
 	Version uint64
 }
 
-// Question is what an entry settles a resend by.
-type Question struct {
+// Lookup is what an entry settles a resend by.
+type Lookup struct {
 	// Age is the key's, as its caller said and grown since.
 	Age clock.Millis
-	// Known is how long the entry has known which nodes may have had the key.
-	Known clock.Millis
+	// KnownFor is how long the entry has known which nodes may have had the key.
+	KnownFor clock.Millis
 	// Retention and Margin are as the constants of this package.
 	Retention clock.Millis
 	Margin    clock.Millis
@@ -52,7 +52,7 @@
 const (
 	ReasonReused      Reason = "key-reused"
 	ReasonRunning     Reason = "key-running"
-	ReasonOutranked   Reason = "key-resent"
+	ReasonSuperseded  Reason = "key-resent"
 	ReasonLost        Reason = "answer-not-kept"
 	ReasonUnreachable Reason = "key-node-unreachable"
 	ReasonForgotten   Reason = "key-older-than-node"
@@ -70,37 +70,37 @@
 	RetryAfter clock.Millis
 }
 
-// comeBack is when a resend that met a passing obstacle may be sent again.
-const comeBack = clock.Second
+// retryDelay is when a resend that met a passing obstacle may be sent again.
+const retryDelay = clock.Second
 
-// reaches reports whether the entry knows all nodes that may have had the key.
-func (q *Question) reaches() (Decision, bool) {
-	reach := Reach(q.Age, q.Margin)
+// checkCoverage reports whether the entry knows all nodes that may have had the key.
+func (q *Lookup) checkCoverage() (Decision, bool) {
+	reach := MaxAge(q.Age, q.Margin)
 	switch {
 	case reach >= q.Retention:
 		return Decision{Action: Unknown, Reason: ReasonOld}, false
-	case reach >= q.Known:
+	case reach >= q.KnownFor:
 		return Decision{Action: Unknown, Reason: ReasonForgotten}, false
 	default:
 		return Decision{}, true
 	}
 }
 
-// Settle decides about a resend over what all nodes said that may have had its
+// Resolve decides about a resend over what all nodes said that may have had its
 // key. It runs only if each of them vouches that nothing ran.
-func Settle(q Question, answers []Answer) Decision {
+func Resolve(q Lookup, answers []LookupResult) Decision {
 	if d, ok := definite(answers); ok {
 		return d
 	}
-	if slices.ContainsFunc(answers, func(a Answer) bool { return !a.Heard }) {
+	if slices.ContainsFunc(answers, func(a LookupResult) bool { return !a.Answered }) {
 		// Said before all doubts that last: it may have the answer.
-		return Decision{Action: Unknown, Reason: ReasonUnreachable, RetryAfter: comeBack}
+		return Decision{Action: Unknown, Reason: ReasonUnreachable, RetryAfter: retryDelay}
 	}
-	if d, ok := q.reaches(); !ok {
+	if d, ok := q.checkCoverage(); !ok {
 		return d
 	}
 	for i := range answers {
-		if d, ok := q.doubt(&answers[i]); ok {
+		if d, ok := q.unconfirmed(&answers[i]); ok {
 			return d
 		}
 	}
@@ -109,42 +109,42 @@
 
 // Definite reports whether the answers so far settle a resend, whatever the
 // missing ones say.
-func Definite(answers []Answer) bool {
+func Definite(answers []LookupResult) bool {
 	_, ok := definite(answers)
 	return ok
 }
 
 // definite is what a single answer settles, whatever the others say.
-func definite(answers []Answer) (Decision, bool) {
+func definite(answers []LookupResult) (Decision, bool) {
 	for i, a := range answers {
-		if !a.Heard {
+		if !a.Answered {
 			continue
 		}
-		switch a.Standing {
+		switch a.Status {
 		case Ran:
 			return Decision{Action: Replay, From: i}, true
-		case Other:
+		case Reused:
 			return Decision{Action: Refuse, Reason: ReasonReused}, true
 		case Lost:
 			return Decision{Action: Unknown, Reason: ReasonLost}, true
 		case Running:
-			return Decision{Action: Unknown, Reason: ReasonRunning, RetryAfter: comeBack}, true
+			return Decision{Action: Unknown, Reason: ReasonRunning, RetryAfter: retryDelay}, true
 		default:
 		}
 	}
 	return Decision{}, false
 }
 
-// doubt says why an answer doesn't vouch for the key.
-func (q *Question) doubt(a *Answer) (Decision, bool) {
+// unconfirmed says why an answer doesn't vouch for the key.
+func (q *Lookup) unconfirmed(a *LookupResult) (Decision, bool) {
 	switch {
-	case a.Standing == Outranked:
-		return Decision{Action: Unknown, Reason: ReasonOutranked, RetryAfter: comeBack}, true
-	case a.Standing != Free || Reach(q.Age, q.Margin) >= a.Covers:
+	case a.Status == Superseded:
+		return Decision{Action: Unknown, Reason: ReasonSuperseded, RetryAfter: retryDelay}, true
+	case a.Status != Free || MaxAge(q.Age, q.Margin) >= a.Covers:
 		return Decision{Action: Unknown, Reason: ReasonForgotten}, true
 	case a.Version > q.Version:
 		// A newer table may name gates that this entry doesn't know.
-		return Decision{Action: Unknown, Reason: ReasonBehind, RetryAfter: comeBack}, true
+		return Decision{Action: Unknown, Reason: ReasonBehind, RetryAfter: retryDelay}, true
 	default:
 		return Decision{}, false
 	}
--- a/resend/walk_test.go
+++ b/resend/walk_test.go
@@ -22,14 +22,14 @@
 
 // node is one node with one gate.
 type node struct {
-	memory      *resend.Memory[int]
+	memory      *resend.Store[int]
 	incarnation int
 	gate        clock.Millis
 }
 
 // entry is one entry's view. Its table lags by at most the margin.
 type entry struct {
-	roster *resend.Roster
+	roster *resend.Membership
 	known  clock.Millis
 	table  []string
 	lags   clock.Millis // since when; 0 if it doesn't
@@ -47,13 +47,13 @@
 
 // send is one send of a key on its way: a marked one asks all nodes first.
 type send struct {
-	claim    resend.Claim
+	claim    resend.Send
 	entry    int
 	age      clock.Millis
 	received clock.Millis
 	stage    stage
 	ask      []string
-	answers  []resend.Answer
+	answers  []resend.LookupResult
 
 	to          string
 	incarnation int
@@ -91,8 +91,8 @@
 	if old, ok := w.nodes[name]; ok {
 		incarnation = old.incarnation + 1
 	}
-	w.nodes[name] = &node{incarnation: incarnation, gate: w.now, memory: resend.NewMemory[int](resend.MemoryConfig{
-		Start: w.now, Retention: retention, Keys: 3, Answer: 1, Bytes: 1,
+	w.nodes[name] = &node{incarnation: incarnation, gate: w.now, memory: resend.NewStore[int](resend.StoreConfig{
+		Start: w.now, Retention: retention, MaxKeys: 3, MaxReply: 1, MaxBytes: 1,
 	})}
 	for _, s := range w.sends {
 		if s.stage == running && s.to == name {
@@ -102,7 +102,7 @@
 }
 
 func (w *walk) newEntry() *entry {
-	e := &entry{roster: resend.NewRoster(retention), known: w.now, table: slices.Clone(w.table)}
+	e := &entry{roster: resend.NewMembership(retention), known: w.now, table: slices.Clone(w.table)}
 	e.roster.Update(w.now, e.table)
 	return e
 }
@@ -142,7 +142,7 @@
 
 func (w *walk) newSend(key, e int, marked, again bool) {
 	w.seq++
-	s := &send{entry: e, received: w.now, stage: choosing, claim: resend.Claim{
+	s := &send{entry: e, received: w.now, stage: choosing, claim: resend.Send{
 		Key: resend.Key{Caller: "palermo", Service: "conferme", Text: fmt.Sprint(key)},
 	}}
 	if marked {
@@ -150,8 +150,8 @@
 			w.number[key]++
 		}
 		s.stage, s.age = asking, w.now-w.first[key]
-		s.claim.Ballot = resend.Ballot{Number: max(w.number[key], 1), Seq: w.seq}
-		s.ask = w.entries[e].roster.Nodes(w.now, resend.Reach(s.age, margin))
+		s.claim.Precedence = resend.Precedence{Number: max(w.number[key], 1), Seq: w.seq}
+		s.ask = w.entries[e].roster.Nodes(w.now, resend.MaxAge(s.age, margin))
 	}
 	w.sends = append(w.sends, s)
 }
@@ -203,17 +203,17 @@
 	if len(s.ask) > 0 {
 		n := w.nodes[s.ask[0]]
 		s.ask = s.ask[1:]
-		a := resend.Answer{}
+		a := resend.LookupResult{}
 		if rapid.IntRange(0, 9).Draw(t, "reach") > 0 {
-			a.Heard = true
-			a.Standing, _ = n.memory.Void(w.now, s.claim)
+			a.Answered = true
+			a.Status, _ = n.memory.Revoke(w.now, s.claim)
 			a.Covers = n.memory.Covers(w.now)
 		}
 		s.answers = append(s.answers, a)
 		return
 	}
-	d := resend.Settle(resend.Question{
-		Age: s.age + w.now - s.received, Known: w.now - w.entries[s.entry].known, Retention: retention, Margin: margin,
+	d := resend.Resolve(resend.Lookup{
+		Age: s.age + w.now - s.received, KnownFor: w.now - w.entries[s.entry].known, Retention: retention, Margin: margin,
 	}, s.answers)
 	s.stage = over
 	if d.Action == resend.Run {
@@ -225,7 +225,7 @@
 	n := w.nodes[s.to]
 	s.stage = over
 	if n.incarnation == s.incarnation && w.now <= s.lease {
-		s.claim.Received, s.claim.Gate = s.received, n.gate
+		s.claim.Received, s.claim.GateCreated = s.received, n.gate
 		if standing, _ := n.memory.Begin(w.now, s.claim); standing == resend.Free {
 			w.runs[w.key(s)]++
 			s.stage = running
@@ -242,13 +242,13 @@
 	s.stage = over
 	switch rapid.IntRange(0, 3).Draw(t, "end") {
 	case 0:
-		memory.Done(s.claim.Key, 1, 1)
+		memory.RecordReply(s.claim.Key, 1, 1)
 	case 1:
-		memory.Done(s.claim.Key, 1, 2) // too large to keep
+		memory.RecordReply(s.claim.Key, 1, 2) // too large to keep
 	case 2:
-		memory.Lost(s.claim.Key)
+		memory.RecordLost(s.claim.Key)
 	case 3: // shed: it didn't run
-		memory.NotRun(s.claim.Key)
+		memory.RecordNotRun(s.claim.Key)
 		w.runs[w.key(s)]--
 		s.stage = choosing
 	}
@@ -270,8 +270,8 @@
 			"other keys": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "node")
 				w.seq++
-				w.nodes[name].memory.Void(w.now, resend.Claim{
-					Key: resend.Key{Text: fmt.Sprint("other", w.seq)}, Ballot: resend.Ballot{Number: 1},
+				w.nodes[name].memory.Revoke(w.now, resend.Send{
+					Key: resend.Key{Text: fmt.Sprint("other", w.seq)}, Precedence: resend.Precedence{Number: 1},
 				})
 			},
 			"restart":       func(t *rapid.T) { w.restart(rapid.SampledFrom(names).Draw(t, "node")) },
--- a/standin/admin.go
+++ b/standin/admin.go
@@ -67,13 +67,13 @@
 	return count, errors.Annotatef(err, "reading %s", name)
 }
 
-// defaultAwait bounds GET /standin/await for scripts that name no wait.
-const defaultAwait = 10 * clock.Second
+// defaultAwaitTimeout bounds GET /standin/await for scripts that name no wait.
+const defaultAwaitTimeout = 10 * clock.Second
 
 // runAwait sets status 200 when what a script waits for has come, and 408 when
 // ?wait= is over.
 func runAwait(ctx *fasthttp.RequestCtx, await func(context.Context) error) {
-	span := defaultAwait
+	span := defaultAwaitTimeout
 	if text := ctx.QueryArgs().Peek("wait"); len(text) > 0 {
 		if err := span.UnmarshalText(text); err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusBadRequest)
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -30,8 +30,8 @@
 	BackendHeader = "Backend"
 )
 
-// loadLag is after how many begun requests /load is brought up to date.
-const loadLag = 32
+// loadUpdateInterval is after how many begun requests /load is brought up to date.
+const loadUpdateInterval = 32
 
 // BackendConfig describes a backend server to start.
 type BackendConfig struct {
@@ -79,7 +79,7 @@
 		config.Slots = 1
 	}
 	if config.Ledger <= 0 {
-		config.Ledger = defaultLedger
+		config.Ledger = defaultLedgerSize
 	}
 	ln, err := listen(ctx, config.Address)
 	if err != nil {
@@ -141,7 +141,7 @@
 		close(b.stop)
 		ln := b.ln
 		b.mu.Unlock()
-		ln.shut()
+		ln.closeAll()
 	})
 }
 
@@ -151,15 +151,15 @@
 	case path == "/healthz":
 		ctx.SetStatusCode(fasthttp.StatusOK)
 	case path == "/load":
-		writeJSON(ctx, b.lagging())
+		writeJSON(ctx, b.staleLoad())
 	case strings.HasPrefix(path, adminPrefix):
 		b.admin(ctx, path)
 	default:
-		b.request(ctx)
+		b.serveRequest(ctx)
 	}
 }
 
-func (b *Backend) lagging() load {
+func (b *Backend) staleLoad() load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.load
--- a/standin/crash.go
+++ b/standin/crash.go
@@ -11,8 +11,8 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// downFor is how long a process is gone after a crash unless told otherwise.
-const downFor = 50 * clock.Millis(1)
+// defaultDowntime is how long a process is gone after a crash unless told otherwise.
+const defaultDowntime = 50 * clock.Millis(1)
 
 // Crash ends the backend server as the end of its process would: nothing listens at its
 // address, and all connections break off. It returns when that is so.
@@ -24,7 +24,7 @@
 	b.crashes++
 	b.mu.Unlock()
 	if !isDown {
-		ln.shut()
+		ln.closeAll()
 	}
 }
 
@@ -76,7 +76,7 @@
 func (b *Backend) CrashFor(down clock.Millis) {
 	b.Crash()
 	if down == 0 {
-		down = downFor
+		down = defaultDowntime
 	}
 	time.AfterFunc(down.Duration(), func() {
 		// An address that another process has taken meanwhile leaves the stand-in down.
--- a/standin/crossing.go
+++ b/standin/crossing.go
@@ -12,57 +12,57 @@
 // relayBuffer is how many bytes a direction reads at once.
 const relayBuffer = 32 << 10
 
-// crossing is one connection through the relay.
-type crossing struct {
-	near, far net.Conn
-	silent    bool // guarded by the relay's lock
+// relayConn is one connection through the relay.
+type relayConn struct {
+	client, target net.Conn
+	discards       bool // guarded by the relay's lock
 }
 
-// cross carries one connection until both ways have ended.
-func (r *Relay) cross(ctx context.Context, near net.Conn) {
-	defer r.ended.Done()
-	c := &crossing{near: near}
+// relay carries one connection until both ways have ended.
+func (r *Relay) relay(ctx context.Context, near net.Conn) {
+	defer r.wg.Done()
+	c := &relayConn{client: near}
 	if !r.connect(ctx, c) {
 		c.reset()
 		return
 	}
-	defer r.forget(c)
+	defer r.remove(c)
 	var ways sync.WaitGroup
 	ways.Add(2)
 	go func() {
 		defer ways.Done()
-		r.pump(&way{crossing: c, from: c.near, to: c.far, drop: DropToTarget})
+		r.pump(&direction{conn: c, from: c.client, to: c.target, drop: DropToTarget})
 	}()
 	go func() {
 		defer ways.Done()
-		r.pump(&way{crossing: c, from: c.far, to: c.near, drop: DropFromTarget})
+		r.pump(&direction{conn: c, from: c.target, to: c.client, drop: DropFromTarget})
 	}()
 	ways.Wait()
 }
 
 // connect dials the target once the relay isn't frozen.
-func (r *Relay) connect(ctx context.Context, c *crossing) bool {
-	if !r.thawed() {
+func (r *Relay) connect(ctx context.Context, c *relayConn) bool {
+	if !r.waitUnfrozen() {
 		return false
 	}
 	far, err := r.dialer.DialContext(ctx, "tcp", r.target)
 	if err != nil {
 		return false
 	}
-	c.far = far
+	c.target = far
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.mode == Refuse {
 		return false
 	}
-	r.crossed[c] = struct{}{}
+	r.conns[c] = struct{}{}
 	r.stats.Opened++
-	r.counted.notify()
+	r.statsChanged.notify()
 	return true
 }
 
-// thawed waits while the relay is frozen, and tells whether it still relays.
-func (r *Relay) thawed() bool {
+// waitUnfrozen waits while the relay is frozen, and tells whether it still relays.
+func (r *Relay) waitUnfrozen() bool {
 	for {
 		r.mu.Lock()
 		mode, closed, changed := r.mode, r.closed, r.changed.wait()
@@ -77,63 +77,63 @@
 	}
 }
 
-func (r *Relay) forget(c *crossing) {
+func (r *Relay) remove(c *relayConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.crossed, c)
-	closeQuietly(c.near)
-	closeQuietly(c.far)
+	delete(r.conns, c)
+	closeQuietly(c.client)
+	closeQuietly(c.target)
 }
 
-// way is one direction of a crossing.
-type way struct {
-	crossing *crossing
+// direction is one direction of a crossing.
+type direction struct {
+	conn     *relayConn
 	from, to net.Conn
 	drop     RelayMode // the mode that loses this way's bytes
 	lost     bool      // bytes were lost, and all later ones are
 }
 
 // pump carries one way until it ends.
-func (r *Relay) pump(w *way) {
+func (r *Relay) pump(w *direction) {
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := w.from.Read(buffer)
-		if !r.release() {
+		if !r.holdWhileFrozen() {
 			return
 		}
-		w.lost = w.lost || r.drops(w)
+		w.lost = w.lost || r.isDropping(w)
 		if !w.lost && n > 0 {
 			_, failed := w.to.Write(buffer[:n])
 			if failed != nil {
-				w.crossing.reset()
+				w.conn.reset()
 				return
 			}
 		}
 		r.count(w.lost, n)
 		if err != nil {
-			w.finish(err)
+			w.propagateClose(err)
 			return
 		}
 	}
 }
 
-// release holds what was read until the relay isn't frozen, and tells whether
+// holdWhileFrozen holds what was read until the relay isn't frozen, and tells whether
 // it still relays.
-func (r *Relay) release() bool {
+func (r *Relay) holdWhileFrozen() bool {
 	r.mu.Lock()
 	if r.mode == Freeze {
 		r.stats.Held++
-		r.counted.notify()
+		r.statsChanged.notify()
 	}
 	r.mu.Unlock()
-	return r.thawed()
+	return r.waitUnfrozen()
 }
 
-// drops tells whether bytes of the way are lost now.
-func (r *Relay) drops(w *way) bool {
+// isDropping tells whether bytes of the way are lost now.
+func (r *Relay) isDropping(w *direction) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return w.crossing.silent || r.mode == w.drop
+	return w.conn.discards || r.mode == w.drop
 }
 
 func (r *Relay) count(lost bool, bytes int) {
@@ -144,25 +144,25 @@
 	} else {
 		r.stats.Passed += uint64(bytes)
 	}
-	r.counted.notify()
+	r.statsChanged.notify()
 }
 
-// finish hands on the end of the way: a close as a close, a reset as a reset.
+// propagateClose hands on the end of the way: a close as a close, a reset as a reset.
 // An end that is lost isn't handed on, so that the receiver sees silence.
-func (w *way) finish(err error) {
+func (w *direction) propagateClose(err error) {
 	if w.lost {
 		return
 	}
 	tcp, ok := w.to.(*net.TCPConn)
 	if !errors.Is(err, io.EOF) || !ok {
-		w.crossing.reset()
+		w.conn.reset()
 		return
 	}
 	_ = tcp.CloseWrite()
 }
 
-func (c *crossing) reset() {
-	for _, conn := range []net.Conn{c.near, c.far} {
+func (c *relayConn) reset() {
+	for _, conn := range []net.Conn{c.client, c.target} {
 		if conn != nil {
 			reset(conn)
 		}
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -47,11 +47,11 @@
 	Requests int
 	// Path begins those of the requests that Crashes meets.
 	Path string
-	// Down is how long a crashed process is gone; 0 stands for 50 ms. After is how long a
+	// Downtime is how long a crashed process is gone; 0 stands for 50 ms. After is how long a
 	// request that crashes it runs before.
-	Down, After clock.Millis
-	// Episode is the share of requests that Crashes fails at once, also those under Path.
-	Episode float64
+	Downtime, CrashDelay clock.Millis
+	// FailFastShare is the share of requests that Crashes fails at once, also those under Path.
+	FailFastShare float64
 }
 
 // coldRequests is the length of a cold start unless told otherwise: at three
@@ -75,7 +75,7 @@
 		return Fault{}, err
 	}
 	if text := args.Peek("down"); len(text) > 0 {
-		if err := fault.Down.UnmarshalText(text); err != nil {
+		if err := fault.Downtime.UnmarshalText(text); err != nil {
 			return Fault{}, errors.Annotate(err, "reading down")
 		}
 	}
@@ -103,9 +103,9 @@
 	return f.Share
 }
 
-// stretch returns what the fault multiplies the service time of the
+// slowdown returns what the fault multiplies the service time of the
 // sequence-th request since it was set by; the first has sequence 0.
-func (f Fault) stretch(sequence int, drawn bool) float64 {
+func (f Fault) slowdown(sequence int, drawn bool) float64 {
 	switch {
 	case f.Factor <= 1:
 		return 1
