--- a/standin/ledger.go
+++ b/standin/ledger.go
@@ -57,9 +57,9 @@
 	return t.Served + t.Failed + t.Cancelled
 }
 
-// defaultLedger bounds the entries held: some 20 MB, and minutes of a busy
+// defaultLedgerSize bounds the entries held: some 20 MB, and minutes of a busy
 // backend server of the users' sizes.
-const defaultLedger = 1 << 16
+const defaultLedgerSize = 1 << 16
 
 // ledger is a ring of the latest entries.
 type ledger struct {
@@ -107,8 +107,8 @@
 	entry.Outcome = outcome
 }
 
-// tally changes the counts by what isn't entered.
-func (l *ledger) tally(change func(*Totals)) {
+// updateTotals changes the counts by what isn't entered.
+func (l *ledger) updateTotals(change func(*Totals)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.totals)
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// shut closes the listener and then every connection, so that who sees its connection
+// closeAll closes the listener and then every connection, so that who sees its connection
 // break off finds nothing at the address, and waits until the server has let go of the
 // last one.
-func (l *listener) shut() {
+func (l *listener) closeAll() {
 	closeQuietly(l.Listener)
 	l.mu.Lock()
 	l.closed = true
@@ -89,18 +89,18 @@
 	net.Conn
 	owner *listener
 
-	mu    sync.Mutex
-	spare []byte        // byte of a next request, read while watching
-	gone  chan struct{} // closed when the other end is known to be gone
-	lost  bool
+	mu       sync.Mutex
+	buffered []byte        // byte of a next request, read while watching
+	gone     chan struct{} // closed when the other end is known to be gone
+	isGone   bool
 }
 
 // Read returns the byte that a watch took before it reads on.
 func (c *watchedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if len(c.spare) > 0 && len(p) > 0 {
-		n := copy(p, c.spare)
-		c.spare = c.spare[n:]
+	if len(c.buffered) > 0 && len(p) > 0 {
+		n := copy(p, c.buffered)
+		c.buffered = c.buffered[n:]
 		c.mu.Unlock()
 		return n, nil
 	}
@@ -134,7 +134,7 @@
 		defer close(done)
 		var one [1]byte
 		n, err := c.Conn.Read(one[:])
-		c.note(one[:n], err)
+		c.recordRead(one[:n], err)
 	}()
 	return c.gone, func() {
 		_ = c.SetReadDeadline(time.Unix(1, 0))
@@ -143,12 +143,12 @@
 	}
 }
 
-func (c *watchedConn) note(read []byte, err error) {
+func (c *watchedConn) recordRead(read []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.spare = append(c.spare, read...)
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !c.lost {
-		c.lost = true
+	c.buffered = append(c.buffered, read...)
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !c.isGone {
+		c.isGone = true
 		close(c.gone)
 	}
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -56,16 +56,16 @@
 	IsGone   bool   `json:"isGone,omitempty"`
 }
 
-// contents is what a platform holds at one revision.
-type contents struct {
-	revision uint64
-	oldest   uint64 // changes up to it are dropped
-	items    map[string]PlatformItem
-	history  []PlatformItem
+// snapshot is what a platform holds at one revision.
+type snapshot struct {
+	revision  uint64
+	compacted uint64 // changes up to it are dropped
+	items     map[string]PlatformItem
+	history   []PlatformItem
 }
 
-func (c *contents) clone() contents {
-	copied := contents{revision: c.revision, oldest: c.oldest, items: map[string]PlatformItem{}, history: slices.Clone(c.history)}
+func (c *snapshot) clone() snapshot {
+	copied := snapshot{revision: c.revision, compacted: c.compacted, items: map[string]PlatformItem{}, history: slices.Clone(c.history)}
 	for key, item := range c.items {
 		copied.items[key] = item
 	}
@@ -79,15 +79,15 @@
 	once sync.Once
 	stop chan struct{}
 
-	mu       sync.Mutex
-	mode     PlatformMode
-	delay    clock.Millis
-	held     contents
-	frozen   contents // what Stale answers from
-	versions map[string]uint64
-	changed  broadcast // of values or mode
-	calls    uint64
-	called   broadcast
+	mu           sync.Mutex
+	mode         PlatformMode
+	delay        clock.Millis
+	current      snapshot
+	frozen       snapshot // what Stale answers from
+	versions     map[string]uint64
+	changed      broadcast // of values or mode
+	calls        uint64
+	callsChanged broadcast
 }
 
 // StartPlatform listens and serves until Close.
@@ -101,7 +101,7 @@
 		stop:     make(chan struct{}),
 		mode:     Up,
 		delay:    defaultDelay,
-		held:     contents{revision: 1, items: map[string]PlatformItem{}},
+		current:  snapshot{revision: 1, items: map[string]PlatformItem{}},
 		versions: map[string]uint64{},
 	}
 	go serve(ln, p.handle)
@@ -142,13 +142,13 @@
 }
 
 func (p *Platform) put(key string, value []byte) {
-	p.held.revision++
-	item := PlatformItem{Key: key, Value: slices.Clone(value), Revision: p.held.revision, Created: p.held.revision}
-	if old, ok := p.held.items[key]; ok {
+	p.current.revision++
+	item := PlatformItem{Key: key, Value: slices.Clone(value), Revision: p.current.revision, Created: p.current.revision}
+	if old, ok := p.current.items[key]; ok {
 		item.Created = old.Created
 	}
-	p.held.items[key] = item
-	p.held.history = append(p.held.history, item)
+	p.current.items[key] = item
+	p.current.history = append(p.current.history, item)
 	p.changed.notify()
 }
 
@@ -156,9 +156,9 @@
 func (p *Platform) Delete(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held.revision++
-	delete(p.held.items, key)
-	p.held.history = append(p.held.history, PlatformItem{Key: key, Revision: p.held.revision, IsGone: true})
+	p.current.revision++
+	delete(p.current.items, key)
+	p.current.history = append(p.current.history, PlatformItem{Key: key, Revision: p.current.revision, IsGone: true})
 	p.changed.notify()
 }
 
@@ -166,7 +166,7 @@
 func (p *Platform) Compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held.oldest, p.held.history = p.held.revision, nil
+	p.current.compacted, p.current.history = p.current.revision, nil
 	p.changed.notify()
 }
 
@@ -175,7 +175,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mode == Stale && p.mode != Stale {
-		p.frozen = p.held.clone()
+		p.frozen = p.current.clone()
 	}
 	p.mode = mode
 	p.changed.notify()
@@ -201,21 +201,21 @@
 	return await(ctx, func() (bool, <-chan struct{}) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.calls >= calls, p.called.wait()
+		return p.calls >= calls, p.callsChanged.wait()
 	})
 }
 
-func (p *Platform) count() {
+func (p *Platform) countCall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	p.called.notify()
+	p.callsChanged.notify()
 }
 
 // Close ends the platform and all its connections. A second call does nothing.
 func (p *Platform) Close() {
 	p.once.Do(func() {
 		close(p.stop)
-		p.ln.shut()
+		p.ln.closeAll()
 	})
 }
--- a/standin/platformread.go
+++ b/standin/platformread.go
@@ -11,24 +11,24 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// pageItems is how many items one page of a list holds.
-const pageItems = 50
+// pageSize is how many items one page of a list holds.
+const pageSize = 50
 
 // view is what a reader is shown at one moment.
 type view struct {
-	mode    PlatformMode
-	delay   clock.Millis
-	held    *contents
-	changed <-chan struct{}
+	mode     PlatformMode
+	delay    clock.Millis
+	contents *snapshot
+	changed  <-chan struct{}
 }
 
-// look returns what a reader is shown, for use under the lock.
-func (p *Platform) look() view {
-	held := &p.held
+// currentView returns what a reader is shown, for use under the lock.
+func (p *Platform) currentView() view {
+	held := &p.current
 	if p.mode == Stale {
 		held = &p.frozen
 	}
-	return view{mode: p.mode, delay: p.delay, held: held, changed: p.changed.wait()}
+	return view{mode: p.mode, delay: p.delay, contents: held, changed: p.changed.wait()}
 }
 
 func (p *Platform) handle(ctx *fasthttp.RequestCtx) {
@@ -41,7 +41,7 @@
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 		return
 	}
-	p.count()
+	p.countCall()
 	conn, ok := connOf(ctx)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -61,7 +61,7 @@
 	prefix, after := string(args.Peek("prefix")), string(args.Peek("after"))
 	switch path {
 	case "/kv-range":
-		return p.show(ctx, gone, func(v view) any { return v.held.page(prefix, after) })
+		return p.respond(ctx, gone, func(v view) any { return v.contents.page(prefix, after) })
 	case "/kv-watch":
 		return p.watch(ctx, gone, prefix, after)
 	default:
@@ -70,13 +70,13 @@
 	}
 }
 
-// show answers at once with what is held.
-func (p *Platform) show(ctx *fasthttp.RequestCtx, gone <-chan struct{}, body func(v view) any) bool {
+// respond answers at once with what is held.
+func (p *Platform) respond(ctx *fasthttp.RequestCtx, gone <-chan struct{}, body func(v view) any) bool {
 	p.mu.Lock()
-	seen := p.look()
+	seen := p.currentView()
 	text := body(seen)
 	p.mu.Unlock()
-	if !p.dawdle(ctx, seen, gone) {
+	if !p.applyMode(ctx, seen, gone) {
 		return false
 	}
 	if ctx.Response.StatusCode() == fasthttp.StatusOK {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// dawdle does what the mode does to an answer, and returns false where there is none.
-func (p *Platform) dawdle(ctx *fasthttp.RequestCtx, seen view, gone <-chan struct{}) bool {
+// applyMode does what the mode does to an answer, and returns false where there is none.
+func (p *Platform) applyMode(ctx *fasthttp.RequestCtx, seen view, gone <-chan struct{}) bool {
 	span := clock.Millis(0)
 	switch seen.mode {
 	case Down:
@@ -122,7 +122,7 @@
 	StoreRevision uint64         `json:"storeRevision"`
 }
 
-func (c *contents) page(prefix, after string) page {
+func (c *snapshot) page(prefix, after string) page {
 	out := page{Items: []PlatformItem{}, StoreRevision: c.revision}
 	var found []string
 	for key := range c.items {
@@ -132,7 +132,7 @@
 	}
 	slices.Sort(found)
 	for i, key := range found {
-		if i == pageItems {
+		if i == pageSize {
 			out.HasMore = true
 			break
 		}
@@ -148,14 +148,14 @@
 }
 
 // since returns the changes after a revision, and false if they are dropped.
-func (c *contents) since(prefix string, after uint64) (changes, bool) {
+func (c *snapshot) since(prefix string, after uint64) (changes, bool) {
 	out := changes{Events: []PlatformItem{}, StoreRevision: c.revision}
 	for _, item := range c.history {
 		if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
 			out.Events = append(out.Events, item)
 		}
 	}
-	return out, after >= c.oldest
+	return out, after >= c.compacted
 }
 
 // watch answers when there are changes, or when the wait is over.
@@ -174,10 +174,10 @@
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		seen := p.look()
-		found, isKept := seen.held.since(prefix, after)
+		seen := p.currentView()
+		found, isKept := seen.contents.since(prefix, after)
 		p.mu.Unlock()
-		isWaiting := isKept && len(found.Events) == 0 && seen.waits()
+		isWaiting := isKept && len(found.Events) == 0 && seen.holdsWatch()
 		if isWaiting {
 			select {
 			case <-seen.changed:
@@ -189,12 +189,12 @@
 				return false
 			}
 		}
-		return p.dawdle(ctx, seen, gone) && writeChanges(ctx, found, isKept)
+		return p.applyMode(ctx, seen, gone) && writeChanges(ctx, found, isKept)
 	}
 }
 
-// waits reports whether a watch without changes waits for some in the mode.
-func (v *view) waits() bool {
+// holdsWatch reports whether a watch without changes waits for some in the mode.
+func (v *view) holdsWatch() bool {
 	return v.mode == Up || v.mode == Stale || v.mode == Slow
 }
 
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -23,9 +23,9 @@
 	// Freeze hands on nothing and reads no more than one buffer each way; what
 	// was held back arrives late.
 	Freeze RelayMode = "freeze"
-	// SilentOld loses, for good and both ways, what is sent on connections
+	// BlackholeOpen loses, for good and both ways, what is sent on connections
 	// that were open when the mode was set. New ones pass.
-	SilentOld RelayMode = "silentold"
+	BlackholeOpen RelayMode = "silentold"
 	// Refuse resets open and new connections.
 	Refuse RelayMode = "refuse"
 )
@@ -54,15 +54,15 @@
 	target string
 	dialer net.Dialer
 	cancel context.CancelFunc // ends dials that are under way
-	ended  sync.WaitGroup
+	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	mode    RelayMode
-	changed broadcast // of the mode
-	crossed map[*crossing]struct{}
-	closed  bool
-	stats   RelayStats
-	counted broadcast
+	mu           sync.Mutex
+	mode         RelayMode
+	changed      broadcast // of the mode
+	conns        map[*relayConn]struct{}
+	closed       bool
+	stats        RelayStats
+	statsChanged broadcast
 }
 
 // StartRelay listens and relays until Close.
@@ -73,13 +73,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // it relays until Close
 	r := &Relay{
-		ln:      ln.Listener,
-		cancel:  cancel,
-		target:  config.Target,
-		mode:    Pass,
-		crossed: make(map[*crossing]struct{}),
+		ln:     ln.Listener,
+		cancel: cancel,
+		target: config.Target,
+		mode:   Pass,
+		conns:  make(map[*relayConn]struct{}),
 	}
-	r.ended.Add(1)
+	r.wg.Add(1)
 	go r.accept(ctx)
 	return r, nil
 }
@@ -94,10 +94,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode = mode
-	for c := range r.crossed {
+	for c := range r.conns {
 		switch mode {
-		case SilentOld:
-			c.silent = true
+		case BlackholeOpen:
+			c.discards = true
 		case Refuse:
 			c.reset()
 		default:
@@ -118,7 +118,7 @@
 	return await(ctx, func() (bool, <-chan struct{}) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return reached(r.stats), r.counted.wait()
+		return reached(r.stats), r.statsChanged.wait()
 	})
 }
 
@@ -126,24 +126,24 @@
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	for c := range r.crossed {
+	for c := range r.conns {
 		c.reset()
 	}
 	r.changed.notify()
 	r.mu.Unlock()
 	r.cancel()
 	closeQuietly(r.ln)
-	r.ended.Wait()
+	r.wg.Wait()
 }
 
 func (r *Relay) accept(ctx context.Context) {
-	defer r.ended.Done()
+	defer r.wg.Done()
 	for {
 		near, err := r.ln.Accept()
 		if err != nil {
 			return
 		}
-		r.ended.Add(1)
-		go r.cross(ctx, near)
+		r.wg.Add(1)
+		go r.relay(ctx, near)
 	}
 }
--- a/standin/relay_test.go
+++ b/standin/relay_test.go
@@ -98,7 +98,7 @@
 // connection must stay silent for good while new ones work: TCP hands on no
 // stream with a gap, and a test would chase a corruption that can't happen.
 func TestRelayLosesForGood(t *testing.T) {
-	for _, mode := range []standin.RelayMode{standin.DropToTarget, standin.DropFromTarget, standin.SilentOld} {
+	for _, mode := range []standin.RelayMode{standin.DropToTarget, standin.DropFromTarget, standin.BlackholeOpen} {
 		t.Run(string(mode), func(t *testing.T) {
 			r := startRelay(t)
 			old := dial(t, r)
@@ -107,7 +107,7 @@
 			r.SetMode(mode)
 			old.send("gone")
 			awaitRelay(t, r, func(s standin.RelayStats) bool { return s.Lost == 5 })
-			if mode != standin.SilentOld {
+			if mode != standin.BlackholeOpen {
 				r.SetMode(standin.Pass)
 			}
 			fresh := dial(t, r)
--- a/standin/relayadmin.go
+++ b/standin/relayadmin.go
@@ -32,7 +32,7 @@
 
 // Close ends the admin paths; the relay goes on.
 func (a *RelayAdmin) Close() {
-	a.ln.shut()
+	a.ln.closeAll()
 }
 
 func (a *RelayAdmin) handle(ctx *fasthttp.RequestCtx) {
@@ -49,7 +49,7 @@
 func (a *RelayAdmin) setMode(ctx *fasthttp.RequestCtx) error {
 	mode := RelayMode(ctx.QueryArgs().Peek("mode"))
 	switch mode {
-	case Pass, DropToTarget, DropFromTarget, Freeze, SilentOld, Refuse:
+	case Pass, DropToTarget, DropFromTarget, Freeze, BlackholeOpen, Refuse:
 		a.relay.SetMode(mode)
 		return nil
 	default:
--- a/standin/request.go
+++ b/standin/request.go
@@ -13,27 +13,27 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// plan is what the present fault does to one request.
-type plan struct {
-	fault Fault
-	drawn bool // the fault's share met this request
-	// inEpisode says that it is failed at once.
-	inEpisode bool
-	takes     time.Duration
+// faultPlan is what the present fault does to one request.
+type faultPlan struct {
+	fault    Fault
+	affected bool // the fault's share met this request
+	// failsFast says that it is failed at once.
+	failsFast bool
+	duration  time.Duration
 }
 
-func (b *Backend) plan() plan {
+func (b *Backend) planFault() faultPlan {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := plan{fault: b.fault}
-	p.drawn = b.rand.Float64() < p.fault.share()
-	p.takes = time.Duration(float64(b.config.Service.Duration()) * p.fault.stretch(b.sequence, p.drawn))
-	p.inEpisode = p.fault.Episode > 0 && b.rand.Float64() < p.fault.Episode
+	p := faultPlan{fault: b.fault}
+	p.affected = b.rand.Float64() < p.fault.share()
+	p.duration = time.Duration(float64(b.config.Service.Duration()) * p.fault.slowdown(b.sequence, p.affected))
+	p.failsFast = p.fault.FailFastShare > 0 && b.rand.Float64() < p.fault.FailFastShare
 	b.sequence++
 	return p
 }
 
-func (b *Backend) request(ctx *fasthttp.RequestCtx) {
+func (b *Backend) serveRequest(ctx *fasthttp.RequestCtx) {
 	conn, ok := connOf(ctx)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -44,7 +44,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	if !b.admit(ctx, conn, b.plan(), left) {
+	if !b.admit(ctx, conn, b.planFault(), left) {
 		conn.abort()
 	}
 }
@@ -65,7 +65,7 @@
 
 // admit gets the request a slot or refuses it, and tells whether there is an
 // answer to write.
-func (b *Backend) admit(ctx *fasthttp.RequestCtx, conn *watchedConn, p plan, left time.Duration) bool {
+func (b *Backend) admit(ctx *fasthttp.RequestCtx, conn *watchedConn, p faultPlan, left time.Duration) bool {
 	if p.fault.Kind == Drains {
 		ctx.SetConnectionClose()
 		b.refuse(ctx)
@@ -74,7 +74,7 @@
 	// A sick backend server doesn't know that it is slow, so that it promises
 	// its usual time.
 	patience := left - b.config.Service.Duration()
-	if p.fault.Kind == Sheds && p.drawn || patience < 0 {
+	if p.fault.Kind == Sheds && p.affected || patience < 0 {
 		b.refuse(ctx)
 		return true
 	}
@@ -95,7 +95,7 @@
 
 // queue waits for a slot for as long as the deadline can still be met.
 func (b *Backend) queue(ctx *fasthttp.RequestCtx, conn *watchedConn, patience time.Duration) (answered, got bool) {
-	b.ledger.tally(func(t *Totals) { t.Queued++ })
+	b.ledger.updateTotals(func(t *Totals) { t.Queued++ })
 	gone, release := conn.watch()
 	defer release()
 	timer := time.NewTimer(patience)
@@ -107,7 +107,7 @@
 		b.refuse(ctx)
 		return true, false
 	case <-gone:
-		b.ledger.tally(func(t *Totals) { t.Abandoned++ })
+		b.ledger.updateTotals(func(t *Totals) { t.Abandoned++ })
 		return false, false
 	case <-b.stop:
 		return false, false
@@ -116,7 +116,7 @@
 
 // refuse answers a request that did not run.
 func (b *Backend) refuse(ctx *fasthttp.RequestCtx) {
-	b.ledger.tally(func(t *Totals) { t.Refused++ })
+	b.ledger.updateTotals(func(t *Totals) { t.Refused++ })
 	ctx.Response.Header.Set(RefusalHeader, RefusalShed)
 	ctx.Response.Header.Set("Retry-After", "1")
 	ctx.Response.Header.Set(BackendHeader, b.config.Name)
@@ -125,30 +125,30 @@
 
 // run enters the request into the ledger and serves it, and tells whether
 // there is an answer to write.
-func (b *Backend) run(ctx *fasthttp.RequestCtx, conn *watchedConn, p plan) bool {
-	number := b.ledger.begin(b.entry(ctx))
-	b.noteLoad(number)
-	if p.inEpisode {
+func (b *Backend) run(ctx *fasthttp.RequestCtx, conn *watchedConn, p faultPlan) bool {
+	number := b.ledger.begin(b.newEntry(ctx))
+	b.recordLoad(number)
+	if p.failsFast {
 		return b.fail(ctx, number)
 	}
 	if p.fault.crashes(ctx) {
-		p.takes = p.fault.After.Duration()
-		isOver := b.work(conn, p)
+		p.duration = p.fault.CrashDelay.Duration()
+		isOver := b.simulateWork(conn, p)
 		b.ledger.end(number, Cancelled, b.clock.Now())
 		if isOver {
-			go b.CrashFor(p.fault.Down) // it waits for this handler
+			go b.CrashFor(p.fault.Downtime) // it waits for this handler
 		}
 		return false
 	}
-	if !b.work(conn, p) {
+	if !b.simulateWork(conn, p) {
 		b.ledger.end(number, Cancelled, b.clock.Now())
 		return false
 	}
-	if p.fault.Kind == Fails && p.drawn {
+	if p.fault.Kind == Fails && p.affected {
 		return b.fail(ctx, number)
 	}
 	b.ledger.end(number, Served, b.clock.Now())
-	b.answer(ctx)
+	b.writeAnswer(ctx)
 	return true
 }
 
@@ -160,7 +160,7 @@
 	return true
 }
 
-func (b *Backend) entry(ctx *fasthttp.RequestCtx) Entry {
+func (b *Backend) newEntry(ctx *fasthttp.RequestCtx) Entry {
 	hash := sha256.Sum256(ctx.PostBody())
 	return Entry{
 		ID:            string(ctx.Request.Header.Peek(RequestHeader)),
@@ -175,8 +175,8 @@
 	}
 }
 
-func (b *Backend) noteLoad(number uint64) {
-	if number%loadLag != 0 {
+func (b *Backend) recordLoad(number uint64) {
+	if number%loadUpdateInterval != 0 {
 		return
 	}
 	b.mu.Lock()
@@ -184,17 +184,17 @@
 	b.load.Running = len(b.slots)
 }
 
-// work takes the request's time, and tells whether it came to its end.
-func (b *Backend) work(conn *watchedConn, p plan) bool {
-	hangs := p.fault.Kind == Hangs && p.drawn
-	if p.takes <= 0 && !hangs {
+// simulateWork takes the request's time, and tells whether it came to its end.
+func (b *Backend) simulateWork(conn *watchedConn, p faultPlan) bool {
+	hangs := p.fault.Kind == Hangs && p.affected
+	if p.duration <= 0 && !hangs {
 		return true
 	}
 	gone, release := conn.watch()
 	defer release()
 	var over <-chan time.Time // never, if it hangs
 	if !hangs {
-		timer := time.NewTimer(p.takes)
+		timer := time.NewTimer(p.duration)
 		defer timer.Stop()
 		over = timer.C
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (b *Backend) answer(ctx *fasthttp.RequestCtx) {
+func (b *Backend) writeAnswer(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(RequestHeader))
 	size, err := ctx.QueryArgs().GetUint("size")
 	if err != nil {
--- a/standin/server.go
+++ b/standin/server.go
@@ -11,15 +11,15 @@
 		Name:                  "standin",
 		MaxRequestBodySize:    maxRequestBody,
 		NoDefaultServerHeader: true,
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 	// Serve ends with an error of the closed listener, which is no fault.
 	_ = server.Serve(ln)
 }
 
-// silent keeps the errors of connections that were broken on purpose from the
+// discardLogger keeps the errors of connections that were broken on purpose from the
 // output of tests.
-type silent struct{}
+type discardLogger struct{}
 
 // Printf drops the message.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/wire/crash.go
+++ b/wire/crash.go
@@ -51,7 +51,7 @@
 const mostCrashes = 64
 
 // CrashesOf writes ends for peers, in one frame or several.
-func CrashesOf(now clock.Millis, ends []quarantine.End) []*Crashes {
+func CrashesOf(now clock.Millis, ends []quarantine.Crash) []*Crashes {
 	var frames []*Crashes
 	for part := range slices.Chunk(ends, mostCrashes) {
 		frames = append(frames, crashesOf(now, part))
@@ -59,18 +59,18 @@
 	return frames
 }
 
-func crashesOf(now clock.Millis, ends []quarantine.End) *Crashes {
+func crashesOf(now clock.Millis, ends []quarantine.Crash) *Crashes {
 	m := &Crashes{Ends: make([]Crash, 0, len(ends))}
 	for i := range ends {
 		e := &ends[i]
 		c := Crash{
 			ID: e.ID, Service: e.Service, Upstream: e.Upstream, Version: e.Version, Upstreams: e.Upstreams,
-			Suspects: make([]Suspect, 0, len(e.Suspects)), Cleared: e.Cleared, IsMiss: e.IsMiss, Age: now - e.At,
+			Suspects: make([]Suspect, 0, len(e.Suspects)), Cleared: e.Cleared, IsMiss: e.IsInconclusive, Age: now - e.At,
 		}
 		for j := range e.Suspects {
 			s := &e.Suspects[j]
 			c.Suspects = append(c.Suspects, Suspect{
-				Fingerprint: s.Fingerprint[:], Hint: s.Hint, Request: s.Request, Ran: s.Ran, IsTrial: s.IsTrial,
+				Fingerprint: s.Fingerprint[:], Hint: s.Hint, Request: s.Request, Ran: s.Elapsed, IsTrial: s.IsTrial,
 			})
 		}
 		m.Ends = append(m.Ends, c)
@@ -79,19 +79,19 @@
 }
 
 // Plain reads ends that a peer has told. What no node writes is left out.
-func (m *Crashes) Plain(now clock.Millis) []quarantine.End {
-	ends := make([]quarantine.End, 0, len(m.Ends))
+func (m *Crashes) Plain(now clock.Millis) []quarantine.Crash {
+	ends := make([]quarantine.Crash, 0, len(m.Ends))
 	for i := range m.Ends {
 		c := &m.Ends[i]
-		e := quarantine.End{
+		e := quarantine.Crash{
 			ID: c.ID, Service: c.Service, Upstream: c.Upstream, Version: c.Version, Upstreams: c.Upstreams,
-			Cleared: c.Cleared, IsMiss: c.IsMiss, At: now - max(c.Age, 0),
+			Cleared: c.Cleared, IsInconclusive: c.IsMiss, At: now - max(c.Age, 0),
 		}
 		for j := range c.Suspects {
 			s := &c.Suspects[j]
 			if len(s.Fingerprint) == len(quarantine.Fingerprint{}) {
 				e.Suspects = append(e.Suspects, quarantine.Suspect{
-					Fingerprint: quarantine.Fingerprint(s.Fingerprint), Hint: s.Hint, Request: s.Request, Ran: s.Ran, IsTrial: s.IsTrial,
+					Fingerprint: quarantine.Fingerprint(s.Fingerprint), Hint: s.Hint, Request: s.Request, Elapsed: s.Ran, IsTrial: s.IsTrial,
 				})
 			}
 		}
--- a/wire/quota.go
+++ b/wire/quota.go
@@ -39,18 +39,18 @@
 }
 
 // DrawOf is the frame of a draw.
-func DrawOf(seq uint64, d quota.Draw) *Draw {
+func DrawOf(seq uint64, d quota.Request) *Draw {
 	return &Draw{
 		Seq: seq, Account: d.Account, Rate: d.Limit.Rate, Burst: d.Limit.Burst, Count: d.Count, Returned: d.Returned,
-		IsTold: d.Hint.Known, Left: Short(d.Hint.Left), Age: d.Hint.Age, Told: d.Told,
+		IsTold: d.Hint.Known, Left: Short(d.Hint.Left), Age: d.Hint.Age, Told: d.HintHome,
 	}
 }
 
 // Plain is the draw without its frame.
-func (d *Draw) Plain() quota.Draw {
-	return quota.Draw{
+func (d *Draw) Plain() quota.Request {
+	return quota.Request{
 		Account: d.Account, Limit: quota.Limit{Rate: d.Rate, Burst: d.Burst}, Count: d.Count, Returned: d.Returned,
-		Hint: quota.Hint{Known: d.IsTold, Left: d.Left, Age: d.Age}, Told: d.Told,
+		Hint: quota.Hint{Known: d.IsTold, Left: d.Left, Age: d.Age}, HintHome: d.Told,
 	}
 }
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -167,18 +167,18 @@
 
 // Guards against a link that breaks since one frame holds more crashes than a node reads.
 func TestCrashesFitIntoFrames(t *testing.T) {
-	suspects := make([]quarantine.Suspect, quarantine.MostSuspects)
+	suspects := make([]quarantine.Suspect, quarantine.MaxSuspects)
 	name := strings.Repeat("x", 64)
 	for i := range suspects {
-		suspects[i] = quarantine.Suspect{Fingerprint: quarantine.Fingerprint{byte(i)}, Hint: 1 << 63, Request: name, Ran: clock.Minute, IsTrial: true}
+		suspects[i] = quarantine.Suspect{Fingerprint: quarantine.Fingerprint{byte(i)}, Hint: 1 << 63, Request: name, Elapsed: clock.Minute, IsTrial: true}
 	}
-	ends := make([]quarantine.End, 512)
+	ends := make([]quarantine.Crash, 512)
 	for i := range ends {
-		ends[i] = quarantine.End{
-			ID: 1<<63 + uint64(i), Service: name, Upstream: name, Version: name, Upstreams: 1000, Suspects: suspects, Cleared: 1 << 63, IsMiss: true,
+		ends[i] = quarantine.Crash{
+			ID: 1<<63 + uint64(i), Service: name, Upstream: name, Version: name, Upstreams: 1000, Suspects: suspects, Cleared: 1 << 63, IsInconclusive: true,
 		}
 	}
-	got := make([]quarantine.End, 0, len(ends))
+	got := make([]quarantine.Crash, 0, len(ends))
 	for _, c := range wire.CrashesOf(clock.Hour, ends) {
 		frame, err := wire.Encode(c)
 		if err != nil {
