--- a/access/snapshot.go
+++ b/access/snapshot.go
@@ -50,7 +50,7 @@
 type Objective struct {
 	Availability float64      `json:"availability"`
 	Latency      clock.Millis `json:"latency"`
-	Within       float64      `json:"within"`
+	LatencyRatio float64      `json:"within"`
 }
 
 // ServiceBurn holds the counts that a service's burn is worked out from. They
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -12,7 +12,7 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-var objective = table.Objective{Availability: 0.999, Latency: 250, Within: 0.99}
+var objective = table.Objective{Availability: 0.999, Latency: 250, LatencyRatio: 0.99}
 
 // feed counts one sample a second over the span; each one in badEvery fails.
 func feed(m *burn.Meter, from, span clock.Millis, badEvery int) clock.Millis {
--- a/burn/judge.go
+++ b/burn/judge.go
@@ -112,7 +112,7 @@
 	if o.Latency <= 0 {
 		return 0
 	}
-	return o.Within
+	return o.LatencyRatio
 }
 
 func rate(bad, total uint64, promised float64) float64 {
@@ -165,7 +165,7 @@
 		found = append(found, budget(Availability, w.Failed, w.Total, o.Availability))
 	}
 	if latencyShare(o) > 0 {
-		found = append(found, budget(Latency, w.Slow, w.Good(), o.Within))
+		found = append(found, budget(Latency, w.Slow, w.Good(), o.LatencyRatio))
 	}
 	return found
 }
--- a/capacity/access.go
+++ b/capacity/access.go
@@ -14,21 +14,21 @@
 			Role: "access log", Name: "callers kept apart, held", Unit: unitBytes, Against: "callers kept apart",
 			Sizes: callersKept(),
 			Cost: func(n int) (float64, error) {
-				return held(func() (any, error) { return book(n, n, 4*n, oneService), nil })
+				return retainedBytes(func() (any, error) { return filledBook(n, n, 4*n, oneService), nil })
 			},
 		},
 		{
 			Role: "access log", Name: "services, held", Unit: unitBytes, Against: "services called",
 			Sizes: []int{500, 1000, 2000, 4100}, Target: Services,
 			Cost: func(n int) (float64, error) {
-				return held(func() (any, error) { return book(1, 1, n, n), nil })
+				return retainedBytes(func() (any, error) { return filledBook(1, 1, n, n), nil })
 			},
 		},
 		{
 			Role: "access log", Name: "records, held", Unit: unitBytes, Against: "records kept",
 			Sizes: []int{5_000, 10_000, 20_000, 40_000},
 			Cost: func(n int) (float64, error) {
-				return held(func() (any, error) { return book(n, 1, 2*n, oneService), nil })
+				return retainedBytes(func() (any, error) { return filledBook(n, 1, 2*n, oneService), nil })
 			},
 		},
 		{
@@ -37,7 +37,7 @@
 			Cost: func(n int) (float64, error) {
 				b := access.New(access.Config{})
 				all := records(n, Callers, oneService)
-				return spent(func() error { enter(b, all); return nil })
+				return cpuTime(func() error { recordAll(b, all); return nil })
 			},
 		},
 	}
@@ -47,14 +47,14 @@
 
 func callersKept() []int { return []int{250, 500, 1000, 2000} }
 
-// book returns a book with bounds on records and callers that has seen requests.
-func book(bound, callers, requests, services int) *access.Log {
+// filledBook returns a book with bounds on records and callers that has seen requests.
+func filledBook(bound, callers, requests, services int) *access.Log {
 	b := access.New(access.Config{Records: bound, Events: 1, Callers: callers})
-	enter(b, records(requests, 4*callers, services))
+	recordAll(b, records(requests, 4*callers, services))
 	return b
 }
 
-func enter(b *access.Log, all []access.Record) {
+func recordAll(b *access.Log, all []access.Record) {
 	for i, r := range all {
 		b.RequestReceived()
 		b.RequestFinished(hour+clock.Millis(i%1000), r)
--- a/capacity/admins.go
+++ b/capacity/admins.go
@@ -17,21 +17,21 @@
 			Role: "admin", Name: "report without records", Unit: unitBytes, Against: "callers kept apart",
 			Sizes: callersKept(),
 			Cost: func(n int) (float64, error) {
-				return snapshotBytes(book(n, n, 4*n, oneService), access.Filter{Limit: 1})
+				return snapshotBytes(filledBook(n, n, 4*n, oneService), access.Filter{Limit: 1})
 			},
 		},
 		{
 			Role: "admin", Name: "report without records", Unit: unitBytes, Against: "services called",
 			Sizes: []int{500, 1000, 2000, 4100}, Target: Services,
 			Cost: func(n int) (float64, error) {
-				return snapshotBytes(book(1, 1, n, n), access.Filter{Limit: 1})
+				return snapshotBytes(filledBook(1, 1, n, n), access.Filter{Limit: 1})
 			},
 		},
 		{
 			Role: "admin", Name: "report of all records", Unit: unitBytes, Against: "records kept",
 			Sizes: []int{2_500, 5_000, 10_000, 20_000},
 			Cost: func(n int) (float64, error) {
-				return snapshotBytes(book(n, 1, 2*n, oneService), access.Filter{})
+				return snapshotBytes(filledBook(n, 1, 2*n, oneService), access.Filter{})
 			},
 		},
 		{
@@ -52,7 +52,7 @@
 			Sizes: []int{250, 1000, 2500, 5000}, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
 				body := scrape(n)
-				return spent(func() error { body(); return nil })
+				return cpuTime(func() error { body(); return nil })
 			},
 		},
 	}
@@ -63,11 +63,11 @@
 	return float64(len(body)), err
 }
 
-// view is the state that a scrape reads.
-type view int
+// fakeState is the state that a scrape reads.
+type fakeState int
 
 // States returns upstreams that are all in use.
-func (v view) States() []access.UpstreamState {
+func (v fakeState) States() []access.UpstreamState {
 	all := make([]access.UpstreamState, 0, v)
 	for i := range int(v) {
 		all = append(all, access.UpstreamState{
@@ -79,14 +79,14 @@
 }
 
 // Version returns a version.
-func (view) Version() uint64 { return 1 }
+func (fakeState) Version() uint64 { return 1 }
 
 // Busy returns no requests.
-func (view) Busy() int { return 0 }
+func (fakeState) Busy() int { return 0 }
 
 // scrape returns what serves the metrics of a node with so many upstreams.
 func scrape(upstreams int) func() []byte {
-	set := metrics.New(metrics.Config{Book: access.New(access.Config{Records: 1}), State: view(upstreams)})
+	set := metrics.New(metrics.Config{Book: access.New(access.Config{Records: 1}), State: fakeState(upstreams)})
 	handler := set.Handler()
 	return func() []byte {
 		var ctx fasthttp.RequestCtx
@@ -100,8 +100,8 @@
 
 // countersHeld is the memory of counters once each upstream has served.
 func countersHeld(upstreams int) (float64, error) {
-	return held(func() (any, error) {
-		set := metrics.New(metrics.Config{Book: ledger{}, State: view(0)})
+	return retainedBytes(func() (any, error) {
+		set := metrics.New(metrics.Config{Book: discardJournal{}, State: fakeState(0)})
 		for i := range upstreams {
 			set.RequestFinished(hour, access.Record{
 				Service: fmt.Sprintf("service-%d", i/perService), Upstream: fmt.Sprintf("upstream-%d", i),
--- a/capacity/ends.go
+++ b/capacity/ends.go
@@ -27,9 +27,9 @@
 	intervals = 10
 )
 
-// end is both sides' handler: it counts the heartbeats heard.
-type end struct {
-	status wire.Beat
+// heartbeatCounter is both sides' handler: it counts the heartbeats heard.
+type heartbeatCounter struct {
+	status wire.Heartbeat
 
 	mu    sync.Mutex
 	beats int
@@ -37,12 +37,12 @@
 	done  chan struct{}
 }
 
-func newEnd(upstreams int) *end {
-	return &end{status: *beat(upstreams)}
+func newHeartbeatCounter(upstreams int) *heartbeatCounter {
+	return &heartbeatCounter{status: *heartbeat(upstreams)}
 }
 
-// after returns a channel that is closed when so many more were heard.
-func (e *end) after(beats int) <-chan struct{} {
+// notifyAfter returns a channel that is closed when so many more were heard.
+func (e *heartbeatCounter) notifyAfter(beats int) <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.want = e.beats + beats
@@ -50,7 +50,7 @@
 	return e.done
 }
 
-func (e *end) hear() {
+func (e *heartbeatCounter) countHeartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.beats++
@@ -60,68 +60,72 @@
 }
 
 // Dispatch does nothing.
-func (*end) Dispatch(uint64, *wire.Dispatch) {}
+func (*heartbeatCounter) Dispatch(uint64, *wire.Dispatch) {}
 
-// Settle does nothing.
-func (*end) Settle(uint64, *wire.Settle) {}
+// Resolve does nothing.
+func (*heartbeatCounter) Resolve(uint64, *wire.Resolve) {}
 
-// Beat counts one of a dialling side.
-func (e *end) Beat(string, *wire.Beat) { e.hear() }
+// Heartbeat counts one of a dialling side.
+func (e *heartbeatCounter) Heartbeat(string, *wire.Heartbeat) { e.countHeartbeat() }
 
-// Enquire answers nothing.
-func (*end) Enquire(uint64, *wire.Enquiry) {}
+// ProbeCapacity answers nothing.
+func (*heartbeatCounter) ProbeCapacity(uint64, *wire.CapacityProbe) {}
 
-// Waive does nothing.
-func (*end) Waive(*wire.Waive) {}
+// ReleaseReservation does nothing.
+func (*heartbeatCounter) ReleaseReservation(*wire.ReleaseReservation) {}
 
-// Draw answers nothing.
-func (*end) Draw(uint64, *wire.Draw) {}
+// RequestQuota answers nothing.
+func (*heartbeatCounter) RequestQuota(uint64, *wire.QuotaRequest) {}
 
-// Void answers nothing.
-func (e *end) Void(*wire.Void) *wire.Voided { return &wire.Voided{} }
+// RevokeKey answers nothing.
+func (e *heartbeatCounter) RevokeKey(*wire.KeyRevocation) *wire.KeyRevocationReply {
+	return &wire.KeyRevocationReply{}
+}
 
 // Status returns the heartbeat.
-func (e *end) Status() wire.Beat { return e.status }
+func (e *heartbeatCounter) Status() wire.Heartbeat { return e.status }
 
-// Ask has no table.
-func (*end) Ask(*wire.Ask) (*wire.Edition, bool) { return nil, false }
+// RequestTable has no table.
+func (*heartbeatCounter) RequestTable(*wire.TableRequest) (*wire.TableVersion, bool) {
+	return nil, false
+}
 
-// Edition does nothing.
-func (*end) Edition(string, *wire.Edition) {}
+// ReceiveTable does nothing.
+func (*heartbeatCounter) ReceiveTable(string, *wire.TableVersion) {}
 
-// Crashes takes in crashes.
-func (*end) Crashes(*wire.Crashes) []*wire.Crashes { return nil }
+// ReceiveCrashes takes in crashes.
+func (*heartbeatCounter) ReceiveCrashes(*wire.CrashReport) []*wire.CrashReport { return nil }
 
-// PeerBeat counts one of an accepting side.
-func (e *end) PeerBeat(string, *wire.Beat) { e.hear() }
+// PeerHeartbeat counts one of an accepting side.
+func (e *heartbeatCounter) PeerHeartbeat(string, *wire.Heartbeat) { e.countHeartbeat() }
 
 // PeerUpstream does nothing.
-func (*end) PeerUpstream(string, wire.Upstream) {}
+func (*heartbeatCounter) PeerUpstream(string, wire.Upstream) {}
 
-// PeerNews does nothing.
-func (*end) PeerNews(*wire.News) {}
+// PeerStoreUpdate does nothing.
+func (*heartbeatCounter) PeerStoreUpdate(*wire.StoreUpdate) {}
 
-// PeerCrashes takes in crashes.
-func (*end) PeerCrashes(*wire.Crashes) {}
+// PeerCrashReport takes in crashes.
+func (*heartbeatCounter) PeerCrashReport(*wire.CrashReport) {}
 
-// PeerInvitation does nothing.
-func (*end) PeerInvitation(*wire.Invitation) {}
+// PeerWorkRequest does nothing.
+func (*heartbeatCounter) PeerWorkRequest(*wire.WorkRequest) {}
 
-// PeerEdition does nothing.
-func (*end) PeerEdition(string, *wire.Edition) {}
+// PeerTableVersion does nothing.
+func (*heartbeatCounter) PeerTableVersion(string, *wire.TableVersion) {}
 
 // PeerPath does nothing.
-func (*end) PeerPath(string, path.State) {}
+func (*heartbeatCounter) PeerPath(string, path.State) {}
 
-// acceptor is a listening link side.
-type acceptor struct {
+// listeningSide is a listening link side.
+type listeningSide struct {
 	address string
 	// carried counts the bytes of all links, both ways.
 	carried *atomic.Int64
 	close   func()
 }
 
-func accept(every clock.Millis, handler *end) (*acceptor, error) {
+func listen(every clock.Millis, handler *heartbeatCounter) (*listeningSide, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Annotate(err, "listening for links")
@@ -129,15 +133,15 @@
 	address := listener.Addr().String()
 	carried := &atomic.Int64{}
 	server := link.NewServer(link.ServerConfig{
-		Identity: identity(address, 1), Limit: frameLimit, Beat: every, Now: clock.NewSystem().Now,
+		Identity: identity(address, 1), MaxFrame: frameLimit, HeartbeatInterval: every, Now: clock.NewSystem().Now,
 		Handler: handler, Log: lines.Silent(),
 	})
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = server.Serve(&meter{listener, carried}) // ends with the listener
+		_ = server.Serve(&countingListener{listener, carried}) // ends with the listener
 	}()
-	return &acceptor{address: address, carried: carried, close: func() {
+	return &listeningSide{address: address, carried: carried, close: func() {
 		_ = listener.Close() // nothing to be done about it
 		server.Close()
 		<-served
@@ -148,44 +152,44 @@
 	return link.Identity{Node: node, Incarnation: uint64(incarnation), Secret: secret}
 }
 
-// meter is a listener whose connections count what they carry.
-type meter struct {
+// countingListener is a listener whose connections count what they carry.
+type countingListener struct {
 	net.Listener
 
 	carried *atomic.Int64
 }
 
 // Accept counts from the first byte.
-func (m *meter) Accept() (net.Conn, error) {
+func (m *countingListener) Accept() (net.Conn, error) {
 	c, err := m.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &metered{c, m.carried}, nil
+	return &countingConn{c, m.carried}, nil
 }
 
-type metered struct {
+type countingConn struct {
 	net.Conn
 
 	carried *atomic.Int64
 }
 
 // Read counts what came.
-func (m *metered) Read(into []byte) (int, error) {
+func (m *countingConn) Read(into []byte) (int, error) {
 	n, err := m.Conn.Read(into)
 	m.carried.Add(int64(n))
 	return n, err
 }
 
 // Write counts what went.
-func (m *metered) Write(from []byte) (int, error) {
+func (m *countingConn) Write(from []byte) (int, error) {
 	n, err := m.Conn.Write(from)
 	m.carried.Add(int64(n))
 	return n, err
 }
 
-// settle waits until the goroutines of the measure before have ended.
-func settle() {
+// waitForGoroutines waits until the goroutines of the measure before have ended.
+func waitForGoroutines() {
 	const (
 		look = 20 * time.Millisecond
 		// calm looks without a change end the wait.
--- a/capacity/entries.go
+++ b/capacity/entries.go
@@ -32,7 +32,7 @@
 			Sizes: inTable, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
 				return withEntry(n/perService, perService, func(e *entry.Entry, t *table.Table) (float64, error) {
-					return spent(func() error { e.Update(t); return nil })
+					return cpuTime(func() error { e.Update(t); return nil })
 				})
 			},
 		},
@@ -41,7 +41,7 @@
 			Sizes: inTable, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
 				return withEntry(n/perService, perService, func(e *entry.Entry, _ *table.Table) (float64, error) {
-					return spent(func() error { e.UpdatePath("10.0.0.1:7000", true); return nil })
+					return cpuTime(func() error { e.UpdatePath("10.0.0.1:7000", true); return nil })
 				})
 			},
 		},
@@ -50,7 +50,7 @@
 			Sizes: []int{10, 49, 100, 200, 400}, Target: perService,
 			Cost: func(n int) (float64, error) {
 				return withEntry(1, n, func(e *entry.Entry, _ *table.Table) (float64, error) {
-					return spent(func() error { return serve(e) })
+					return cpuTime(func() error { return serve(e) })
 				})
 			},
 		},
@@ -65,11 +65,11 @@
 // poolSize bounds what the pools of measures run at once.
 const poolSize = 64
 
-// prompt is a way to a gate that answers at once.
-type prompt struct{}
+// instantTarget is a way to a gate that answers at once.
+type instantTarget struct{}
 
 // Dispatch answers.
-func (prompt) Dispatch(d *wire.Dispatch, w link.Waiter) error {
+func (instantTarget) Dispatch(d *wire.Dispatch, w link.DispatchObserver) error {
 	r := reply(0)
 	r.ID, r.Attempt = d.ID, d.Attempt
 	r.Upstream.Name = d.Upstream
@@ -78,52 +78,56 @@
 }
 
 // Resolve does nothing.
-func (prompt) Resolve(wire.RequestID, uint8) {}
+func (instantTarget) Resolve(wire.RequestID, uint8) {}
 
 // Withdraw takes nothing back.
-func (prompt) Withdraw(wire.RequestID, uint8) bool { return false }
+func (instantTarget) Withdraw(wire.RequestID, uint8) bool { return false }
 
 // Abandon does nothing.
-func (prompt) Abandon(wire.RequestID, uint8) {}
+func (instantTarget) Abandon(wire.RequestID, uint8) {}
 
 // EnsureLink has no link.
-func (prompt) EnsureLink() {}
+func (instantTarget) EnsureLink() {}
 
 // Forget does nothing.
-func (prompt) Forget(wire.RequestID, uint8) {}
+func (instantTarget) Forget(wire.RequestID, uint8) {}
 
 // Void reaches nobody.
-func (prompt) ProbeCapacity(*wire.Enquiry, func(*wire.Hold)) error { return link.ErrNoLink }
+func (instantTarget) ProbeCapacity(*wire.CapacityProbe, func(*wire.Reservation)) error {
+	return link.ErrNoLink
+}
 
 // ReleaseReservation does nothing.
-func (prompt) ReleaseReservation(*wire.Waive) {}
+func (instantTarget) ReleaseReservation(*wire.ReleaseReservation) {}
 
 // RevokeKey asks nobody.
-func (prompt) RevokeKey(*wire.Void, clock.Millis, link.VoidWaiter) error { return link.ErrNoLink }
+func (instantTarget) RevokeKey(*wire.KeyRevocation, clock.Millis, link.RevocationObserver) error {
+	return link.ErrNoLink
+}
 
 // ForgetRevocation has nothing to drop.
-func (prompt) ForgetRevocation(wire.RequestID) {}
+func (instantTarget) ForgetRevocation(wire.RequestID) {}
 
-// ledger is a journal that keeps nothing.
-type ledger struct{}
+// discardJournal is a journal that keeps nothing.
+type discardJournal struct{}
 
 // RequestReceived does nothing.
-func (ledger) RequestReceived() {}
+func (discardJournal) RequestReceived() {}
 
 // RequestFinished does nothing.
-func (ledger) RequestFinished(clock.Millis, access.Record) {}
+func (discardJournal) RequestFinished(clock.Millis, access.Record) {}
 
 // RecordEvent does nothing.
-func (ledger) RecordEvent(access.Event) {}
+func (discardJournal) RecordEvent(access.Event) {}
 
-// build makes a table larger than one value of the platform, too.
-func build(services, each int) (*table.Table, error) {
+// buildTable makes a table larger than one value of the platform, too.
+func buildTable(services, each int) (*table.Table, error) {
 	t := table.Table{Format: table.Format, Version: 1}
 	for s := range services {
 		one := table.Service{
 			Name: fmt.Sprintf("service-%d", s), Caution: table.Balanced, Floor: 0.5, Deadline: 2 * clock.Second,
-			Drain: clock.Second, Queue: 10, Retries: 0.1,
-			Objective: table.Objective{Availability: 0.999, Latency: clock.Second, Within: 0.99},
+			Drain: clock.Second, Queue: 10, RetryRatio: 0.1,
+			Objective: table.Objective{Availability: 0.999, Latency: clock.Second, LatencyRatio: 0.99},
 		}
 		for u := range each {
 			i := s*each + u
@@ -141,14 +145,14 @@
 
 func newEntry(pool *ants.Pool) *entry.Entry {
 	return entry.New(entry.Config{
-		Domain: "domain-1", Incarnation: 1, Seed: 1, Now: clock.NewSystem().Now, Pool: pool, Recorder: ledger{},
-		GateClient: func(table.Upstream) entry.GateClient { return prompt{} }, Log: lines.Silent(),
+		Domain: "domain-1", Incarnation: 1, Seed: 1, Now: clock.NewSystem().Now, Pool: pool, Recorder: discardJournal{},
+		GateClient: func(table.Upstream) entry.GateClient { return instantTarget{} }, Log: lines.Silent(),
 	})
 }
 
 // withEntry measures an entry that has a table in force.
 func withEntry(services, each int, cost func(*entry.Entry, *table.Table) (float64, error)) (float64, error) {
-	t, err := build(services, each)
+	t, err := buildTable(services, each)
 	if err != nil {
 		return 0, err
 	}
@@ -163,7 +167,7 @@
 }
 
 func entryHeld(upstreams int) (float64, error) {
-	t, err := build(upstreams/perService, perService)
+	t, err := buildTable(upstreams/perService, perService)
 	if err != nil {
 		return 0, err
 	}
@@ -172,7 +176,7 @@
 		return 0, errors.Annotate(err, "making a pool")
 	}
 	defer pool.Release()
-	return held(func() (any, error) {
+	return retainedBytes(func() (any, error) {
 		e := newEntry(pool)
 		e.Update(t)
 		return e, nil
@@ -193,7 +197,7 @@
 
 // callersHeld is the memory of buckets, one for each caller.
 func callersHeld(callers int) (float64, error) {
-	return held(func() (any, error) {
+	return retainedBytes(func() (any, error) {
 		rates := limit.NewRates(limit.RatesConfig{Seed: 1, Callers: callers})
 		for i := range callers {
 			rates.Allow(hour, "service-1", 0, fmt.Sprintf("caller-%d", i), 1)
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -14,8 +14,8 @@
 // ErrPoints reports fewer points than a line may be drawn through.
 const ErrPoints = errors.ConstError("too few points for a line")
 
-// leastPoints of a line. Through three a curve still passes for a line.
-const leastPoints = 4
+// minPoints of a line. Through three a curve still passes for a line.
+const minPoints = 4
 
 // Point is one measured cost.
 type Point struct {
@@ -40,8 +40,8 @@
 
 // Fit draws the line through points. It returns ErrPoints for fewer than four.
 func Fit(points []Point) (Line, error) {
-	if len(points) < leastPoints {
-		return Line{}, errors.Annotatef(ErrPoints, "%d, want %d at least", len(points), leastPoints)
+	if len(points) < minPoints {
+		return Line{}, errors.Annotatef(ErrPoints, "%d, want %d at least", len(points), minPoints)
 	}
 	sizes := make([]float64, 0, len(points))
 	costs := make([]float64, 0, len(points))
--- a/capacity/frames.go
+++ b/capacity/frames.go
@@ -16,14 +16,14 @@
 		{
 			Role: "link", Name: "heartbeat", Unit: unitBytes, Against: besideNode,
 			Sizes: beside, Target: UpstreamsPerNode,
-			Cost: func(n int) (float64, error) { return frameBytes(beat(n)) },
+			Cost: func(n int) (float64, error) { return frameBytes(heartbeat(n)) },
 		},
 		{
 			Role: "link", Name: "heartbeat encoded", Unit: unitMicros, Against: besideNode,
 			Sizes: beside, Target: UpstreamsPerNode,
 			Cost: func(n int) (float64, error) {
-				b := beat(n)
-				return spent(func() error {
+				b := heartbeat(n)
+				return cpuTime(func() error {
 					_, err := wire.Encode(b)
 					return err
 				})
@@ -33,11 +33,11 @@
 			Role: "link", Name: "heartbeat decoded", Unit: unitMicros, Against: besideNode,
 			Sizes: beside, Target: UpstreamsPerNode,
 			Cost: func(n int) (float64, error) {
-				frame, err := wire.Encode(beat(n))
+				frame, err := wire.Encode(heartbeat(n))
 				if err != nil {
 					return 0, err
 				}
-				return spent(func() error {
+				return cpuTime(func() error {
 					_, err := wire.Decode(frame, len(frame))
 					return err
 				})
@@ -46,17 +46,17 @@
 		{
 			Role: "link", Name: "heartbeat's state gathered from the gates", Unit: unitMicros, Against: besideNode,
 			Sizes: beside, Target: UpstreamsPerNode,
-			Cost: gathered,
+			Cost: statusTime,
 		},
 		{
 			Role: "link", Name: "dispatch, encoded and decoded", Unit: unitMicros, Against: "bytes of body",
 			Sizes: []int{0, 1 << 10, 4 << 10, 16 << 10},
-			Cost:  func(n int) (float64, error) { return crossing(dispatch(n)) },
+			Cost:  func(n int) (float64, error) { return codecTime(dispatch(n)) },
 		},
 		{
 			Role: "link", Name: "reply, encoded and decoded", Unit: unitMicros, Against: "bytes of answer",
 			Sizes: []int{0, 1 << 10, 4 << 10, 16 << 10},
-			Cost:  func(n int) (float64, error) { return crossing(reply(n)) },
+			Cost:  func(n int) (float64, error) { return codecTime(reply(n)) },
 		},
 		{
 			Role: "link", Name: "reply", Unit: unitBytes, Against: "bytes of answer",
@@ -83,12 +83,12 @@
 func state(i int) wire.Upstream {
 	return wire.Upstream{
 		Name: fmt.Sprintf("upstream-%d", i), Severity: 0.25, Share: 1, InFlight: 3, Waiting: 1,
-		Own: wire.Baseline{Known: true, Failed: 0.0125, Latency: 120},
+		Local: wire.Baseline{Known: true, FailureRate: 0.0125, Latency: 120},
 	}
 }
 
-func beat(upstreams int) *wire.Beat {
-	b := &wire.Beat{Time: hour, Heard: hour, Version: 1 << 30, Digest: table.Digest(nil)}
+func heartbeat(upstreams int) *wire.Heartbeat {
+	b := &wire.Heartbeat{Time: hour, Echo: hour, Version: 1 << 30, Digest: table.Digest(nil)}
 	for i := range upstreams {
 		b.Upstreams = append(b.Upstreams, state(i))
 	}
@@ -107,13 +107,13 @@
 		ID: wire.RequestID{Entry: 1 << 60, Seq: 1 << 30}, Attempt: 1, Incarnation: 1 << 60,
 		Lease: hour, Budget: clock.Second, Upstream: "upstream-1", Caller: "caller-1", Method: "GET",
 		URI: "/service-1/route-1/" + strings.Repeat("x", 20), Body: make([]byte, body),
-		Baseline: wire.Baseline{Known: true, Failed: 0.0125, Latency: 120},
+		Baseline: wire.Baseline{Known: true, FailureRate: 0.0125, Latency: 120},
 	}
 }
 
-// crossing is the processor time of both ends for one frame.
-func crossing(m wire.Message) (float64, error) {
-	return spent(func() error {
+// codecTime is the processor time of both ends for one frame.
+func codecTime(m wire.Message) (float64, error) {
+	return cpuTime(func() error {
 		frame, err := wire.Encode(m)
 		if err != nil {
 			return err
--- a/capacity/gates.go
+++ b/capacity/gates.go
@@ -29,7 +29,7 @@
 			Role: "gate", Name: "fence, held", Unit: unitBytes, Against: "dispatches remembered",
 			Sizes: remembered,
 			Cost: func(n int) (float64, error) {
-				return held(func() (any, error) { return fenceOf(n), nil })
+				return retainedBytes(func() (any, error) { return filledFence(n), nil })
 			},
 		},
 		{
@@ -53,23 +53,23 @@
 // answerSize is the body of an answer in bytes: a page without its pictures.
 const answerSize = 4 << 10
 
-// quick is a backend server that answers at once.
-type quick struct{ body int }
+// instantBackend is a backend server that answers at once.
+type instantBackend struct{ body int }
 
 // Do answers.
-func (q quick) Do(context.Context, *gate.Call) (gate.Response, error) {
+func (q instantBackend) Do(context.Context, *gate.Call) (gate.Response, error) {
 	return gate.Response{Status: 200, Body: make([]byte, q.body)}, nil
 }
 
 // Probe finds it healthy.
-func (quick) Probe(string) bool { return true }
-func (quick) ResetConnections() {}
+func (instantBackend) Probe(string) bool { return true }
+func (instantBackend) ResetConnections() {}
 
 // IsGone reports a server that is there.
-func (quick) IsGone() bool { return false }
+func (instantBackend) IsGone() bool { return false }
 
 // Close does nothing.
-func (quick) Close() {}
+func (instantBackend) Close() {}
 
 func newGate(i int, backend gate.Backend, pool *ants.Pool) *gate.Gate {
 	return gate.New(gate.Config{
@@ -81,7 +81,7 @@
 			Domain: "domain-1", Weight: 1, Slots: 7, Connections: 7,
 		},
 		Incarnation: 1, Seed: uint64(i), Now: func() clock.Millis { return hour },
-		Backend: backend, Pool: pool, Journal: ledger{}, Log: lines.Silent(),
+		Backend: backend, Pool: pool, Journal: discardJournal{}, Log: lines.Silent(),
 	})
 }
 
@@ -97,7 +97,7 @@
 
 func gatesHeld(n int) (float64, error) {
 	return withPool(func(pool *ants.Pool) (float64, error) {
-		return held(func() (any, error) {
+		return retainedBytes(func() (any, error) {
 			all := make([]*gate.Gate, 0, n)
 			for i := range n {
 				backend := gate.NewHTTP(gate.HTTPConfig{Address: ip(i) + ":8080", MaxConnections: 7, MaxBody: 1 << 20})
@@ -108,7 +108,7 @@
 	})
 }
 
-func fenceOf(n int) *lease.Deduplicator[*wire.Reply] {
+func filledFence(n int) *lease.Deduplicator[*wire.Reply] {
 	f := lease.NewDeduplicator[*wire.Reply](1)
 	for i := range n {
 		key := lease.Key{Entry: 1, Seq: uint64(i), Attempt: 1}
@@ -142,8 +142,8 @@
 
 func dispatchesHeld(n, body int) (float64, error) {
 	return withPool(func(pool *ants.Pool) (float64, error) {
-		return held(func() (any, error) {
-			g := newGate(1, quick{body}, pool)
+		return retainedBytes(func() (any, error) {
+			g := newGate(1, instantBackend{body}, pool)
 			return g, send(g, 0, n)
 		})
 	})
@@ -151,19 +151,19 @@
 
 func dispatchesSpent(n int) (float64, error) {
 	return withPool(func(pool *ants.Pool) (float64, error) {
-		return spent(func() error { return send(newGate(1, quick{}, pool), 0, n) })
+		return cpuTime(func() error { return send(newGate(1, instantBackend{}, pool), 0, n) })
 	})
 }
 
-// gathered is the processor time in which a node reads all its gates, as it
+// statusTime is the processor time in which a node reads all its gates, as it
 // does for each heartbeat.
-func gathered(n int) (float64, error) {
+func statusTime(n int) (float64, error) {
 	return withPool(func(pool *ants.Pool) (float64, error) {
 		all := make([]*gate.Gate, 0, n)
 		for i := range n {
-			all = append(all, newGate(i, quick{}, pool))
+			all = append(all, newGate(i, instantBackend{}, pool))
 		}
-		return spent(func() error {
+		return cpuTime(func() error {
 			for _, g := range all {
 				g.Status()
 			}
--- a/capacity/links.go
+++ b/capacity/links.go
@@ -41,7 +41,7 @@
 			Role: "link", Name: "a beat interval, both ways, 83 upstreams in each heartbeat", Unit: unitBytes, Against: "links",
 			Sizes: open,
 			Cost: func(n int) (float64, error) {
-				_, bytes, err := beating(n, UpstreamsPerNode)
+				_, bytes, err := heartbeatCost(n, UpstreamsPerNode)
 				return bytes, err
 			},
 		},
@@ -49,7 +49,7 @@
 			Role: "link", Name: "a beat interval, both ways, no upstreams", Unit: unitBytes, Against: "links",
 			Sizes: open,
 			Cost: func(n int) (float64, error) {
-				_, bytes, err := beating(n, 0)
+				_, bytes, err := heartbeatCost(n, 0)
 				return bytes, err
 			},
 		},
@@ -57,7 +57,7 @@
 			Role: "link", Name: "a beat interval, both ends, 83 upstreams in each heartbeat", Unit: unitMicros, Against: "links",
 			Sizes: open,
 			Cost: func(n int) (float64, error) {
-				micros, _, err := beating(n, UpstreamsPerNode)
+				micros, _, err := heartbeatCost(n, UpstreamsPerNode)
 				return micros, err
 			},
 		},
@@ -65,7 +65,7 @@
 			Role: "link", Name: "a beat interval, both ends, no upstreams", Unit: unitMicros, Against: "links",
 			Sizes: open,
 			Cost: func(n int) (float64, error) {
-				micros, _, err := beating(n, 0)
+				micros, _, err := heartbeatCost(n, 0)
 				return micros, err
 			},
 		},
@@ -73,10 +73,10 @@
 }
 
 // withLinks measures while links are open that beat no more than once.
-func withLinks(n int, cost func(a *acceptor, open func() error) (float64, error)) (float64, error) {
-	settle()
-	defer settle()
-	a, err := accept(clock.Hour, newEnd(0))
+func withLinks(n int, cost func(a *listeningSide, open func() error) (float64, error)) (float64, error) {
+	waitForGoroutines()
+	defer waitForGoroutines()
+	a, err := listen(clock.Hour, newHeartbeatCounter(0))
 	if err != nil {
 		return 0, err
 	}
@@ -100,13 +100,13 @@
 }
 
 func linksHeld(n int) (float64, error) {
-	return withLinks(n, func(_ *acceptor, open func() error) (float64, error) {
-		return held(func() (any, error) { return nil, open() })
+	return withLinks(n, func(_ *listeningSide, open func() error) (float64, error) {
+		return retainedBytes(func() (any, error) { return nil, open() })
 	})
 }
 
 func linkGoroutines(n int) (float64, error) {
-	return withLinks(n, func(_ *acceptor, open func() error) (float64, error) {
+	return withLinks(n, func(_ *listeningSide, open func() error) (float64, error) {
 		before := runtime.NumGoroutine()
 		err := open()
 		return float64(runtime.NumGoroutine() - before), err
@@ -114,28 +114,28 @@
 }
 
 func handshakes(n int) (float64, error) {
-	return withLinks(n, func(_ *acceptor, open func() error) (float64, error) {
-		return once(open)
+	return withLinks(n, func(_ *listeningSide, open func() error) (float64, error) {
+		return cpuTimeOnce(open)
 	})
 }
 
 func handshakeBytes(n int) (float64, error) {
-	return withLinks(n, func(a *acceptor, open func() error) (float64, error) {
+	return withLinks(n, func(a *listeningSide, open func() error) (float64, error) {
 		err := open()
 		return float64(a.carried.Load()), err
 	})
 }
 
 // peer is an entry's side; the number is its incarnation.
-func peer(address string, number int, every clock.Millis, now func() clock.Millis, watcher *end) *link.Peer {
+func peer(address string, number int, every clock.Millis, now func() clock.Millis, watcher *heartbeatCounter) *link.Peer {
 	return link.NewPeer(link.PeerConfig{
-		Address: address, Self: identity(ip(number)+":7000", number), Limit: frameLimit, Answer: frameLimit,
-		Beat: every, Seed: uint64(number), Now: now, Status: watcher.Status, Watcher: watcher, Log: lines.Silent(),
+		Address: address, Self: identity(ip(number)+":7000", number), MaxFrame: frameLimit, MaxReplyBody: frameLimit,
+		HeartbeatInterval: every, Seed: uint64(number), Now: now, Status: watcher.Status, Observer: watcher, Log: lines.Silent(),
 	})
 }
 
-// running runs peers until the cost is measured.
-func running(peers []*link.Peer, cost func() (float64, error)) (float64, error) {
+// withRunning runs peers until the cost is measured.
+func withRunning(peers []*link.Peer, cost func() (float64, error)) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -146,13 +146,13 @@
 	return cost()
 }
 
-// beating is the processor time and the bytes of one beat interval of so many
+// heartbeatCost is the processor time and the bytes of one beat interval of so many
 // links.
-func beating(n, upstreams int) (micros, bytes float64, err error) {
-	settle()
-	defer settle()
-	handler := newEnd(upstreams)
-	a, err := accept(interval, handler)
+func heartbeatCost(n, upstreams int) (micros, bytes float64, err error) {
+	waitForGoroutines()
+	defer waitForGoroutines()
+	handler := newHeartbeatCounter(upstreams)
+	a, err := listen(interval, handler)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -161,16 +161,16 @@
 	for i := range n {
 		peers = append(peers, peer(a.address, i+1, interval, clock.NewSystem().Now, handler))
 	}
-	micros, err = running(peers, func() (float64, error) {
+	micros, err = withRunning(peers, func() (float64, error) {
 		// Two heartbeats in each interval of a link, one each way.
-		opened := handler.after(2 * n)
+		opened := handler.notifyAfter(2 * n)
 		for _, p := range peers {
 			p.EnsureLink()
 		}
 		<-opened
 		before := a.carried.Load()
-		heard := handler.after(2 * n * intervals)
-		used, err := once(func() error { <-heard; return nil })
+		heard := handler.notifyAfter(2 * n * intervals)
+		used, err := cpuTimeOnce(func() error { <-heard; return nil })
 		bytes = float64(a.carried.Load()-before) / intervals
 		return used / intervals, err
 	})
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -64,23 +64,23 @@
 // besideNode is the size of what grows with a node's own upstreams.
 const besideNode = "upstreams beside the node"
 
-// held returns the bytes, on heap and stacks, that what build returns keeps.
-func held(build func() (any, error)) (float64, error) {
-	before := inUse()
+// retainedBytes returns the bytes, on heap and stacks, that what build returns keeps.
+func retainedBytes(build func() (any, error)) (float64, error) {
+	before := liveBytes()
 	kept, err := build()
 	if err != nil {
 		return 0, err
 	}
-	after := inUse()
+	after := liveBytes()
 	runtime.KeepAlive(kept)
 	runtime.KeepAlive(build) // with what it uses, which was there before
 	return float64(after - before), nil
 }
 
-// inUse returns the bytes of live heap and stacks. Finalizers and pools let go
+// liveBytes returns the bytes of live heap and stacks. Finalizers and pools let go
 // of theirs one collection after another; what was left to them by the measure
 // before would be taken from the next one.
-func inUse() int64 {
+func liveBytes() int64 {
 	const (
 		steady = 1 << 10
 		most   = 20
@@ -99,28 +99,28 @@
 	return last
 }
 
-// once returns the processor time of work in microseconds.
-func once(work func() error) (float64, error) {
+// cpuTimeOnce returns the processor time of work in microseconds.
+func cpuTimeOnce(work func() error) (float64, error) {
 	runtime.GC()
-	before, err := processor()
+	before, err := processCPUTime()
 	if err != nil {
 		return 0, err
 	}
 	if err := work(); err != nil {
 		return 0, err
 	}
-	after, err := processor()
+	after, err := processCPUTime()
 	return after - before, err
 }
 
-// spent returns the processor time of work in microseconds per run, of all
+// cpuTime returns the processor time of work in microseconds per run, of all
 // threads and of garbage collection with it. Time on the wall would count what
 // other programs on the machine take. The run is repeated until the time is
 // long against the steps in which processor time is counted.
-func spent(work func() error) (float64, error) {
+func cpuTime(work func() error) (float64, error) {
 	const enough = 100_000
 	for runs := 1; ; runs *= 2 {
-		used, err := once(func() error {
+		used, err := cpuTimeOnce(func() error {
 			for range runs {
 				if err := work(); err != nil {
 					return err
@@ -137,9 +137,9 @@
 	}
 }
 
-// processor returns the processor time that this process took, in
+// processCPUTime returns the processor time that this process took, in
 // microseconds.
-func processor() (float64, error) {
+func processCPUTime() (float64, error) {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
 		return 0, errors.Annotate(err, "reading the processor time")
--- a/capacity/peers.go
+++ b/capacity/peers.go
@@ -27,7 +27,7 @@
 		{
 			Role: "link", Name: "dials by peers that nothing was sent to", Unit: unitCount, Against: "nodes in the table",
 			Sizes: []int{25, 50, 100, 200}, Target: Nodes,
-			Cost: needless,
+			Cost: needlessDials,
 		},
 	}
 }
@@ -35,11 +35,11 @@
 // nodeCounts reach to the size to design for.
 func nodeCounts() []int { return []int{300, 600, 1200, 2400} }
 
-// distant returns peers that nothing answers. Their clock shows them idle.
-func distant(n int, now func() clock.Millis) []*link.Peer {
+// unreachablePeers returns peers that nothing answers. Their clock shows them idle.
+func unreachablePeers(n int, now func() clock.Millis) []*link.Peer {
 	peers := make([]*link.Peer, 0, n)
 	for i := range n {
-		peers = append(peers, peer(ip(i)+":7000", i+1, nodeBeat, now, newEnd(0)))
+		peers = append(peers, peer(ip(i)+":7000", i+1, nodeBeat, now, newHeartbeatCounter(0)))
 	}
 	return peers
 }
@@ -50,7 +50,7 @@
 // idleClock says that an hour has passed since the peers were made, and counts
 // how often it was asked.
 type idleClock struct {
-	asked atomic.Int64
+	reads atomic.Int64
 	made  atomic.Bool
 	want  int64
 	done  chan struct{}
@@ -61,7 +61,7 @@
 	if !c.made.Load() {
 		return 0
 	}
-	if c.asked.Add(1) >= c.want {
+	if c.reads.Add(1) >= c.want {
 		c.once.Do(func() { close(c.done) })
 	}
 	return hour
@@ -69,21 +69,21 @@
 
 func idleHeld(n int) (float64, error) {
 	c := &idleClock{want: int64(n), done: make(chan struct{})}
-	return held(func() (any, error) {
-		return distant(n, c.now), nil
+	return retainedBytes(func() (any, error) {
+		return unreachablePeers(n, c.now), nil
 	})
 }
 
 // idleSpent lets resting peers run for some beat intervals by the machine's
 // clock: they ask for no time of their own that could be counted.
 func idleSpent(n int) (float64, error) {
-	settle()
-	defer settle()
+	waitForGoroutines()
+	defer waitForGoroutines()
 	c := &idleClock{want: math.MaxInt64, done: make(chan struct{})}
-	peers := distant(n, c.now)
+	peers := unreachablePeers(n, c.now)
 	c.made.Store(true)
-	return running(peers, func() (float64, error) {
-		used, err := once(func() error {
+	return withRunning(peers, func() (float64, error) {
+		used, err := cpuTimeOnce(func() error {
 			<-time.After((intervals * interval).Duration())
 			return nil
 		})
@@ -91,25 +91,25 @@
 	})
 }
 
-// needless counts the links that peers open within some beat intervals though
+// needlessDials counts the links that peers open within some beat intervals though
 // nothing is sent and nobody woke them. One that was woken measures the time.
-func needless(n int) (float64, error) {
-	settle()
-	defer settle()
-	a, err := accept(interval, newEnd(0))
+func needlessDials(n int) (float64, error) {
+	waitForGoroutines()
+	defer waitForGoroutines()
+	a, err := listen(interval, newHeartbeatCounter(0))
 	if err != nil {
 		return 0, err
 	}
 	defer a.close()
 	peers := make([]*link.Peer, 0, n)
 	for i := range n {
-		peers = append(peers, peer(a.address, i+1, interval, clock.NewSystem().Now, newEnd(0)))
+		peers = append(peers, peer(a.address, i+1, interval, clock.NewSystem().Now, newHeartbeatCounter(0)))
 	}
-	watch := newEnd(0)
+	watch := newHeartbeatCounter(0)
 	woken := peer(a.address, n+1, interval, clock.NewSystem().Now, watch)
 	woken.EnsureLink()
-	return running(append(slices.Clone(peers), woken), func() (float64, error) {
-		<-watch.after(intervals)
+	return withRunning(append(slices.Clone(peers), woken), func() (float64, error) {
+		<-watch.notifyAfter(intervals)
 		open := 0
 		for _, p := range peers {
 			if p.Ready() {
--- a/capacity/platforms.go
+++ b/capacity/platforms.go
@@ -32,10 +32,10 @@
 
 // calls plays a fleet in virtual time and counts its calls to the platform.
 func calls(nodes int, isHeard bool) float64 {
-	all := make([]*mirror.Pace, nodes)
+	all := make([]*mirror.PollSchedule, nodes)
 	for i := range all {
-		all[i] = mirror.NewPace(mirror.PaceConfig{Fresh: callsFresh, Seed: uint64(i)})
-		all[i].Size(nodes, false)
+		all[i] = mirror.NewPollSchedule(mirror.PollConfig{MaxStaleness: callsFresh, Seed: uint64(i)})
+		all[i].SetFleetSize(nodes, false)
 	}
 	began := make(map[clock.Millis]bool) // calls under way, by their start
 	count := 0
@@ -43,7 +43,7 @@
 		isTold := isHeard && began[now-callsHop]
 		for _, p := range all {
 			if isTold {
-				p.Known(now - callsHop)
+				p.Refreshed(now - callsHop)
 			}
 			if now >= p.Due() {
 				count++
@@ -55,5 +55,5 @@
 	return float64(count) / callsSpan.Seconds()
 }
 
-// address is the link address of a node in measures.
-func address(i int) string { return ip(i) + ":7000" }
+// linkAddress is the link address of a node in measures.
+func linkAddress(i int) string { return ip(i) + ":7000" }
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -18,5 +18,5 @@
 
 // All returns every measure, in the order of docs/CAPACITY.md.
 func All() []Measure {
-	return slices.Concat(tables(), entries(), crossings(), gates(), frames(), links(), peers(), platforms(), accessLog(), admins(), whole())
+	return slices.Concat(tables(), entries(), crossDomain(), gates(), frames(), links(), peers(), platforms(), accessLog(), admins(), wholeNode())
 }
--- a/capacity/slopes/main.go
+++ b/capacity/slopes/main.go
@@ -54,7 +54,7 @@
 func row(r capacity.Result) string {
 	points := make([]string, 0, len(r.Points))
 	for _, p := range r.Points {
-		points = append(points, fmt.Sprintf("%.0f: %s", p.Size, figure(p.Cost)))
+		points = append(points, fmt.Sprintf("%.0f: %s", p.Size, formatFigure(p.Cost)))
 	}
 	if r.Curve {
 		return fmt.Sprintf("| %s | %s, %s | %s | %s | | | | |",
@@ -62,15 +62,15 @@
 	}
 	at := ""
 	if r.Target > 0 {
-		at = fmt.Sprintf("%.0f: %s %s", r.Target, figure(r.Line.At(r.Target)), r.Unit)
+		at = fmt.Sprintf("%.0f: %s %s", r.Target, formatFigure(r.Line.At(r.Target)), r.Unit)
 	}
 	return fmt.Sprintf("| %s | %s, %s | %s | %s | %s | %s | %.1f%% | %s |",
 		r.Role, r.Name, r.Unit, r.Against, strings.Join(points, "; "),
-		figure(r.Line.Base), figure(r.Line.Slope), 100*r.Line.Residual, at)
+		formatFigure(r.Line.Base), formatFigure(r.Line.Slope), 100*r.Line.Residual, at)
 }
 
-// figure writes three significant digits, and whole numbers in full.
-func figure(x float64) string {
+// formatFigure writes three significant digits, and whole numbers in full.
+func formatFigure(x float64) string {
 	if x >= 1000 || x <= -1000 {
 		return fmt.Sprintf("%.0f", x)
 	}
--- a/capacity/tables.go
+++ b/capacity/tables.go
@@ -37,7 +37,7 @@
 			Sizes: inValue, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
 				text := []byte(tableText(n/perService, perService, routesEach))
-				return spent(func() error {
+				return cpuTime(func() error {
 					_, err := table.Parse(text)
 					return err
 				})
@@ -48,7 +48,7 @@
 			Sizes: inValue, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
 				text := []byte(tableText(n/perService, perService, routesEach))
-				return held(func() (any, error) { return table.Parse(text) })
+				return retainedBytes(func() (any, error) { return table.Parse(text) })
 			},
 		},
 		{
@@ -56,13 +56,13 @@
 			Sizes: []int{500, 1000, 2000, 4000}, Target: Routes,
 			Cost: func(n int) (float64, error) {
 				text := []byte(tableText(1, 1, n))
-				return held(func() (any, error) { return table.Parse(text) })
+				return retainedBytes(func() (any, error) { return table.Parse(text) })
 			},
 		},
 		{
 			Role: "table", Name: "compared after a one-line edit", Unit: unitMicros, Against: "upstreams",
 			Sizes: inValue, Target: Upstreams,
-			Cost: compared,
+			Cost: diffTime,
 		},
 		{
 			Role: "table", Name: "instance list", Unit: unitBytes, Against: "nodes",
@@ -74,7 +74,7 @@
 			Sizes: nodeCounts(), Target: Nodes,
 			Cost: func(n int) (float64, error) {
 				text := []byte(instanceText(n))
-				return spent(func() error {
+				return cpuTime(func() error {
 					_, err := table.ParseInstances(text)
 					return err
 				})
@@ -91,7 +91,7 @@
 	return sizes
 }
 
-func compared(upstreams int) (float64, error) {
+func diffTime(upstreams int) (float64, error) {
 	text := tableText(upstreams/perService, perService, routesEach)
 	older, err := table.Parse([]byte(text))
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return spent(func() error {
+	return cpuTime(func() error {
 		if n := len(table.Diff(older, newer)); n != 1 {
 			return errors.Errorf("%d changes found, want 1", n)
 		}
--- a/capacity/whole.go
+++ b/capacity/whole.go
@@ -16,31 +16,31 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// whole measures a running node that no caller calls and that reaches no other
+// wholeNode measures a running node that no caller calls and that reaches no other
 // node nor the platform, to hold the sum of the parts against.
-func whole() []Measure {
+func wholeNode() []Measure {
 	return []Measure{
 		{
 			Role: "node", Name: "without callers or other nodes, held", Unit: unitBytes, Against: "nodes in the table, two upstreams each",
 			Sizes: nodeCounts(), Target: Nodes,
 			Cost: func(n int) (float64, error) {
-				return alone(n, 2*n, func(s subject) (float64, error) { return float64(inUse() - s.before), nil })
+				return withNode(n, 2*n, func(s measuredNode) (float64, error) { return float64(liveBytes() - s.before), nil })
 			},
 		},
 		{
 			Role: "node", Name: "without callers or other nodes, goroutines", Unit: unitCount, Against: "nodes in the table, two upstreams each",
 			Sizes: nodeCounts(), Target: Nodes,
 			Cost: func(n int) (float64, error) {
-				return alone(n, 2*n, func(subject) (float64, error) { return float64(runtime.NumGoroutine()), nil })
+				return withNode(n, 2*n, func(measuredNode) (float64, error) { return float64(runtime.NumGoroutine()), nil })
 			},
 		},
 		{
 			Role: "node", Name: "without callers or other nodes, a second", Unit: unitMicros, Against: "nodes in the table, two upstreams each",
 			Sizes: nodeCounts(), Target: Nodes,
 			Cost: func(n int) (float64, error) {
-				return alone(n, 2*n, func(subject) (float64, error) {
-					used, err := once(func() error { wait(aloneTime); return nil })
-					return used / aloneTime.Seconds(), err
+				return withNode(n, 2*n, func(measuredNode) (float64, error) {
+					used, err := cpuTimeOnce(func() error { wait(measuredTime); return nil })
+					return used / measuredTime.Seconds(), err
 				})
 			},
 		},
@@ -48,18 +48,18 @@
 			Role: "node", Name: "edition in force, relayed once more", Unit: unitMicros, Against: "upstreams",
 			Sizes: upstreams(5, 20, 50, 100), Target: Upstreams,
 			Cost: func(n int) (float64, error) {
-				return alone(fewNodes, n, func(s subject) (float64, error) {
-					return spent(func() error { s.node.Edition("", s.edition); return nil })
+				return withNode(fewNodes, n, func(s measuredNode) (float64, error) {
+					return cpuTime(func() error { s.node.ReceiveTable("", s.edition); return nil })
 				})
 			},
 		},
 	}
 }
 
-// subject is what alone measures.
-type subject struct {
+// measuredNode is what alone measures.
+type measuredNode struct {
 	node    *node.Node
-	edition *wire.Edition
+	edition *wire.TableVersion
 	// before is the memory in use before the node was made.
 	before int64
 }
@@ -68,9 +68,9 @@
 const fewNodes = 10
 
 const (
-	// aloneStart is left out: the table is parsed and every node dialled once.
-	aloneStart = time.Second
-	aloneTime  = 3 * time.Second
+	// startupTime is left out: the table is parsed and every node dialled once.
+	startupTime  = time.Second
+	measuredTime = 3 * time.Second
 )
 
 // wait lets a running node be; nothing it does marks the end of the span.
@@ -83,7 +83,7 @@
 // firstPort of the backend servers, which nothing calls.
 const firstPort = 10_000
 
-const aloneSettings = `
+const nodeSettings = `
 node = "alone"
 domain = "domain-0"
 secret = "a secret of the measures"
@@ -96,20 +96,20 @@
 admin = "127.0.0.1:0"
 `
 
-// alone runs a node whose table names others that refuse connections, and
+// withNode runs a node whose table names others that refuse connections, and
 // measures it.
-func alone(nodes, upstreams int, cost func(s subject) (float64, error)) (float64, error) {
-	settle()
-	defer settle()
-	s, err := settings.Parse([]byte(aloneSettings))
+func withNode(nodes, upstreams int, cost func(s measuredNode) (float64, error)) (float64, error) {
+	waitForGoroutines()
+	defer waitForGoroutines()
+	s, err := settings.Parse([]byte(nodeSettings))
 	if err != nil {
 		return 0, errors.Annotate(err, "settings of the node")
 	}
-	text := []byte(aloneTable(nodes, upstreams))
+	text := []byte(nodeTable(nodes, upstreams))
 	if _, err := table.Parse(text); err != nil {
 		return 0, errors.Annotate(err, "the node's table")
 	}
-	before := inUse()
+	before := liveBytes()
 	n, err := node.New(node.Config{Settings: s, Log: lines.Silent()})
 	if err != nil {
 		return 0, errors.Annotate(err, "making the node")
@@ -124,18 +124,18 @@
 		cancel()
 		<-ended
 	}()
-	wait(aloneStart) // Run makes the supervisor that the table's peers need
-	edition := &wire.Edition{Version: 1, Text: text}
-	n.Edition("", edition)
+	wait(startupTime) // Run makes the supervisor that the table's peers need
+	edition := &wire.TableVersion{Version: 1, Text: text}
+	n.ReceiveTable("", edition)
 	if n.Version() == 0 {
 		return 0, errors.New("the table was not put in force")
 	}
-	wait(aloneStart)
-	return cost(subject{node: n, edition: edition, before: before})
+	wait(startupTime)
+	return cost(measuredNode{node: n, edition: edition, before: before})
 }
 
-// aloneTable names the node itself and others, the upstreams spread over them.
-func aloneTable(nodes, upstreams int) string {
+// nodeTable names the node itself and others, the upstreams spread over them.
+func nodeTable(nodes, upstreams int) string {
 	var b strings.Builder
 	b.WriteString("format = 1\nversion = 1\n")
 	for i := range upstreams {
--- a/cmd/sourcecmd.go
+++ b/cmd/sourcecmd.go
@@ -40,13 +40,13 @@
 // policyOf is the service that the platform's own stand on.
 func policyOf(p *settings.Policy) table.Service {
 	return table.Service{
-		Caution:   p.Caution,
-		Floor:     p.Floor,
-		Drain:     p.Drain,
-		Retries:   p.Retries,
-		Extra:     p.Extra,
-		Window:    p.Window,
-		Lift:      p.Lift,
-		Objective: table.Objective{Availability: table.DefaultAvailability, Within: table.DefaultWithin},
+		Caution:            p.Caution,
+		Floor:              p.Floor,
+		Drain:              p.Drain,
+		RetryRatio:         p.Retries,
+		ExtraRetries:       p.Extra,
+		RetryWindow:        p.Window,
+		LiftedFingerprints: p.Lift,
+		Objective:          table.Objective{Availability: table.DefaultAvailability, LatencyRatio: table.DefaultLatencyRatio},
 	}
 }
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -24,7 +24,7 @@
 // roll-out.
 func TestTemplateMakesSettings(t *testing.T) {
 	s := filledWith(t, fields)
-	if s.Platform.Form != settings.FormStore || s.Policy.Caution != table.Brief || s.Policy.Extra != 62 || s.Service != "wuno96b" {
+	if s.Platform.Form != settings.FormStore || s.Policy.Caution != table.ShortEpisodes || s.Policy.Extra != 62 || s.Service != "wuno96b" {
 		t.Errorf("got %+v, want the store, caution brief, 62 extra retries and the service", s)
 	}
 }
--- a/difference/difference.go
+++ b/difference/difference.go
@@ -13,12 +13,12 @@
 const ErrStep = errors.ConstError("steps don't fit the text that they are to change")
 
 const (
-	// block is the length in bytes of the parts of the base that are looked for: shorter
+	// blockSize is the length in bytes of the parts of the base that are looked for: shorter
 	// than a route with its name, so that one between two that are new is found, and long
 	// enough that the index of a megabyte has 32,768 entries.
-	block = 32
-	// prime is the base of the hash that rolls over the text, that of FNV.
-	prime = 1099511628211
+	blockSize = 32
+	// hashBase is the base of the hash that rolls over the text, that of FNV.
+	hashBase = 1099511628211
 )
 
 // Step takes a part of the base, then adds a text.
@@ -32,18 +32,18 @@
 // Make returns steps from base to next. It returns false if they hold more than so many
 // bytes of text, as between texts that have little in common.
 func Make(base, next []byte, most int) ([]Step, bool) {
-	m := maker{base: base, next: next, index: indexOf(base)}
-	for m.at+block <= len(next) {
-		if m.at-m.told > most {
+	m := encoder{base: base, next: next, index: indexBlocks(base)}
+	for m.at+blockSize <= len(next) {
+		if m.at-m.encoded > most {
 			return nil, false
 		}
-		if from, ok := m.find(); ok {
-			m.take(from)
+		if from, ok := m.findBlock(); ok {
+			m.copyMatch(from)
 			continue
 		}
 		m.roll()
 	}
-	m.add(len(next))
+	m.addText(len(next))
 	text := 0
 	for i := range m.steps {
 		text += len(m.steps[i].Text)
@@ -72,22 +72,22 @@
 	return text, nil
 }
 
-// maker goes through the next text.
-type maker struct {
+// encoder goes through the next text.
+type encoder struct {
 	base, next []byte
 	// index holds the places of the base's blocks by their hash.
 	index map[uint64]int
 	steps []Step
 	// at is where it looks, told up to where the steps go, hash that of the block at at,
 	// if isRolled.
-	at, told int
-	hash     uint64
-	isRolled bool
+	at, encoded int
+	hash        uint64
+	isHashValid bool
 }
 
-func indexOf(base []byte) map[uint64]int {
-	index := make(map[uint64]int, len(base)/block)
-	for at := 0; at+block <= len(base); at += block {
+func indexBlocks(base []byte) map[uint64]int {
+	index := make(map[uint64]int, len(base)/blockSize)
+	for at := 0; at+blockSize <= len(base); at += blockSize {
 		hash := hashOf(base[at:])
 		if _, ok := index[hash]; !ok {
 			index[hash] = at
@@ -99,14 +99,14 @@
 // hashOf is the hash of the first block of a text.
 func hashOf(text []byte) uint64 {
 	hash := uint64(0)
-	for _, b := range text[:block] {
-		hash = hash*prime + uint64(b)
+	for _, b := range text[:blockSize] {
+		hash = hash*hashBase + uint64(b)
 	}
 	return hash
 }
 
-// first is the weight of a block's first byte in its hash.
-var first = power(prime, block-1)
+// firstByteWeight is the weight of a block's first byte in its hash.
+var firstByteWeight = power(hashBase, blockSize-1)
 
 func power(base uint64, exponent int) uint64 {
 	result := uint64(1)
@@ -116,51 +116,51 @@
 	return result
 }
 
-// find returns where in the base the block stands that is looked at.
-func (m *maker) find() (int, bool) {
-	if !m.isRolled {
-		m.hash, m.isRolled = hashOf(m.next[m.at:]), true
+// findBlock returns where in the base the block stands that is looked at.
+func (m *encoder) findBlock() (int, bool) {
+	if !m.isHashValid {
+		m.hash, m.isHashValid = hashOf(m.next[m.at:]), true
 	}
 	from, ok := m.index[m.hash]
-	if !ok || !bytes.Equal(m.base[from:from+block], m.next[m.at:m.at+block]) {
+	if !ok || !bytes.Equal(m.base[from:from+blockSize], m.next[m.at:m.at+blockSize]) {
 		return 0, false
 	}
 	return from, true
 }
 
 // roll goes on by a byte.
-func (m *maker) roll() {
-	if m.at+block < len(m.next) {
-		m.hash = (m.hash-uint64(m.next[m.at])*first)*prime + uint64(m.next[m.at+block])
+func (m *encoder) roll() {
+	if m.at+blockSize < len(m.next) {
+		m.hash = (m.hash-uint64(m.next[m.at])*firstByteWeight)*hashBase + uint64(m.next[m.at+blockSize])
 	}
 	m.at++
 }
 
-// take takes the part of the base that goes on as the next text does, to both sides of
+// copyMatch takes the part of the base that goes on as the next text does, to both sides of
 // the block.
-func (m *maker) take(from int) {
+func (m *encoder) copyMatch(from int) {
 	at := m.at
-	for at > m.told && from > 0 && m.base[from-1] == m.next[at-1] {
+	for at > m.encoded && from > 0 && m.base[from-1] == m.next[at-1] {
 		at--
 		from--
 	}
-	length := m.at - at + block
+	length := m.at - at + blockSize
 	for from+length < len(m.base) && at+length < len(m.next) && m.base[from+length] == m.next[at+length] {
 		length++
 	}
-	m.add(at)
+	m.addText(at)
 	m.steps = append(m.steps, Step{From: from, Length: length})
-	m.at, m.told, m.isRolled = at+length, at+length, false
+	m.at, m.encoded, m.isHashValid = at+length, at+length, false
 }
 
-// add adds the text up to a place to the last step.
-func (m *maker) add(end int) {
-	if end == m.told {
+// addText adds the text up to a place to the last step.
+func (m *encoder) addText(end int) {
+	if end == m.encoded {
 		return
 	}
 	if len(m.steps) == 0 {
 		m.steps = append(m.steps, Step{})
 	}
-	m.steps[len(m.steps)-1].Text = m.next[m.told:end]
-	m.told = end
+	m.steps[len(m.steps)-1].Text = m.next[m.encoded:end]
+	m.encoded = end
 }
--- a/edition/edition_test.go
+++ b/edition/edition_test.go
@@ -13,18 +13,18 @@
 // the command line still goes before it.
 var _ = flag.Set("rapid.seed", "20")
 
-func offer(version uint64, digest string) edition.Offer {
-	return edition.Offer{Version: version, Digest: digest, Source: edition.Platform}
+func offer(version uint64, digest string) edition.Candidate {
+	return edition.Candidate{Version: version, Digest: digest, Source: edition.Platform}
 }
 
 func TestOfferVerdicts(t *testing.T) {
 	steps := []struct {
 		name  string
-		offer edition.Offer
-		want  edition.Verdict
-		force edition.Offer
+		offer edition.Candidate
+		want  edition.Decision
+		force edition.Candidate
 	}{
-		{"no version", offer(0, "a"), edition.Older, edition.Offer{}},
+		{"no version", offer(0, "a"), edition.Older, edition.Candidate{}},
 		{"first", offer(3, "b"), edition.Accept, offer(3, "b")},
 		{"again", offer(3, "b"), edition.Same, offer(3, "b")},
 		{"below", offer(2, "z"), edition.Older, offer(3, "b")},
@@ -35,7 +35,7 @@
 	}
 	f := edition.New()
 	for _, s := range steps {
-		if got := f.Offer(s.offer); got != s.want || f.Current() != s.force {
+		if got := f.Propose(s.offer); got != s.want || f.Current() != s.force {
 			t.Errorf("%s: got %s with %v in force, want %s with %v", s.name, got, f.Current(), s.want, s.force)
 		}
 	}
@@ -48,17 +48,17 @@
 func TestFencesEndOnOneOfTwoEditsAtOnce(t *testing.T) {
 	a, b := offer(8, "aa"), offer(8, "bb")
 	first, second := edition.New(), edition.New()
-	first.Offer(a)
-	first.Offer(b)
-	second.Offer(b)
-	second.Offer(a)
-	for name, f := range map[string]*edition.Fence{"a first": first, "b first": second} {
-		if rival, ok := f.Rival(); f.Current() != b || !ok || rival != a {
+	first.Propose(a)
+	first.Propose(b)
+	second.Propose(b)
+	second.Propose(a)
+	for name, f := range map[string]*edition.VersionGuard{"a first": first, "b first": second} {
+		if rival, ok := f.Conflicting(); f.Current() != b || !ok || rival != a {
 			t.Errorf("%s: got %v in force with rival %v, want %v with %v", name, f.Current(), rival, b, a)
 		}
 	}
-	first.Offer(offer(9, "a"))
-	if rival, ok := first.Rival(); ok {
+	first.Propose(offer(9, "a"))
+	if rival, ok := first.Conflicting(); ok {
 		t.Errorf("got rival %v after a newer version, want none", rival)
 	}
 }
@@ -68,7 +68,7 @@
 // weight that an operator has withdrawn.
 func TestFenceNeverRevertsAndOrderDecidesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := rapid.Custom(func(t *rapid.T) edition.Offer {
+		draw := rapid.Custom(func(t *rapid.T) edition.Candidate {
 			o := offer(rapid.Uint64Range(0, 5).Draw(t, "version"), rapid.StringMatching(`[abc]`).Draw(t, "digest"))
 			o.Source = rapid.SampledFrom([]edition.Source{edition.Platform, edition.Peer}).Draw(t, "source")
 			return o
@@ -81,23 +81,23 @@
 		if !sameText(got.Current(), want.Current()) {
 			t.Errorf("got %v in force, want %v", got.Current(), want.Current())
 		}
-		gotRival, _ := got.Rival()
-		wantRival, _ := want.Rival()
+		gotRival, _ := got.Conflicting()
+		wantRival, _ := want.Conflicting()
 		if !sameText(gotRival, wantRival) {
 			t.Errorf("got rival %v, want %v", gotRival, wantRival)
 		}
 	})
 }
 
-func sameText(a, b edition.Offer) bool {
+func sameText(a, b edition.Candidate) bool {
 	return a.Version == b.Version && a.Digest == b.Digest
 }
 
-func replay(t *rapid.T, offers []edition.Offer) *edition.Fence {
+func replay(t *rapid.T, offers []edition.Candidate) *edition.VersionGuard {
 	f := edition.New()
 	for _, o := range offers {
 		before := f.Current()
-		verdict := f.Offer(o)
+		verdict := f.Propose(o)
 		after := f.Current()
 		if after.Version < before.Version {
 			t.Errorf("got version %d after %d, want no return", after.Version, before.Version)
--- a/embedding/example_edition_test.go
+++ b/embedding/example_edition_test.go
@@ -16,15 +16,15 @@
 
 // member is a process that follows the configuration.
 type member struct {
-	fence *edition.Fence
+	fence *edition.VersionGuard
 	text  string
 }
 
 // receiveUpdate takes in an edition that was read whole and checked. A version that is
 // merely heard of must not be offered: see edition.Offer.
-func (m *member) receiveUpdate(p published) edition.Verdict {
-	offer := edition.Offer{Version: p.version, Digest: table.Digest([]byte(p.text)), Source: p.source}
-	verdict := m.fence.Offer(offer)
+func (m *member) receiveUpdate(p published) edition.Decision {
+	offer := edition.Candidate{Version: p.version, Digest: table.Digest([]byte(p.text)), Source: p.source}
+	verdict := m.fence.Propose(offer)
 	if verdict == edition.Accept {
 		m.text = p.text
 	}
@@ -51,7 +51,7 @@
 	}
 	fmt.Println("same text:", one.text == other.text)
 	fmt.Println("version:", one.fence.Current().Version, other.fence.Current().Version)
-	_, contested := one.fence.Rival()
+	_, contested := one.fence.Conflicting()
 	fmt.Println("tell the operators of a lost edit:", contested)
 	fmt.Println("stale replica:", one.receiveUpdate(editions[0]))
 	// Output:
--- a/embedding/example_path_test.go
+++ b/embedding/example_path_test.go
@@ -14,10 +14,10 @@
 // The program sends the beats, and opens a new connection when Redial says so.
 func Example_path() {
 	var now clock.Manual
-	j := path.New(path.Config{Beat: heartbeatInterval, Seed: 1})
-	names := map[path.State]string{path.Good: "good", path.Doubted: "doubted", path.Lost: "lost"}
+	j := path.New(path.Config{HeartbeatInterval: heartbeatInterval, Seed: 1})
+	names := map[path.State]string{path.Good: "good", path.Suspected: "doubted", path.Lost: "lost"}
 	last := ""
-	j.Redial(now.Now())
+	j.ShouldDial(now.Now())
 	j.Opened(now.Now())
 	for now.Now() < 20*clock.Second {
 		now.Advance(heartbeatInterval)
@@ -26,14 +26,14 @@
 		if !open {
 			heard = 5*clock.Second - heartbeatInterval
 		}
-		j.Heard(now.Now())
+		j.Received(now.Now())
 		j.Echoed(now.Now(), heard)
 		state := names[j.State(now.Now())]
 		if state != last {
 			fmt.Println(state)
 			last = state
 		}
-		if !j.Redial(now.Now()) {
+		if !j.ShouldDial(now.Now()) {
 			continue
 		}
 		if open {
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -95,7 +95,7 @@
 	if len(name) >= len(ownPrefix) && bytes.EqualFold(name[:len(ownPrefix)], ownPrefix) {
 		return false
 	}
-	return !wire.OfConnection(name) && !bytes.EqualFold(name, expectHeader)
+	return !wire.IsHopByHop(name) && !bytes.EqualFold(name, expectHeader)
 }
 
 var (
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -45,7 +45,7 @@
 		return unsent
 	}
 	outcome := r.awaitOutcome(d, &a, w, untried)
-	if r.isCallerGone() || (outcome.kind == retry.NoResponse && r.repeatable) || outcome.reason == string(wire.ReasonStalled) {
+	if r.isCallerGone() || (outcome.kind == retry.NoResponse && r.repeatable) || outcome.reason == string(wire.ReasonHung) {
 		a.member.gate.Abandon(d.ID, d.Attempt) // frees its slot, or its place in a queue
 	} else {
 		a.member.gate.Forget(d.ID, d.Attempt)
@@ -65,28 +65,28 @@
 func (r *request) newDispatch(now clock.Millis, a attempt, untried int) *wire.Dispatch {
 	usual := r.typicalLatency()
 	d := &wire.Dispatch{
-		ID:         r.id,
-		Attempt:    a.number,
-		Label:      r.label,
-		Budget:     r.attemptTimeout(now, untried),
-		Upstream:   a.upstream.Name,
-		Caller:     r.caller,
-		Account:    r.accountName(),
-		Method:     r.method,
-		URI:        string(r.ctx.RequestURI()),
-		Headers:    r.headers,
-		Body:       r.body,
-		Repeatable: r.repeatable,
-		Retry:      r.reachedUpstream,
-		AnyHost:    r.route.Host == "",
-		Verdict:    uint8(a.verdict),
-		Forced:     a.forced,
-		Priority:   r.priority(),
-		Bounded:    a.noWait,
-		Usual:      usual.Median,
-		Spread:     wire.Short(usual.Spread),
-		Hanging:    uint8(usual.HangShare),
-		Baseline:   r.baseline,
+		ID:              r.id,
+		Attempt:         a.number,
+		CallerRequestID: r.label,
+		Budget:          r.attemptTimeout(now, untried),
+		Upstream:        a.upstream.Name,
+		Caller:          r.caller,
+		Account:         r.accountName(),
+		Method:          r.method,
+		URI:             string(r.ctx.RequestURI()),
+		Headers:         r.headers,
+		Body:            r.body,
+		Repeatable:      r.repeatable,
+		Retry:           r.reachedUpstream,
+		AnyHost:         r.route.Host == "",
+		Verdict:         uint8(a.verdict),
+		Forced:          a.forced,
+		Priority:        r.priority(),
+		NoQueue:         a.noWait,
+		MedianTime:      usual.Median,
+		LogStdDev:       wire.RoundFloat(usual.Spread),
+		Hanging:         uint8(usual.HangShare),
+		Baseline:        r.baseline,
 	}
 	r.setKey(now, d)
 	return d
@@ -156,11 +156,11 @@
 func (r *request) resultOfEvent(e event) (result, bool) {
 	switch {
 	case e.kind == callerGone:
-		return result{kind: retry.NoResponse, reason: string(wire.ReasonLeft)}, true
+		return result{kind: retry.NoResponse, reason: string(wire.ReasonCallerLeft)}, true
 	case e.kind == replied:
 		return resultOf(e.reply), true
 	case e.kind == revoked:
-		return result{kind: retry.NotRun, reason: string(wire.ReasonVoided)}, true
+		return result{kind: retry.NotRun, reason: string(wire.ReasonRevoked)}, true
 	case e.kind == unsent:
 		return result{kind: retry.NotRun, reason: access.ReasonUnreachable}, true
 	case e.kind == gateReplaced:
@@ -199,7 +199,7 @@
 	case wire.NotRun:
 		out.kind = retry.NotRun
 		out.shed = reply.Reason == wire.ReasonShed
-		out.full = reply.Reason == wire.ReasonFull || reply.Reason == wire.ReasonLate || reply.Reason == wire.ReasonShed
+		out.full = reply.Reason == wire.ReasonFull || reply.Reason == wire.ReasonDeadlineTooShort || reply.Reason == wire.ReasonShed
 	case wire.Answered:
 		out.kind = retry.Failed
 		out.served = reply.Status < fasthttp.StatusInternalServerError
--- a/entry/brief.go
+++ b/entry/brief.go
@@ -49,7 +49,7 @@
 // the first of several to get one, and last, where all of these are short of room,
 // one that was set aside. It reports how many usable ones are left beside it.
 func (r *request) choose(now clock.Millis) (a attempt, untried int, ok bool) {
-	if r.config.Caution != table.Brief {
+	if r.config.Caution != table.ShortEpisodes {
 		return r.service.choose(now, r.repeatable, r.tried)
 	}
 	if n, ok := r.takeReservation(); ok {
@@ -130,7 +130,7 @@
 // candidatesLeft is how many upstreams a request that failed may still try: those not
 // tried, or one at least while it may wait where no slot was free before.
 func (r *request) candidatesLeft(untried int) int {
-	if r.config.Caution == table.Brief && !r.selection.waited {
+	if r.config.Caution == table.ShortEpisodes && !r.selection.waited {
 		return max(untried, 1)
 	}
 	return untried
@@ -146,7 +146,7 @@
 
 // waitBudget is how long the request may still wait for a slot.
 func (r *request) waitBudget(now clock.Millis) clock.Millis {
-	target := r.route.Target
+	target := r.route.LatencyTarget
 	if target == 0 {
 		target = r.deadline - r.started
 	}
@@ -160,7 +160,7 @@
 // No upstream has seen the request, so that neither the retry budget nor the
 // route's bound on upstreams is touched.
 func (r *request) continueSelection(o *result) bool {
-	if r.config.Caution != table.Brief || o.kind != retry.NotRun || o.shed || r.refused >= retry.MaxRefused {
+	if r.config.Caution != table.ShortEpisodes || o.kind != retry.NotRun || o.shed || r.refused >= retry.MaxRefused {
 		return false
 	}
 	if o.full {
@@ -237,17 +237,17 @@
 		member:    m,
 		upstream:  m.upstream,
 		forced:    s.uses[i] == floor.Forced,
-		severity:  m.severity(now, s.config.Caution == table.Brief),
+		severity:  m.severity(now, s.config.Caution == table.ShortEpisodes),
 		updatedAt: m.updatedAt,
 	}
 }
 
 // handleWorkRequest takes in a gate's wish for a request.
-func (s *service) handleWorkRequest(now clock.Millis, i *wire.Invitation) {
+func (s *service) handleWorkRequest(now clock.Millis, i *wire.WorkRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m, ok := s.byName[i.Upstream]; ok {
-		m.workRequestUntil = now + i.For
+		m.workRequestUntil = now + i.TTL
 	}
 }
 
--- a/entry/budget_test.go
+++ b/entry/budget_test.go
@@ -11,11 +11,11 @@
 // retries.
 func refusesBy(d *desk, reason wire.Reason, retries *int) {
 	refuse := refuses(d.name, reason)
-	d.hold = func(e *wire.Enquiry, told func(*wire.Hold)) {
+	d.hold = func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
 		if e.Retry {
 			*retries++
 		}
-		refuse(e, func(h *wire.Hold) {
+		refuse(e, func(h *wire.Reservation) {
 			h.RetryAfter = 3 * clock.Second
 			told(h)
 		})
@@ -35,7 +35,7 @@
 		name   string
 		reason wire.Reason
 		want   bool
-	}{{"shed by the upstream", wire.ReasonShed, true}, {"set aside by the gate", wire.ReasonAside, false}, {"no room at the gate", wire.ReasonFull, false}} {
+	}{{"shed by the upstream", wire.ReasonShed, true}, {"set aside by the gate", wire.ReasonEjected, false}, {"no room at the gate", wire.ReasonFull, false}} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := crew(t)
 			s.join("a")
@@ -70,8 +70,8 @@
 	s.publish()
 	denied := 0
 	refusesBy(s.ways["a"], wire.ReasonShed, new(int))
-	refusesBy(s.ways["b"], wire.ReasonBudget, &denied)
-	refusesBy(s.ways["c"], wire.ReasonBudget, &denied)
+	refusesBy(s.ways["b"], wire.ReasonRetryBudget, &denied)
+	refusesBy(s.ways["c"], wire.ReasonRetryBudget, &denied)
 	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.2})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
@@ -94,8 +94,8 @@
 	}
 	s.publish()
 	refusesBy(s.ways["a"], wire.ReasonShed, new(int))
-	refusesBy(s.ways["b"], wire.ReasonBudget, new(int))
-	refusesBy(s.ways["c"], wire.ReasonBudget, new(int))
+	refusesBy(s.ways["b"], wire.ReasonRetryBudget, new(int))
+	refusesBy(s.ways["c"], wire.ReasonRetryBudget, new(int))
 	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.3})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.3})
@@ -103,8 +103,8 @@
 	if got := response.StatusCode(); got != 503 {
 		t.Errorf("got %d, want 503", got)
 	}
-	if got := string(response.Header.Peek("Fuchsiapick-Reason")); got != string(wire.ReasonBudget) {
-		t.Errorf("got reason %q, want %q", got, wire.ReasonBudget)
+	if got := string(response.Header.Peek("Fuchsiapick-Reason")); got != string(wire.ReasonRetryBudget) {
+		t.Errorf("got reason %q, want %q", got, wire.ReasonRetryBudget)
 	}
 	if got := string(response.Header.Peek("Retry-After")); got != "3" && got != "4" && got != "5" {
 		t.Errorf("got Retry-After %q, want the 3 to 4.5 s that the gates said", got)
@@ -169,7 +169,7 @@
 	s.attempts = 2
 	s.publish()
 	for i, name := range []string{"a", "b", "c", "d", "e", "f"} {
-		refusesBy(s.ways[name], wire.ReasonAside, new(int))
+		refusesBy(s.ways[name], wire.ReasonEjected, new(int))
 		s.entry.UpdateUpstream(wire.Upstream{Name: name, Share: 1, Severity: 0.01 * float64(i)})
 	}
 	s.ways["g"].answer = func(m *wire.Dispatch) *wire.Reply {
--- a/entry/enquire.go
+++ b/entry/enquire.go
@@ -53,7 +53,7 @@
 
 type probeAnswer struct {
 	index int
-	reply *wire.Hold
+	reply *wire.Reservation
 }
 
 // probeCandidates asks gates for a slot and waits for one: the first that comes, or the
@@ -92,10 +92,10 @@
 func (s *candidateProbe) send(i int, patience clock.Millis) {
 	r, a := s.request, &s.attempts[i]
 	s.refusals[i] = result{kind: retry.NotRun, reason: access.ReasonUnreachable}
-	err := a.member.gate.ProbeCapacity(&wire.Enquiry{
+	err := a.member.gate.ProbeCapacity(&wire.CapacityProbe{
 		ID: r.id, Attempt: a.number, Upstream: a.upstream.Name, Repeatable: r.repeatable, Retry: r.reachedUpstream, Forced: a.forced,
-		Priority: r.priority(), Budget: r.deadline - r.entry.config.Now(), Patience: patience,
-	}, func(h *wire.Hold) { s.answers <- probeAnswer{i, h} })
+		Priority: r.priority(), Budget: r.deadline - r.entry.config.Now(), WaitBudget: patience,
+	}, func(h *wire.Reservation) { s.answers <- probeAnswer{i, h} })
 	if err != nil { // the path is lost: the gate can't be asked
 		s.done[i] = true
 		s.pending--
@@ -109,11 +109,11 @@
 		s.done[a.index] = true
 		return false
 	}
-	if !a.reply.Held {
+	if !a.reply.Reserved {
 		s.done[a.index] = true
 		s.refusals[a.index] = result{
 			kind: retry.NotRun, reason: string(a.reply.Reason), retryAfter: a.reply.RetryAfter,
-			full: a.reply.Reason == wire.ReasonFull || a.reply.Reason == wire.ReasonLate,
+			full: a.reply.Reason == wire.ReasonFull || a.reply.Reason == wire.ReasonDeadlineTooShort,
 		}
 		return false
 	}
@@ -132,6 +132,6 @@
 			continue
 		}
 		a := &s.attempts[i]
-		a.member.gate.ReleaseReservation(&wire.Waive{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
+		a.member.gate.ReleaseReservation(&wire.ReleaseReservation{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -27,7 +27,7 @@
 // GateClient is the way to one node's gates: a peer, or this node itself.
 type GateClient interface {
 	// Dispatch sends a request. After an error nothing was sent.
-	Dispatch(d *wire.Dispatch, w link.Waiter) error
+	Dispatch(d *wire.Dispatch, w link.DispatchObserver) error
 	Resolve(id wire.RequestID, attempt uint8)
 	Forget(id wire.RequestID, attempt uint8)
 	// Withdraw takes back a dispatch that still waits for a link, and reports
@@ -40,12 +40,12 @@
 	// ProbeCapacity asks the gate for a slot and tells its answer, if one comes, perhaps
 	// after the enquiry's patience; nil where it couldn't be asked. After an error
 	// nothing is asked.
-	ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error
+	ProbeCapacity(e *wire.CapacityProbe, told func(*wire.Reservation)) error
 	// ReleaseReservation lets go of a slot that was asked for.
-	ReleaseReservation(w *wire.Waive)
+	ReleaseReservation(w *wire.ReleaseReservation)
 	// RevokeKey asks the node what it knows of a resend's key. After an error the
 	// waiter isn't told.
-	RevokeKey(v *wire.Void, patience clock.Millis, w link.VoidWaiter) error
+	RevokeKey(v *wire.KeyRevocation, patience clock.Millis, w link.RevocationObserver) error
 	ForgetRevocation(id wire.RequestID)
 }
 
@@ -167,7 +167,7 @@
 }
 
 // HandleWorkRequest takes in a gate's wish for a request.
-func (e *Entry) HandleWorkRequest(i *wire.Invitation) {
+func (e *Entry) HandleWorkRequest(i *wire.WorkRequest) {
 	if s, ok := e.serviceOf(i.Upstream); ok {
 		s.handleWorkRequest(e.config.Now(), i)
 	}
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -89,7 +89,7 @@
 		return finalAnswer{}, true
 	}
 	if r.isCallerGone() {
-		return refused(fasthttp.StatusServiceUnavailable, string(wire.ReasonLeft), 0), false
+		return refused(fasthttp.StatusServiceUnavailable, string(wire.ReasonCallerLeft), 0), false
 	}
 	switch admission := quotas.Admit(r.account, r.callerGone); {
 	case admission.OK:
--- a/entry/identity_test.go
+++ b/entry/identity_test.go
@@ -33,11 +33,11 @@
 	t.Helper()
 	var sent []*wire.Dispatch
 	d := &desk{name: "c1"}
-	d.take = func(d *desk, m *wire.Dispatch, w link.Waiter) {
+	d.take = func(d *desk, m *wire.Dispatch, w link.DispatchObserver) {
 		sent = append(sent, m)
 		w.Replied(d.serves(m))
 	}
-	s := table.Service{Name: "conferme", Caution: table.Brief, Deadline: clock.Minute, Upstreams: []table.Upstream{
+	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Deadline: clock.Minute, Upstreams: []table.Upstream{
 		{Name: "c1", Node: "c1", Domain: "palermo", Weight: 100, Slots: 9},
 	}}
 	e := entry.New(entry.Config{
--- a/entry/invitation_test.go
+++ b/entry/invitation_test.go
@@ -22,7 +22,7 @@
 	}
 	s.publish()
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.4})
-	s.entry.HandleWorkRequest(&wire.Invitation{Upstream: "c", For: clock.Second})
+	s.entry.HandleWorkRequest(&wire.WorkRequest{Upstream: "c", TTL: clock.Second})
 	if status, _ := post(s.entry); status != 200 {
 		t.Fatalf("got %d, want 200", status)
 	}
@@ -67,8 +67,8 @@
 func crew(t *testing.T) *crews {
 	t.Helper()
 	c := &crews{ways: map[string]*desk{}, service: table.Service{
-		Name: "conferme", Caution: table.Brief, Floor: 0.3, Deadline: clock.Minute,
-		Retries: 0.2, Window: 10 * clock.Second, Extra: 1,
+		Name: "conferme", Caution: table.ShortEpisodes, Floor: 0.3, Deadline: clock.Minute,
+		RetryRatio: 0.2, RetryWindow: 10 * clock.Second, ExtraRetries: 1,
 	}}
 	system := clock.NewSystem().Now
 	c.entry = entry.New(entry.Config{
@@ -87,6 +87,6 @@
 func (c *crews) publish() {
 	c.entry.Update(table.Index(table.Table{
 		Services: []table.Service{c.service},
-		Routes:   []table.Route{{Prefix: "/", Service: "conferme", Timeout: clock.Minute, Target: clock.Second, Attempts: c.attempts, Repeatable: []string{table.AnyMethod}}},
+		Routes:   []table.Route{{Prefix: "/", Service: "conferme", Timeout: clock.Minute, LatencyTarget: clock.Second, MaxAttempts: c.attempts, Repeatable: []string{table.AnyMethod}}},
 	}))
 }
--- a/entry/member.go
+++ b/entry/member.go
@@ -88,8 +88,8 @@
 // and none is set aside. Work still goes where it succeeds, and where all fail
 // alike, as in a fault common to the service, nothing changes.
 func (m *member) failureWeight(best float64) float64 {
-	own := m.state.Own
-	if excess := own.Failed - best; own.Known && excess > minFailureExcess {
+	own := m.state.Local
+	if excess := own.FailureRate - best; own.Known && excess > minFailureExcess {
 		return 1 - min(excess, 1)
 	}
 	return 1
--- a/entry/move.go
+++ b/entry/move.go
@@ -35,7 +35,7 @@
 		}
 		return result{}, false
 	}
-	out := result{kind: retry.Failed, reason: string(wire.ReasonStalled)}
+	out := result{kind: retry.Failed, reason: string(wire.ReasonHung)}
 	if !r.canRetryElsewhere(&out, left) {
 		r.releaseSlot(&a)
 		return result{}, false
@@ -55,8 +55,8 @@
 // isRetryEligible reports whether the request may be sent to one more upstream while its run is
 // under way, and has time for it.
 func (r *request) isRetryEligible(untried int) bool {
-	isBound := r.route.Attempts > 0 && r.ran+1 >= r.route.Attempts
-	if r.config.Caution != table.Brief || !r.repeatable || isBound || r.candidatesLeft(untried) <= 0 {
+	isBound := r.route.MaxAttempts > 0 && r.ran+1 >= r.route.MaxAttempts
+	if r.config.Caution != table.ShortEpisodes || !r.repeatable || isBound || r.candidatesLeft(untried) <= 0 {
 		return false
 	}
 	return r.deadline-r.entry.config.Now() > r.typicalLatency().Median
@@ -78,6 +78,6 @@
 
 // releaseSlot lets go of a place that was kept.
 func (r *request) releaseSlot(a *attempt) {
-	a.member.gate.ReleaseReservation(&wire.Waive{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
+	a.member.gate.ReleaseReservation(&wire.ReleaseReservation{ID: r.id, Attempt: a.number, Upstream: a.upstream.Name})
 	r.service.endAttempt(r.entry.config.Now(), a.member, &result{})
 }
--- a/entry/move_test.go
+++ b/entry/move_test.go
@@ -15,9 +15,9 @@
 )
 
 // stalls tells that a run hangs, and answers it once the test says so.
-func stalls(answer <-chan struct{}) func(d *desk, m *wire.Dispatch, w link.Waiter) {
-	return func(d *desk, m *wire.Dispatch, w link.Waiter) {
-		w.Stalled()
+func stalls(answer <-chan struct{}) func(d *desk, m *wire.Dispatch, w link.DispatchObserver) {
+	return func(d *desk, m *wire.Dispatch, w link.DispatchObserver) {
+		w.Hung()
 		go func() {
 			<-answer
 			w.Replied(d.serves(m))
@@ -47,7 +47,7 @@
 // No other upstream has a place, or the retry budget none. Given up, the run would be lost,
 // and it may yet come to an end.
 func TestStalledRunWithoutAPlaceElsewhereGoesOn(t *testing.T) {
-	for _, reason := range []wire.Reason{wire.ReasonFull, wire.ReasonBudget} {
+	for _, reason := range []wire.Reason{wire.ReasonFull, wire.ReasonRetryBudget} {
 		answer := make(chan struct{})
 		close(answer)
 		first := &desk{name: "first", take: stalls(answer)}
@@ -65,15 +65,15 @@
 // must be let go.
 func TestAnswerThatComesMeanwhileIsDelivered(t *testing.T) {
 	answer, came := make(chan struct{}), make(chan struct{})
-	first := &desk{name: "first", take: func(d *desk, m *wire.Dispatch, w link.Waiter) {
-		w.Stalled()
+	first := &desk{name: "first", take: func(d *desk, m *wire.Dispatch, w link.DispatchObserver) {
+		w.Hung()
 		go func() {
 			<-answer
 			w.Replied(d.serves(m))
 			close(came)
 		}()
 	}}
-	second := &desk{name: "second", hold: func(e *wire.Enquiry, told func(*wire.Hold)) {
+	second := &desk{name: "second", hold: func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
 		close(answer)
 		<-came
 		holds("second", 0.1)(e, told)
@@ -92,7 +92,7 @@
 // The service's retry budget has nothing left. Given up for a place elsewhere and then denied the
 // retry, the run would be lost with its answer.
 func TestStalledRunStaysWhereItsRetryIsDenied(t *testing.T) {
-	fails := func(d *desk, m *wire.Dispatch, w link.Waiter) {
+	fails := func(d *desk, m *wire.Dispatch, w link.DispatchObserver) {
 		reply := d.serves(m)
 		reply.Status = 500
 		w.Replied(reply)
@@ -101,7 +101,7 @@
 	close(answer)
 	first := &desk{name: "first", take: fails}
 	second := &desk{name: "second", take: fails}
-	s := table.Service{Name: "conferme", Caution: table.Brief, Floor: 0.3, Deadline: clock.Minute}
+	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Floor: 0.3, Deadline: clock.Minute}
 	e := beforeService(t, s, []string{table.AnyMethod}, first, second)
 	for range retry.MinBurst {
 		post(e)
@@ -146,7 +146,7 @@
 	for range callers {
 		c := &conn{}
 		first := &desk{name: "first", take: stalls(make(chan struct{}))}
-		second := &desk{name: "second", hold: func(e *wire.Enquiry, told func(*wire.Hold)) {
+		second := &desk{name: "second", hold: func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
 			holds("second", 0)(e, told)
 			c.leave()
 		}}
--- a/entry/paces.go
+++ b/entry/paces.go
@@ -45,13 +45,13 @@
 // typicalLatency is what the request's run usually takes; nothing is told where upstreams aren't
 // judged by it.
 func (r *request) typicalLatency() grade.TypicalLatency {
-	if r.config.Caution != table.Brief {
+	if r.config.Caution != table.ShortEpisodes {
 		return grade.TypicalLatency{}
 	}
 	p := r.entry.profiles
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual := p.routeProfile(r.route).Estimate(r.route.Target)
+	usual := p.routeProfile(r.route).Estimate(r.route.LatencyTarget)
 	if f, ok := p.failures[r.serviceName]; ok {
 		usual.HangShare = f.Published()
 	}
@@ -60,8 +60,8 @@
 
 // updateProfile takes in how long an upstream took that served the request, or how it failed.
 func (r *request) updateProfile(o *result) {
-	isStalled := o.reason == string(wire.ReasonStalled)
-	if r.config.Caution != table.Brief || (o.reply == nil && !isStalled) || (o.reply != nil && o.reply.Replay) {
+	isStalled := o.reason == string(wire.ReasonHung)
+	if r.config.Caution != table.ShortEpisodes || (o.reply == nil && !isStalled) || (o.reply != nil && o.reply.Replay) {
 		return
 	}
 	p := r.entry.profiles
@@ -75,9 +75,9 @@
 	switch {
 	case o.served:
 		pace.Observe(o.reply.Took)
-	case o.kind != retry.Failed, o.reason == string(wire.ReasonLeft):
+	case o.kind != retry.Failed, o.reason == string(wire.ReasonCallerLeft):
 	case o.reason == string(wire.ReasonTimeout):
-		p.serviceFailures(r.serviceName).AddHung(1 - pace.Estimate(r.route.Target).Survival(o.reply.Took))
+		p.serviceFailures(r.serviceName).AddHung(1 - pace.Estimate(r.route.LatencyTarget).Survival(o.reply.Took))
 	case o.reply.Took < grade.ImmediateWindow:
 		p.serviceFailures(r.serviceName).AddImmediate(o.reply.Upstream.Severity)
 	}
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -146,7 +146,7 @@
 	case <-before:
 		return finalAnswer{}, false
 	case <-r.callerGone:
-		return r.unserved(string(wire.ReasonLeft), 0), true
+		return r.unserved(string(wire.ReasonCallerLeft), 0), true
 	case <-timer.C:
 		return r.unserved(access.ReasonNoUpstream, r.service.retryAfter(now)), true
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -174,7 +174,7 @@
 // run tries upstreams until the request has a final answer.
 func (r *request) run() finalAnswer {
 	if r.isCallerGone() {
-		return refused(fasthttp.StatusServiceUnavailable, string(wire.ReasonLeft), 0)
+		return refused(fasthttp.StatusServiceUnavailable, string(wire.ReasonCallerLeft), 0)
 	}
 	for {
 		now := r.entry.config.Now()
@@ -202,7 +202,7 @@
 // its verdict. The floor may keep that one in use, or another in its place: what was
 // counted before the verdict was known would refuse a request that can be served.
 func (r *request) recountUntried(a *attempt, o *result, untried int) int {
-	if r.config.Caution == table.Brief || o.kind != retry.NotRun || o.reason != string(wire.ReasonAside) {
+	if r.config.Caution == table.ShortEpisodes || o.kind != retry.NotRun || o.reason != string(wire.ReasonEjected) {
 		return untried
 	}
 	now := r.entry.config.Now()
@@ -216,7 +216,7 @@
 func (r *request) noUpstreamLeft(now clock.Millis) finalAnswer {
 	if r.budgetRetryAfter > 0 {
 		r.noRetryReason = retry.NoBudget
-		return r.unserved(string(wire.ReasonBudget), r.service.spreadRetryAfter(r.budgetRetryAfter))
+		return r.unserved(string(wire.ReasonRetryBudget), r.service.spreadRetryAfter(r.budgetRetryAfter))
 	}
 	return r.unserved(access.ReasonNoUpstream, r.service.retryAfter(now))
 }
@@ -257,7 +257,7 @@
 		}
 	}
 	if r.isCallerGone() {
-		return r.unknown(string(wire.ReasonLeft)), true
+		return r.unknown(string(wire.ReasonCallerLeft)), true
 	}
 	if r.reservation.valid || r.continueSelection(&o) {
 		return finalAnswer{}, false
@@ -280,7 +280,7 @@
 		Refused:        r.refused,
 		Shed:           r.shed,
 		Runs:           r.ran,
-		MaxRuns:        r.route.Attempts,
+		MaxRuns:        r.route.MaxAttempts,
 		Remaining:      r.deadline - r.entry.config.Now(),
 		RetryAfter:     o.retryAfter,
 		Untried:        r.candidatesLeft(untried),
--- a/entry/resend.go
+++ b/entry/resend.go
@@ -110,7 +110,7 @@
 		return
 	}
 	d.Key, d.Digest, d.Resend = r.idempotency.key, r.idempotency.digest[:], r.idempotency.resend.Number
-	d.Span = now - r.started + d.Budget
+	d.LeaseSpan = now - r.started + d.Budget
 }
 
 // resolveResend asks all nodes that may have had the key, and decides.
@@ -145,7 +145,7 @@
 	}
 }
 
-func (r *request) replay(v *wire.Voided) finalAnswer {
+func (r *request) replay(v *wire.KeyRevocationReply) finalAnswer {
 	r.lastUpstream.Name = v.Upstream
 	reply := &wire.Reply{Outcome: wire.Answered, Status: v.Status, Headers: v.Headers, Body: v.Body}
 	return finalAnswer{outcome: access.Served, status: v.Status, reply: reply, replay: true}
@@ -155,7 +155,7 @@
 func undecided(reason string, after clock.Millis) finalAnswer {
 	status := fasthttp.StatusBadGateway
 	switch reason {
-	case string(resend.ReasonRunning), string(resend.ReasonSuperseded), string(wire.ReasonKeyVoided):
+	case string(resend.ReasonRunning), string(resend.ReasonSuperseded), string(wire.ReasonKeyRevoked):
 		status = fasthttp.StatusConflict
 	}
 	return finalAnswer{outcome: access.Unknown, status: status, reason: reason, retryAfter: after}
@@ -164,7 +164,7 @@
 // lookupResult is one node's answer; voided is nil without one.
 type lookupResult struct {
 	node       int
-	reply      *wire.Voided
+	reply      *wire.KeyRevocationReply
 	receivedAt clock.Millis // when it was heard
 }
 
@@ -175,7 +175,7 @@
 	}
 	return resend.LookupResult{
 		Answered: true,
-		Status:   resend.Status(a.reply.Standing),
+		Status:   resend.Status(a.reply.KeyStatus),
 		Covers:   a.reply.Covers + now - a.receivedAt,
 		Version:  a.reply.Version,
 	}
@@ -188,13 +188,13 @@
 	answers chan<- lookupResult
 }
 
-// Unasked takes in that the node is out of reach.
-func (a lookupWaiter) Unasked() {
+// NotSent takes in that the node is out of reach.
+func (a lookupWaiter) NotSent() {
 	a.answers <- lookupResult{node: a.node}
 }
 
-// Voided takes in what a node knows.
-func (a lookupWaiter) Voided(v *wire.Voided) {
+// Revoked takes in what a node knows.
+func (a lookupWaiter) Revoked(v *wire.KeyRevocationReply) {
 	a.answers <- lookupResult{node: a.node, reply: v, receivedAt: a.now()}
 }
 
@@ -203,7 +203,7 @@
 // run.
 func (r *request) lookupKey(now clock.Millis, nodes []GateClient) []lookupResult {
 	patience := max((r.deadline-now)/2, 1)
-	question := &wire.Void{
+	question := &wire.KeyRevocation{
 		ID: r.id, Caller: r.caller, Service: r.config.Name,
 		Key: r.idempotency.key, Digest: r.idempotency.digest[:], Number: r.idempotency.resend.Number,
 	}
@@ -243,10 +243,10 @@
 		return refused(fasthttp.StatusUnprocessableEntity, o.reason, 0), true
 	case wire.ReasonKeyRunning:
 		return undecided(o.reason, max(o.retryAfter, clock.Second)), true
-	case wire.ReasonKeyVoided:
+	case wire.ReasonKeyRevoked:
 		// The resend that goes first may have run by now.
 		return undecided(o.reason, clock.Second), true
-	case wire.ReasonKeyLost:
+	case wire.ReasonReplyNotKept:
 		return undecided(o.reason, 0), true
 	default:
 		return finalAnswer{}, false
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -22,7 +22,7 @@
 	})
 	listed := func(started int64) *table.Table {
 		return table.Index(table.Table{Services: []table.Service{{
-			Name: "conferme", Caution: table.Brief, Floor: 0.5,
+			Name: "conferme", Caution: table.ShortEpisodes, Floor: 0.5,
 			Upstreams: []table.Upstream{
 				{Name: "c1", Node: "10.0.0.1:1", Weight: 100, Slots: 1, Started: started},
 				{Name: "c2", Node: "10.0.0.2:1", Weight: 100, Slots: 1},
--- a/entry/service.go
+++ b/entry/service.go
@@ -74,7 +74,7 @@
 }
 
 func retryConfig(c table.Service, seed uint64) retry.Config {
-	return retry.Config{Share: c.Retries, GateQuotas: c.Window > 0, Seed: seed}
+	return retry.Config{Share: c.RetryRatio, GateQuotas: c.RetryWindow > 0, Seed: seed}
 }
 
 // update puts a table edit in force. What is known of upstreams that stay is
@@ -82,7 +82,7 @@
 func (s *service) update(c table.Service, target func(u table.Upstream) GateClient) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.Window != s.config.Window || c.Retries != s.config.Retries {
+	if c.RetryWindow != s.config.RetryWindow || c.RetryRatio != s.config.RetryRatio {
 		s.retryBudget = retry.New(retryConfig(c, s.seed))
 	}
 	s.config = c
@@ -183,7 +183,7 @@
 
 // refresh works out the floor and the baseline where something changed.
 func (s *service) refresh(now clock.Millis) {
-	if s.config.Caution == table.Brief {
+	if s.config.Caution == table.ShortEpisodes {
 		s.applyFloor(now) // severities drift without news
 		return
 	}
@@ -213,7 +213,7 @@
 	s.keepWatchedLinks(now, watchedUpstreams)
 	for i, m := range s.members {
 		if s.isWatched(i, watchedUpstreams) || now-m.updatedAt < viewWindow {
-			own := m.state.Own.Plain()
+			own := m.state.Local.ToHealth()
 			own.Age += now - m.updatedAt
 			s.baselines = append(s.baselines, own)
 		}
@@ -249,7 +249,7 @@
 func (s *service) applyFloor(now clock.Millis) {
 	s.floorMembers = s.floorMembers[:0]
 	s.recheckAt = 0
-	brief := s.config.Caution == table.Brief
+	brief := s.config.Caution == table.ShortEpisodes
 	for _, m := range s.members {
 		if end := m.updatedAt + m.state.Until; m.verdict(now) == health.Ejected && (s.recheckAt == 0 || end < s.recheckAt) {
 			s.recheckAt = end
@@ -351,5 +351,5 @@
 	s.retryBudget.RecordRequest(now)
 	told := s.baseline
 	told.Age += now - s.baselineAt
-	return s.config, wire.BaselineOf(told)
+	return s.config, wire.NewBaseline(told)
 }
--- a/entry/survey_test.go
+++ b/entry/survey_test.go
@@ -20,14 +20,14 @@
 // after those of all others.
 type desk struct {
 	name string
-	hold func(e *wire.Enquiry, told func(*wire.Hold))
+	hold func(e *wire.CapacityProbe, told func(*wire.Reservation))
 	// verdict is what the gate refuses all by that doesn't come in spite of it; nil
 	// where it takes all.
 	verdict *wire.Upstream
 	// answer gives the reply to a dispatch; nil where it is served.
 	answer func(m *wire.Dispatch) *wire.Reply
 	// take takes dispatches in place of all below; nil where these decide.
-	take func(d *desk, m *wire.Dispatch, w link.Waiter)
+	take func(d *desk, m *wire.Dispatch, w link.DispatchObserver)
 	// told takes what a refusal says of the upstream.
 	told func(u wire.Upstream)
 
@@ -40,7 +40,7 @@
 	waived     []uint8
 }
 
-func (d *desk) Dispatch(m *wire.Dispatch, w link.Waiter) error {
+func (d *desk) Dispatch(m *wire.Dispatch, w link.DispatchObserver) error {
 	d.mu.Lock()
 	d.dispatched++
 	d.mu.Unlock()
@@ -49,7 +49,7 @@
 		return nil
 	}
 	if d.isCut {
-		w.Lost()
+		w.PathLost()
 		return nil
 	}
 	if d.answer != nil {
@@ -58,7 +58,7 @@
 	}
 	if d.verdict != nil && !m.Forced {
 		d.told(*d.verdict)
-		w.Replied(&wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.NotRun, Reason: wire.ReasonAside, Upstream: *d.verdict})
+		w.Replied(&wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.NotRun, Reason: wire.ReasonEjected, Upstream: *d.verdict})
 		return nil
 	}
 	w.Replied(d.serves(m))
@@ -73,7 +73,7 @@
 	}
 }
 
-func (d *desk) ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error {
+func (d *desk) ProbeCapacity(e *wire.CapacityProbe, told func(*wire.Reservation)) error {
 	d.enquired++
 	hold := d.hold
 	if hold == nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func (d *desk) ReleaseReservation(w *wire.Waive) {
+func (d *desk) ReleaseReservation(w *wire.ReleaseReservation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waived = append(d.waived, w.Attempt)
@@ -99,7 +99,7 @@
 func (*desk) Forget(wire.RequestID, uint8)        {}
 func (*desk) Withdraw(wire.RequestID, uint8) bool { return false }
 func (d *desk) Abandon(wire.RequestID, uint8)     { d.abandoned++ }
-func (*desk) RevokeKey(*wire.Void, clock.Millis, link.VoidWaiter) error {
+func (*desk) RevokeKey(*wire.KeyRevocation, clock.Millis, link.RevocationObserver) error {
 	return link.ErrNoLink
 }
 func (*desk) ForgetRevocation(wire.RequestID) {}
@@ -124,7 +124,7 @@
 
 func beforeRoute(t *testing.T, repeatable []string, desks ...*desk) *entry.Entry {
 	t.Helper()
-	s := table.Service{Name: "conferme", Caution: table.Brief, Floor: 0.3, Deadline: clock.Minute, Retries: 0.2, Window: 10 * clock.Second, Extra: 60}
+	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Floor: 0.3, Deadline: clock.Minute, RetryRatio: 0.2, RetryWindow: 10 * clock.Second, ExtraRetries: 60}
 	return beforeService(t, s, repeatable, desks...)
 }
 
@@ -141,7 +141,7 @@
 	})
 	e.Update(table.Index(table.Table{
 		Format: table.Format, Version: 1, Services: []table.Service{s},
-		Routes: []table.Route{{Prefix: "/", Service: "conferme", Timeout: clock.Hour, Target: clock.Hour, Priority: 1, Attempts: 2, Repeatable: repeatable}},
+		Routes: []table.Route{{Prefix: "/", Service: "conferme", Timeout: clock.Hour, LatencyTarget: clock.Hour, Priority: 1, MaxAttempts: 2, Repeatable: repeatable}},
 	}))
 	return e
 }
@@ -166,15 +166,15 @@
 	return &ctx.Response
 }
 
-func holds(name string, severity float64) func(*wire.Enquiry, func(*wire.Hold)) {
-	return func(e *wire.Enquiry, told func(*wire.Hold)) {
-		told(&wire.Hold{ID: e.ID, Attempt: e.Attempt, Held: true, Upstream: wire.Upstream{Name: name, Share: 1, Severity: severity}})
+func holds(name string, severity float64) func(*wire.CapacityProbe, func(*wire.Reservation)) {
+	return func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
+		told(&wire.Reservation{ID: e.ID, Attempt: e.Attempt, Reserved: true, Upstream: wire.Upstream{Name: name, Share: 1, Severity: severity}})
 	}
 }
 
-func refuses(name string, reason wire.Reason) func(*wire.Enquiry, func(*wire.Hold)) {
-	return func(e *wire.Enquiry, told func(*wire.Hold)) {
-		told(&wire.Hold{ID: e.ID, Attempt: e.Attempt, Reason: reason, RetryAfter: 300, Upstream: wire.Upstream{Name: name, Share: 1}})
+func refuses(name string, reason wire.Reason) func(*wire.CapacityProbe, func(*wire.Reservation)) {
+	return func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
+		told(&wire.Reservation{ID: e.ID, Attempt: e.Attempt, Reason: reason, RetryAfter: 300, Upstream: wire.Upstream{Name: name, Share: 1}})
 	}
 }
 
@@ -198,14 +198,14 @@
 // No gate has a free slot. The request waits at all of them, the third gets one
 // first, and the places in the queues of the others are given up.
 func TestFirstOfSeveralSlotsIsTaken(t *testing.T) {
-	never := func(e *wire.Enquiry, told func(*wire.Hold)) {
-		if e.Patience == 0 {
+	never := func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
+		if e.WaitBudget == 0 {
 			refuses("", wire.ReasonFull)(e, told)
 		}
 	}
 	first, second := &desk{name: "first", hold: never}, &desk{name: "second", hold: never}
-	third := &desk{name: "third", hold: func(e *wire.Enquiry, told func(*wire.Hold)) {
-		if e.Patience == 0 {
+	third := &desk{name: "third", hold: func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
+		if e.WaitBudget == 0 {
 			refuses("third", wire.ReasonFull)(e, told)
 			return
 		}
@@ -223,7 +223,7 @@
 // All queues are too long. The request hasn't run and its caller is told so at
 // once, not when its time is over.
 func TestFullQueuesRefuseAtOnce(t *testing.T) {
-	a, b := &desk{name: "a", hold: refuses("a", wire.ReasonFull)}, &desk{name: "b", hold: refuses("b", wire.ReasonLate)}
+	a, b := &desk{name: "a", hold: refuses("a", wire.ReasonFull)}, &desk{name: "b", hold: refuses("b", wire.ReasonDeadlineTooShort)}
 	status, text := post(before(t, a, b)) // held to its deadline, it would end after an hour
 	if status != 503 {
 		t.Errorf("got %d, %q, want 503", status, text)
--- a/entry/trail.go
+++ b/entry/trail.go
@@ -59,7 +59,7 @@
 
 // recordAttempt adds a try to the trail.
 func (r *request) recordAttempt(a *attempt, o *result, chosen clock.Millis) {
-	if o.reason == string(wire.ReasonBudget) {
+	if o.reason == string(wire.ReasonRetryBudget) {
 		r.budgetRetryAfter = max(o.retryAfter, 1)
 	}
 	s := loggedAttempt{
@@ -85,13 +85,13 @@
 		message = "request not served"
 	case f.status >= minFailureStatus:
 		message = "request failed by its backend server"
-	case r.route != nil && r.route.Target > 0 && record.Took > r.route.Target:
+	case r.route != nil && r.route.LatencyTarget > 0 && record.Took > r.route.LatencyTarget:
 		message = "request answered late"
 	default:
 		return
 	}
 	fields := logrus.Fields{
-		"request":  wire.NameOf(r.label, r.id),
+		"request":  wire.RequestName(r.label, r.id),
 		"caller":   r.caller,
 		"service":  record.Service,
 		"route":    record.Route,
@@ -106,7 +106,7 @@
 	}
 	if r.route != nil {
 		fields["budget"] = (r.deadline - r.started).String()
-		fields["target"] = r.route.Target.String()
+		fields["target"] = r.route.LatencyTarget.String()
 	}
 	if r.account != nil {
 		fields["account"] = r.account.Name
--- a/entry/waiter.go
+++ b/entry/waiter.go
@@ -42,8 +42,8 @@
 	w.put(event{kind: replied, reply: r})
 }
 
-// Settled takes in a settlement.
-func (w *waiter) Settled(isVoided bool) {
+// Resolved takes in a settlement.
+func (w *waiter) Resolved(isVoided bool) {
 	if isVoided {
 		w.put(event{kind: revoked})
 		return
@@ -51,18 +51,18 @@
 	w.put(event{kind: gateReplaced})
 }
 
-// Unsent takes in that nothing was sent.
-func (w *waiter) Unsent() {
+// NotSent takes in that nothing was sent.
+func (w *waiter) NotSent() {
 	w.put(event{kind: unsent})
 }
 
-// Lost takes in that the path is lost for now.
-func (w *waiter) Lost() {
+// PathLost takes in that the path is lost for now.
+func (w *waiter) PathLost() {
 	w.putNotice(pathLost)
 }
 
-// Stalled takes in that the run most likely comes to no end.
-func (w *waiter) Stalled() {
+// Hung takes in that the run most likely comes to no end.
+func (w *waiter) Hung() {
 	w.putNotice(stalled)
 }
 
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -20,8 +20,8 @@
 	t.Helper()
 	c := deployment(upstreams)
 	s := &c.Services[0]
-	s.Caution, s.Floor, s.Extra, s.Window = caution, 0.7, 62, 10*clock.Second
-	c.Routes[0].Attempts, c.Routes[0].Repeatable = 3, []string{"GET"}
+	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow = caution, 0.7, 62, 10*clock.Second
+	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
 	f := start(t, fleet.Config{Table: c, Service: 2})
 	for _, b := range f.Backends {
 		b.SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly})
@@ -53,7 +53,7 @@
 // Guards against a request that crashes the backend servers which run it being sent to
 // one after the other, as it comes again under new ids through all nodes.
 func TestARequestThatCrashesItsBackendsIsStopped(t *testing.T) {
-	for _, caution := range []table.Caution{table.Brief, table.Fast} {
+	for _, caution := range []table.Caution{table.ShortEpisodes, table.Fast} {
 		t.Run(string(caution), func(t *testing.T) {
 			f := crashing(t, 6, caution)
 			for i := range 30 {
@@ -70,7 +70,7 @@
 // Guards against a deadly request being cleared by backend servers that fail all they get
 // at once, and being sent on and on to these.
 func TestADeadlyRequestIsStoppedAmongFailingServers(t *testing.T) {
-	f := crashing(t, 6, table.Brief)
+	f := crashing(t, 6, table.ShortEpisodes)
 	for _, name := range []string{"conferme-1", "conferme-2", "conferme-3", "conferme-5"} {
 		f.Backends[name].SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly, FailFastShare: 0.9})
 	}
@@ -90,7 +90,7 @@
 // Guards against harmless requests being refused, or failing for more than a moment, since
 // they ran beside a deadly one: a popular one, and others that are sent once.
 func TestHarmlessRequestsOutliveADeadlyOne(t *testing.T) {
-	f := crashing(t, 6, table.Brief)
+	f := crashing(t, 6, table.ShortEpisodes)
 	s := startSteady(6, callers(f))
 	for i := range 20 {
 		send(t, "GET", f.Members[i%6].Caller, deadly, "")
@@ -119,7 +119,7 @@
 // Guards against a popular request being blamed for backend servers that end by themselves,
 // at nearly all of which it runs.
 func TestAPopularRequestOutlivesEndsByThemselves(t *testing.T) {
-	f := crashing(t, 6, table.Brief)
+	f := crashing(t, 6, table.ShortEpisodes)
 	s := startSteady(6, callers(f))
 	for i := range 40 {
 		b := f.Backends[fmt.Sprintf("conferme-%d", i%6+1)]
@@ -145,7 +145,7 @@
 // Guards against a crashed upstream being held for gray though the request was to blame,
 // and against a request being held for good: an operator's word frees it.
 func TestAnOperatorLiftsAQuarantine(t *testing.T) {
-	f := crashing(t, 4, table.Brief)
+	f := crashing(t, 4, table.ShortEpisodes)
 	for i := range 6 {
 		send(t, "GET", f.Members[i%4].Caller, deadly, "")
 		allUp(t, f)
@@ -160,7 +160,7 @@
 	if got := send(t, "GET", f.Members[1].Caller, deadly, ""); got.reason != "quarantined" {
 		t.Errorf("got %q %q before it is lifted, want it held", got.outcome, got.reason)
 	}
-	if err := f.Publish(func(c *table.Table) { c.Services[0].Lift = []string{cases[0].Fingerprint} }); err != nil {
+	if err := f.Publish(func(c *table.Table) { c.Services[0].LiftedFingerprints = []string{cases[0].Fingerprint} }); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "request served at all nodes", func() bool {
--- a/fleet/episodes_bench_test.go
+++ b/fleet/episodes_bench_test.go
@@ -27,13 +27,13 @@
 func playEpisodes(b *testing.B, r *rand.Rand) {
 	c := deployment(9)
 	s := &c.Services[0]
-	s.Caution, s.Floor, s.Extra, s.Window, s.Drain = table.Brief, 0.3, 62, 10*clock.Second, 0
+	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow, s.Drain = table.ShortEpisodes, 0.3, 62, 10*clock.Second, 0
 	s.Deadline = 12 * clock.Second
 	for i := range s.Upstreams {
 		s.Upstreams[i].Slots = 3
 	}
-	c.Routes[0].Attempts, c.Routes[0].Repeatable = 3, []string{"GET"}
-	c.Routes[0].Timeout, c.Routes[0].Target = 8*clock.Second, 5*clock.Second
+	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
+	c.Routes[0].Timeout, c.Routes[0].LatencyTarget = 8*clock.Second, 5*clock.Second
 	f, err := fleet.Start(b.Context(), fleet.Config{Table: c, Service: 500})
 	if err != nil {
 		b.Fatal(err)
--- a/fleet/explain_test.go
+++ b/fleet/explain_test.go
@@ -87,7 +87,7 @@
 			d := deployment(1)
 			d.Services[0].Deadline = 700
 			d.Services[0].Objective.Latency = 400
-			d.Routes = []table.Route{{Prefix: "/conferme/", Service: "conferme", Target: 5}}
+			d.Routes = []table.Route{{Prefix: "/conferme/", Service: "conferme", LatencyTarget: 5}}
 			f := start(t, fleet.Config{Table: d, Service: 20, Log: &log})
 			f.Backends["conferme-1"].SetFault(tt.fault)
 			got := send(t, "POST", f.Members[0].Caller, "/conferme/turno", "")
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -20,15 +20,15 @@
 
 func deployment(upstreams int) *table.Table {
 	s := table.Service{
-		Name:     "conferme",
-		Caution:  table.Fast,
-		Floor:    0.5,
-		Deadline: 2 * clock.Second,
-		Drain:    3 * clock.Second,
-		Queue:    6,
-		Retries:  0.2,
+		Name:       "conferme",
+		Caution:    table.Fast,
+		Floor:      0.5,
+		Deadline:   2 * clock.Second,
+		Drain:      3 * clock.Second,
+		Queue:      6,
+		RetryRatio: 0.2,
 		Objective: table.Objective{
-			Availability: 0.999, Latency: 500, Within: 0.99,
+			Availability: 0.999, Latency: 500, LatencyRatio: 0.99,
 		},
 	}
 	for i := range upstreams {
--- a/fleet/hang_test.go
+++ b/fleet/hang_test.go
@@ -14,8 +14,8 @@
 func TestListsOutliveABackendServerThatHangs(t *testing.T) {
 	deployed := deployment(4)
 	s := &deployed.Services[0]
-	s.Caution, s.Retries, s.Extra, s.Window = table.Brief, 0.2, 200, 10*clock.Second
-	deployed.Routes[0].Timeout, deployed.Routes[0].Target, deployed.Routes[0].Attempts = 5*clock.Second, 600, 2
+	s.Caution, s.RetryRatio, s.ExtraRetries, s.RetryWindow = table.ShortEpisodes, 0.2, 200, 10*clock.Second
+	deployed.Routes[0].Timeout, deployed.Routes[0].LatencyTarget, deployed.Routes[0].MaxAttempts = 5*clock.Second, 600, 2
 	deployed.Routes[0].Repeatable = []string{"GET"}
 	f := start(t, fleet.Config{Table: deployed, Service: 20})
 	for i := range 80 {
--- a/gate/backend.go
+++ b/gate/backend.go
@@ -228,7 +228,7 @@
 	a := Response{Status: response.StatusCode()}
 	a.Body = append(a.Body, response.Body()...)
 	for name, value := range response.Header.All() {
-		if !wire.OfConnection(name) {
+		if !wire.IsHopByHop(name) {
 			a.Headers = a.Headers.Add(name, value)
 		}
 	}
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -142,7 +142,7 @@
 	g.crash.isDown = true
 	g.notifyChange()
 	time.AfterFunc(recoveryInterval.Duration(), g.checkRecovery)
-	return g.refuseWaiters(now, g.slots.Flush(), wire.ReasonRefused)
+	return g.refuseWaiters(now, g.slots.Flush(), wire.ReasonConnectionRefused)
 }
 
 // notifyChange asks for news of the gate to be told at once.
@@ -189,8 +189,8 @@
 }
 
 func newSuspect(now clock.Millis, j *job) quarantine.Suspect {
-	subject := j.dispatch.Subject()
-	name := wire.NameOf(j.dispatch.Label, j.dispatch.ID)
+	subject := j.dispatch.QuarantineRequest()
+	name := wire.RequestName(j.dispatch.CallerRequestID, j.dispatch.ID)
 	return quarantine.Suspect{
 		Fingerprint: subject.Fingerprint(), Hint: subject.Hint(), Request: name[:min(len(name), maxNameLength)],
 		Elapsed: now - j.began, IsTrial: j.isTrial,
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -69,7 +69,7 @@
 		wantEvents int
 	}{
 		{"process gone", true, wire.ReasonCrashed, 1},
-		{"connections broken", false, wire.ReasonTorn, 0},
+		{"connections broken", false, wire.ReasonTruncated, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, isGone: tt.isGone}
@@ -78,7 +78,7 @@
 			journal := &retainedReply{}
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
-				Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 3},
+				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 3},
 				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: journal, Keys: gate.NewKeyStore(now), Log: log,
 			})
 			replies := make(chan *wire.Reply, 3)
@@ -127,7 +127,7 @@
 }
 
 func fingerprintOf(d *wire.Dispatch) string {
-	subject := d.Subject()
+	subject := d.QuarantineRequest()
 	return subject.Fingerprint().String()
 }
 
@@ -181,7 +181,7 @@
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	s := &said{standing: quarantine.Status{Verdict: quarantine.Suspected}, asked: make(chan struct{}, 16)}
 	g, h := gateOf(t, gate.Config{
-		Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 4}, Crashes: s,
+		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 4}, Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 4)
 	for i, name := range []string{"first", "second", "third"} {
@@ -225,7 +225,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g, h := gateOf(t, gate.Config{
-				Service:  table.Service{Name: "conferme", Caution: table.Brief},
+				Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes},
 				Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1, Version: tt.version}, Crashes: s,
 			})
 			close(h.end)
@@ -248,7 +248,7 @@
 	now := clock.NewSystem().Now
 	told := make(chan struct{}, 8)
 	g := gate.New(gate.Config{
-		Service: table.Service{Name: "conferme", Caution: table.Brief, Queue: 4}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
+		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
 		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
 		OnChange: func() { told <- struct{}{} },
 	})
@@ -257,7 +257,7 @@
 	replies := make(chan *wire.Reply, 2)
 	g.Handle(dispatch(2, "waits"), func(r *wire.Reply) { replies <- r })
 	close(b.end)
-	if got := <-replies; got.Outcome != wire.NotRun || got.Reason != wire.ReasonRefused {
+	if got := <-replies; got.Outcome != wire.NotRun || got.Reason != wire.ReasonConnectionRefused {
 		t.Errorf("got outcome %v %q for the one that waits, want it refused", got.Outcome, got.Reason)
 	}
 	<-told
@@ -265,8 +265,8 @@
 		t.Errorf("got %+v, want it down", got)
 	}
 	g.Handle(dispatch(3, "later"), func(r *wire.Reply) { replies <- r })
-	if got := <-replies; got.Reason != wire.ReasonRefused {
-		t.Errorf("got reason %q for a later one, want %q", got.Reason, wire.ReasonRefused)
+	if got := <-replies; got.Reason != wire.ReasonConnectionRefused {
+		t.Errorf("got reason %q for a later one, want %q", got.Reason, wire.ReasonConnectionRefused)
 	}
 }
 
@@ -301,7 +301,7 @@
 			s := &said{standing: quarantine.Status{Verdict: quarantine.Suspected}}
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
-				Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
+				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
 				Incarnation: incarnation, Now: now, Backend: &answers{answer: tt.answer, err: tt.err}, Pool: newPool(t), Journal: nobody{},
 				Keys: gate.NewKeyStore(now), Log: lines.Silent(), Crashes: s,
 			})
@@ -322,7 +322,7 @@
 	s := &said{ended: make(chan quarantine.Crash, 2)}
 	now := clock.NewSystem().Now
 	g := gate.New(gate.Config{
-		Service: table.Service{Name: "conferme", Caution: table.Brief}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 2},
+		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 2},
 		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(), Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 2)
@@ -331,8 +331,8 @@
 		<-b.begun
 	}
 	b.end <- struct{}{}
-	if got := <-replies; got.Reason != wire.ReasonTorn {
-		t.Errorf("got reason %q while the address is open, want %q", got.Reason, wire.ReasonTorn)
+	if got := <-replies; got.Reason != wire.ReasonTruncated {
+		t.Errorf("got reason %q while the address is open, want %q", got.Reason, wire.ReasonTruncated)
 	}
 	close(b.closing)
 	end := <-s.ended
--- a/gate/enquire.go
+++ b/gate/enquire.go
@@ -16,8 +16,8 @@
 // waiter is an enquiry that waits for its turn.
 type waiter struct {
 	key     lease.Key
-	probe   *wire.Enquiry
-	respond func(*wire.Hold)
+	probe   *wire.CapacityProbe
+	respond func(*wire.Reservation)
 	timer   *time.Timer
 }
 
@@ -25,7 +25,7 @@
 // or when its turn has come. A request can thus wait at several gates, and its body
 // crosses to another failure domain once. The answer function is called once, or
 // never for an enquiry that was waived.
-func (g *Gate) ProbeCapacity(e *wire.Enquiry, answer func(*wire.Hold)) {
+func (g *Gate) ProbeCapacity(e *wire.CapacityProbe, answer func(*wire.Reservation)) {
 	now := g.config.Now()
 	p := &waiter{key: e.ID.Key(e.Attempt), probe: e, respond: answer}
 	g.mu.Lock()
@@ -52,7 +52,7 @@
 func (g *Gate) requestSlot(now clock.Millis, p *waiter) (reason wire.Reason, after clock.Millis, isWaiting bool) {
 	g.lastTicket++
 	ask := limit.Request{
-		Ticket: g.lastTicket, Deadline: now + p.probe.Budget, Until: now + p.probe.Patience, Priority: p.probe.Priority,
+		Ticket: g.lastTicket, Deadline: now + p.probe.Budget, Until: now + p.probe.WaitBudget, Priority: p.probe.Priority,
 	}
 	switch offer := g.slots.Acquire(now, ask); offer.Result {
 	case limit.Run:
@@ -60,10 +60,10 @@
 		return "", 0, false
 	case limit.Wait:
 		g.waiters[ask.Ticket] = p
-		p.timer = time.AfterFunc((p.probe.Patience + 1).Duration(), g.expireWaiters)
+		p.timer = time.AfterFunc((p.probe.WaitBudget + 1).Duration(), g.expireWaiters)
 		return "", 0, true
 	case limit.Late:
-		return wire.ReasonLate, offer.RetryAfter, false
+		return wire.ReasonDeadlineTooShort, offer.RetryAfter, false
 	default:
 		return wire.ReasonFull, offer.RetryAfter, false
 	}
@@ -71,16 +71,16 @@
 
 // newReservation is the answer to an enquiry: a slot, unless there is a reason against it.
 // The gate's lock is held.
-func (g *Gate) newReservation(now clock.Millis, p *waiter, reason wire.Reason) *wire.Hold {
-	return &wire.Hold{
+func (g *Gate) newReservation(now clock.Millis, p *waiter, reason wire.Reason) *wire.Reservation {
+	return &wire.Reservation{
 		ID: p.probe.ID, Attempt: p.probe.Attempt,
-		Held: reason == "", Reason: reason, Time: now, Upstream: g.status(now),
+		Reserved: reason == "", Reason: reason, Time: now, Upstream: g.status(now),
 	}
 }
 
 // ReleaseReservation lets go of a slot that was kept or asked for: the request has found one
 // elsewhere, or was given up.
-func (g *Gate) ReleaseReservation(w *wire.Waive) {
+func (g *Gate) ReleaseReservation(w *wire.ReleaseReservation) {
 	key := w.ID.Key(w.Attempt)
 	g.mu.Lock()
 	for ticket, p := range g.waiters {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -49,7 +49,7 @@
 
 // newDetector returns the judge that a service's caution asks for.
 func newDetector(caution table.Caution, seed uint64) Detector {
-	if caution == table.Brief {
+	if caution == table.ShortEpisodes {
 		return grade.NewDetector()
 	}
 	return health.New(health.Config{Caution: caution, Seed: seed})
@@ -84,10 +84,10 @@
 	DependencyFailed func(from, to clock.Millis) bool
 	// RequestWork asks an entry, or any one for entry 0, for a request, and returns
 	// false where it can't be reached. It may be nil and must not block.
-	RequestWork func(entry uint64, i *wire.Invitation) bool
+	RequestWork func(entry uint64, i *wire.WorkRequest) bool
 	// OnHung tells an entry that a run most likely comes to no end. It may be nil and must
 	// not block.
-	OnHung func(entry uint64, s *wire.Stalled)
+	OnHung func(entry uint64, s *wire.HungRun)
 	// Crashes may be nil.
 	Crashes CrashTracker
 	// Refusals may be nil.
@@ -192,14 +192,14 @@
 
 func slotsOf(s *table.Service, u *table.Upstream, seed uint64) limit.SlotsConfig {
 	c := limit.SlotsConfig{Slots: u.Slots, Queue: s.Queue, Seed: seed}
-	if s.Caution == table.Brief {
+	if s.Caution == table.ShortEpisodes {
 		c.Queue = max(c.Queue, queuePerSlot*u.Slots)
 	}
 	return c
 }
 
 func quotaOf(s *table.Service) retry.QuotaConfig {
-	return retry.QuotaConfig{Share: s.Retries, Extra: s.Extra, Window: s.Window, Upstreams: len(s.Upstreams)}
+	return retry.QuotaConfig{Share: s.RetryRatio, Extra: s.ExtraRetries, Window: s.RetryWindow, Upstreams: len(s.Upstreams)}
 }
 
 // Handle takes in a dispatch. The answer function is called once, or never for
@@ -244,7 +244,7 @@
 // updateBaseline takes over the service's baseline as the entry sees it.
 func (g *Gate) updateBaseline(d *wire.Dispatch) {
 	if d.Baseline.Known {
-		g.detector.SetBaseline(d.Baseline.Plain())
+		g.detector.SetBaseline(d.Baseline.ToHealth())
 	}
 }
 
@@ -264,9 +264,9 @@
 	reason := wire.ReasonLeaving
 	switch {
 	case verdict != lease.Fresh:
-		reason = wire.ReasonStale
+		reason = wire.ReasonStaleLease
 	case g.crash.isDown:
-		reason = wire.ReasonRefused
+		reason = wire.ReasonConnectionRefused
 	}
 	g.refuse(now, key, d, answer, reason, 0)
 	callAll(calls)
@@ -278,7 +278,7 @@
 	g.lastTicket++
 	j := &job{dispatch: d, answer: answer, key: key, ticket: g.lastTicket, deadline: min(now+d.Budget, d.Lease)}
 	patience := j.deadline
-	if d.Bounded {
+	if d.NoQueue {
 		patience = now
 	}
 	offer := g.slots.Acquire(now, limit.Request{Ticket: j.ticket, Deadline: j.deadline, Until: patience, Priority: d.Priority})
@@ -294,7 +294,7 @@
 		g.mu.Unlock()
 		callAll(late)
 	case limit.Late:
-		g.refuse(now, key, d, answer, wire.ReasonLate, offer.RetryAfter)
+		g.refuse(now, key, d, answer, wire.ReasonDeadlineTooShort, offer.RetryAfter)
 	default:
 		g.refuse(now, key, d, answer, wire.ReasonFull, offer.RetryAfter)
 	}
@@ -324,7 +324,7 @@
 // takes the result in. It blocks for the answer.
 func (g *Gate) ProbeHealth() {
 	g.mu.Lock()
-	path := g.service.Probe
+	path := g.service.ProbePath
 	judge, heeds := g.detector.(probeRecorder)
 	g.mu.Unlock()
 	if path == "" || !heeds {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -56,7 +56,7 @@
 // guardedWith tells news of the gate to changed.
 func guardedWith(t *testing.T, changed func()) (*gate.Gate, *held, table.Service, table.Upstream) {
 	t.Helper()
-	s := table.Service{Name: "conferme", Caution: table.Brief, Queue: 4}
+	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4}
 	u := table.Upstream{Name: "c1", Weight: 100, Slots: 1}
 	g, h := gateOf(t, gate.Config{Service: s, Upstream: u, OnChange: changed})
 	return g, h, s, u
@@ -78,7 +78,7 @@
 
 func dispatch(seq uint64, label string) *wire.Dispatch {
 	return &wire.Dispatch{
-		ID: wire.RequestID{Entry: 1, Seq: seq}, Attempt: 1, Label: label, Incarnation: incarnation,
+		ID: wire.RequestID{Entry: 1, Seq: seq}, Attempt: 1, CallerRequestID: label, Incarnation: incarnation,
 		Lease: clock.Hour, Budget: clock.Minute, Upstream: "c1", Method: "POST", URI: "/x",
 	}
 }
@@ -104,9 +104,9 @@
 }
 
 // enquire asks for a slot and waits for the answer.
-func enquire(g *gate.Gate, e *wire.Enquiry) *wire.Hold {
-	answers := make(chan *wire.Hold, 1)
-	g.ProbeCapacity(e, func(h *wire.Hold) { answers <- h })
+func enquire(g *gate.Gate, e *wire.CapacityProbe) *wire.Reservation {
+	answers := make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(e, func(h *wire.Reservation) { answers <- h })
 	return <-answers
 }
 
@@ -115,12 +115,12 @@
 func TestPromisedSlotIsKept(t *testing.T) {
 	g, h, _, _ := guarded(t)
 	first := dispatch(1, "first")
-	if got := enquire(g, &wire.Enquiry{ID: first.ID, Attempt: 1, Upstream: "c1", Budget: clock.Second}); !got.Held {
+	if got := enquire(g, &wire.CapacityProbe{ID: first.ID, Attempt: 1, Upstream: "c1", Budget: clock.Second}); !got.Reserved {
 		t.Fatalf("got no slot (%s), want it kept", got.Reason)
 	}
 	replies := make(chan *wire.Reply, 1)
 	other := dispatch(2, "other")
-	other.Bounded = true // it asks for a free slot and doesn't wait
+	other.NoQueue = true // it asks for a free slot and doesn't wait
 	g.Handle(other, func(r *wire.Reply) { replies <- r })
 	if got := <-replies; got.Outcome != wire.NotRun || got.Reason != wire.ReasonFull {
 		t.Errorf("got %v, %s for another request, want it refused as full", got.Outcome, got.Reason)
@@ -136,7 +136,7 @@
 // taken: with three slots, three such entries would end an upstream's use.
 func TestPromisedSlotIsGivenBack(t *testing.T) {
 	g, h, _, _ := guarded(t)
-	enquire(g, &wire.Enquiry{ID: wire.RequestID{Entry: 9, Seq: 1}, Attempt: 1, Upstream: "c1", Budget: clock.Second})
+	enquire(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 9, Seq: 1}, Attempt: 1, Upstream: "c1", Budget: clock.Second})
 	g.Handle(dispatch(2, "next"), func(*wire.Reply) {}) // it waits until the promise is over
 	if got := <-h.begun; got != "next" {
 		t.Errorf("got %s begun, want next", got)
@@ -154,7 +154,7 @@
 		d.Repeatable = repeatable
 		g.Handle(d, func(r *wire.Reply) { replies <- r })
 		<-h.begun
-		g.Resolve(&wire.Settle{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease, Abandon: true})
+		g.Resolve(&wire.Resolve{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease, Abandon: true})
 		if !repeatable {
 			close(h.end)
 		}
@@ -174,7 +174,7 @@
 	g, h, _, _ := guardedWith(t, func() { changed <- struct{}{} })
 	before := g.Status().Severity
 	d := dispatch(1, "first")
-	d.Usual = 1
+	d.MedianTime = 1
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
 	<-changed
@@ -184,14 +184,14 @@
 	close(h.end)
 }
 
-func waiting(seq uint64) *wire.Enquiry {
-	return &wire.Enquiry{
-		ID: wire.RequestID{Entry: 5, Seq: seq}, Attempt: 1, Upstream: "c1", Budget: clock.Hour, Patience: clock.Hour,
+func waiting(seq uint64) *wire.CapacityProbe {
+	return &wire.CapacityProbe{
+		ID: wire.RequestID{Entry: 5, Seq: seq}, Attempt: 1, Upstream: "c1", Budget: clock.Hour, WaitBudget: clock.Hour,
 	}
 }
 
-func waiveOf(e *wire.Enquiry) *wire.Waive {
-	return &wire.Waive{ID: e.ID, Attempt: e.Attempt, Upstream: e.Upstream}
+func waiveOf(e *wire.CapacityProbe) *wire.ReleaseReservation {
+	return &wire.ReleaseReservation{ID: e.ID, Attempt: e.Attempt, Upstream: e.Upstream}
 }
 
 // Requests wait for a slot here and at other gates. One that found a slot elsewhere
@@ -201,12 +201,12 @@
 	g, h, _, _ := guarded(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
-	first, second := make(chan *wire.Hold, 1), make(chan *wire.Hold, 1)
-	g.ProbeCapacity(waiting(2), func(h *wire.Hold) { first <- h })
-	g.ProbeCapacity(waiting(3), func(h *wire.Hold) { second <- h })
+	first, second := make(chan *wire.Reservation, 1), make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(waiting(2), func(h *wire.Reservation) { first <- h })
+	g.ProbeCapacity(waiting(3), func(h *wire.Reservation) { second <- h })
 	g.ReleaseReservation(waiveOf(waiting(2)))
 	close(h.end)
-	if got := <-second; !got.Held {
+	if got := <-second; !got.Reserved {
 		t.Errorf("got %s for the second in line, want the slot kept for it", got.Reason)
 	}
 	if len(first) > 0 {
@@ -221,7 +221,7 @@
 	close(h.end)
 	for seq := range uint64(50) { // 2 s if each stayed kept
 		e := waiting(seq)
-		if got := enquire(g, e); !got.Held {
+		if got := enquire(g, e); !got.Reserved {
 			t.Fatalf("enquiry %d: got %s, want the slot", seq, got.Reason)
 		}
 		g.ReleaseReservation(waiveOf(e))
@@ -234,12 +234,12 @@
 	g, h, s, u := guarded(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
-	told := make(chan *wire.Hold, 1)
-	g.ProbeCapacity(waiting(2), func(h *wire.Hold) { told <- h })
+	told := make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(waiting(2), func(h *wire.Reservation) { told <- h })
 	u.Weight = 0
 	g.Update(s, u)
-	if got := <-told; got.Held || got.Reason != wire.ReasonLeaving {
-		t.Errorf("got held %v, %s; want it refused, as the upstream leaves", got.Held, got.Reason)
+	if got := <-told; got.Reserved || got.Reason != wire.ReasonLeaving {
+		t.Errorf("got held %v, %s; want it refused, as the upstream leaves", got.Reserved, got.Reason)
 	}
 	close(h.end)
 }
@@ -251,9 +251,9 @@
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	e := waiting(2)
-	e.Patience = 5
-	if got := enquire(g, e); got.Held || got.Reason != wire.ReasonLate {
-		t.Errorf("got held %v, %s; want it refused as late", got.Held, got.Reason)
+	e.WaitBudget = 5
+	if got := enquire(g, e); got.Reserved || got.Reason != wire.ReasonDeadlineTooShort {
+		t.Errorf("got held %v, %s; want it refused as late", got.Reserved, got.Reason)
 	}
 	close(h.end)
 }
@@ -315,10 +315,10 @@
 	now := clock.NewSystem().Now
 	h := &held{begun: make(chan string, 8), end: make(chan struct{})}
 	return gate.New(gate.Config{
-		Service:  table.Service{Name: "conferme", Caution: table.Brief, Queue: 4},
+		Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1}, Incarnation: incarnation, Now: now, Backend: h,
 		Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
-		RequestWork: func(entry uint64, _ *wire.Invitation) bool {
+		RequestWork: func(entry uint64, _ *wire.WorkRequest) bool {
 			invite(entry)
 			return true
 		},
@@ -344,10 +344,10 @@
 	for _, tt := range []struct {
 		caution table.Caution
 		want    int
-	}{{table.Brief, 0}, {table.Balanced, 1}} {
+	}{{table.ShortEpisodes, 0}, {table.Balanced, 1}} {
 		_, h, s, u := guarded(t)
 		b := &probed{held: h}
-		s.Caution, s.Probe = tt.caution, "/health"
+		s.Caution, s.ProbePath = tt.caution, "/health"
 		now := clock.NewSystem().Now
 		gate.New(gate.Config{
 			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
--- a/gate/invite.go
+++ b/gate/invite.go
@@ -60,7 +60,7 @@
 	}
 	name := g.upstream.Name
 	g.mu.Unlock()
-	if wants && !g.config.RequestWork(entry, &wire.Invitation{Upstream: name, For: workRequestTTL}) {
+	if wants && !g.config.RequestWork(entry, &wire.WorkRequest{Upstream: name, TTL: workRequestTTL}) {
 		g.forgetSender(entry)
 	}
 	time.AfterFunc(workRequestInterval.Duration(), g.requestWork)
--- a/gate/journal.go
+++ b/gate/journal.go
@@ -40,7 +40,7 @@
 // next heartbeat or reply may be a second away, in which 24 entries would give
 // a failing upstream some ten more requests.
 func (g *Gate) publishLevel(severity float64) {
-	if g.service.Caution != table.Brief {
+	if g.service.Caution != table.ShortEpisodes {
 		return
 	}
 	before := g.level
--- a/gate/quota_test.go
+++ b/gate/quota_test.go
@@ -13,7 +13,7 @@
 func bounded(t *testing.T) (*gate.Gate, *held) {
 	t.Helper()
 	u := table.Upstream{Name: "c1", Weight: 100, Slots: 1}
-	s := table.Service{Name: "conferme", Caution: table.Brief, Queue: 4, Extra: 5, Window: clock.Minute, Upstreams: []table.Upstream{u}}
+	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4, ExtraRetries: 5, RetryWindow: clock.Minute, Upstreams: []table.Upstream{u}}
 	return gateOf(t, gate.Config{Service: s, Upstream: u})
 }
 
@@ -39,7 +39,7 @@
 		t.Fatalf("got %v, %s; want the first retry served", got.Outcome, got.Reason)
 	}
 	got := <-offer(g, retryOf(2))
-	if got.Outcome != wire.NotRun || got.Reason != wire.ReasonBudget {
+	if got.Outcome != wire.NotRun || got.Reason != wire.ReasonRetryBudget {
 		t.Errorf("got %v, %s; want the second one not run, for want of budget", got.Outcome, got.Reason)
 	}
 	if got.RetryAfter < clock.Second || got.RetryAfter > clock.Minute+clock.Second {
@@ -51,9 +51,9 @@
 	if got := len(h.begun); got != 2 {
 		t.Errorf("got %d requests at the upstream, want 2", got)
 	}
-	hold := enquire(g, &wire.Enquiry{ID: wire.RequestID{Entry: 1, Seq: 4}, Attempt: 1, Upstream: "c1", Retry: true, Budget: clock.Second})
-	if hold.Held || hold.Reason != wire.ReasonBudget {
-		t.Errorf("got a slot kept: %v, %s; want none for want of budget", hold.Held, hold.Reason)
+	hold := enquire(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 4}, Attempt: 1, Upstream: "c1", Retry: true, Budget: clock.Second})
+	if hold.Reserved || hold.Reason != wire.ReasonRetryBudget {
+		t.Errorf("got a slot kept: %v, %s; want none for want of budget", hold.Reserved, hold.Reason)
 	}
 }
 
@@ -64,7 +64,7 @@
 	running := offer(g, dispatch(1, "running"))
 	<-h.begun
 	refused := retryOf(2)
-	refused.Bounded = true
+	refused.NoQueue = true
 	if got := <-offer(g, refused); got.Reason != wire.ReasonFull {
 		t.Fatalf("got %s, want it refused as full", got.Reason)
 	}
@@ -87,7 +87,7 @@
 	if got := <-first; got.Outcome != wire.Answered {
 		t.Errorf("got %v, %s; want the first retry served", got.Outcome, got.Reason)
 	}
-	if got := <-second; got.Outcome != wire.NotRun || got.Reason != wire.ReasonBudget {
+	if got := <-second; got.Outcome != wire.NotRun || got.Reason != wire.ReasonRetryBudget {
 		t.Errorf("got %v, %s; want the second one not run, for want of budget", got.Outcome, got.Reason)
 	}
 }
--- a/gate/refuse.go
+++ b/gate/refuse.go
@@ -12,7 +12,7 @@
 	isRepeatable, isRetry, isForced bool
 }
 
-func admissionOf(e *wire.Enquiry) admission {
+func admissionOf(e *wire.CapacityProbe) admission {
 	return admission{isRepeatable: e.Repeatable, isRetry: e.Retry, isForced: e.Forced}
 }
 
@@ -20,20 +20,20 @@
 func (g *Gate) refusalReason(now clock.Millis, v lease.Verdict, a admission) (wire.Reason, clock.Millis) {
 	switch {
 	case v == lease.Stale:
-		return wire.ReasonStale, 0
+		return wire.ReasonStaleLease, 0
 	case v == lease.Revoked:
-		return wire.ReasonVoided, 0
+		return wire.ReasonRevoked, 0
 	case g.leaving, g.isLeaving() && now-g.leavingSince >= g.service.Drain:
 		return wire.ReasonLeaving, 0
 	case g.crash.isDown:
-		return wire.ReasonRefused, recoveryInterval
+		return wire.ReasonConnectionRefused, recoveryInterval
 	case a.isRetry && !g.hasRetryBudget(now):
-		return wire.ReasonBudget, g.quota.RetryAfter(now)
+		return wire.ReasonRetryBudget, g.quota.RetryAfter(now)
 	case a.isForced || g.detector.Admit(now, a.isRepeatable):
 		return "", 0
 	default:
 		g.recordState(now)
-		return wire.ReasonAside, max(g.detector.Status(now).Until-now, 0)
+		return wire.ReasonEjected, max(g.detector.Status(now).Until-now, 0)
 	}
 }
 
@@ -77,7 +77,7 @@
 // refuseExpired takes out the waiters whose deadline passed. The gate's lock is held;
 // the answers are given without it.
 func (g *Gate) refuseExpired(now clock.Millis) []func() {
-	return g.refuseWaiters(now, g.slots.Expire(now), wire.ReasonLate)
+	return g.refuseWaiters(now, g.slots.Expire(now), wire.ReasonDeadlineTooShort)
 }
 
 // refuseWaiters refuses waiters. The gate's lock is held.
--- a/gate/resend.go
+++ b/gate/resend.go
@@ -41,7 +41,7 @@
 }
 
 // Revoke says what is known of a resend's key and forbids earlier sends.
-func (k *KeyStore) Revoke(v *wire.Void) *wire.Voided {
+func (k *KeyStore) Revoke(v *wire.KeyRevocation) *wire.KeyRevocationReply {
 	claim := resend.Send{
 		Key:        resend.Key{Caller: v.Caller, Service: v.Service, Text: v.Key},
 		Digest:     digestOf(v.Digest),
@@ -51,7 +51,7 @@
 	defer k.mu.Unlock()
 	now := k.now()
 	standing, reply := k.store.Revoke(now, claim)
-	out := &wire.Voided{ID: v.ID, Standing: uint8(standing), Covers: k.store.Covers(now)}
+	out := &wire.KeyRevocationReply{ID: v.ID, KeyStatus: uint8(standing), Covers: k.store.Covers(now)}
 	if reply != nil {
 		out.Status, out.Headers, out.Body, out.Upstream = reply.Status, reply.Headers, reply.Body, reply.Upstream.Name
 	}
@@ -98,7 +98,7 @@
 	c := resend.Send{
 		Key:         resend.Key{Caller: d.Caller, Service: g.config.Service.Name, Text: d.Key},
 		Digest:      digestOf(d.Digest),
-		Received:    d.Lease - d.Span,
+		Received:    d.Lease - d.LeaseSpan,
 		GateCreated: g.createdAt,
 	}
 	if d.Resend > 0 {
@@ -155,13 +155,13 @@
 	case resend.Running:
 		r.Outcome, r.Reason, r.RetryAfter = wire.Broken, wire.ReasonKeyRunning, clock.Second
 	case resend.Lost:
-		r.Outcome, r.Reason = wire.Broken, wire.ReasonKeyLost
+		r.Outcome, r.Reason = wire.Broken, wire.ReasonReplyNotKept
 	case resend.Reused:
 		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyReused
 	case resend.Superseded:
-		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyVoided
+		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyRevoked
 	default:
-		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyForgotten
+		r.Outcome, r.Reason = wire.NotRun, wire.ReasonKeyPredatesNode
 	}
 	return r
 }
--- a/gate/restart.go
+++ b/gate/restart.go
@@ -99,7 +99,7 @@
 }
 
 // resolvePrevious answers a settlement for a gate before this one.
-func (g *Gate) resolvePrevious(key lease.Key, s *wire.Settle) (*wire.Settled, *wire.Reply, bool) {
+func (g *Gate) resolvePrevious(key lease.Key, s *wire.Resolve) (*wire.Resolution, *wire.Reply, bool) {
 	one, ok := g.previous.Load().findGate(key)
 	if !ok {
 		return nil, nil, false
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("got %s begun, want second", got)
 	}
 	third := dispatch(3, "third")
-	third.Bounded = true
+	third.NoQueue = true
 	refused := make(chan *wire.Reply, 1)
 	g.Handle(third, func(r *wire.Reply) { refused <- r })
 	if got := <-refused; got.Reason != wire.ReasonFull {
@@ -47,7 +47,7 @@
 	worse := make(chan struct{}, 8)
 	g, h, s, u := guardedWith(t, func() { worse <- struct{}{} })
 	d := dispatch(1, "hangs")
-	d.Usual = 1
+	d.MedianTime = 1
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
 	<-worse // the run is long overdue
@@ -70,16 +70,16 @@
 	first, second := dispatch(1, "first"), dispatch(2, "second")
 	old.Handle(first, func(*wire.Reply) {})
 	<-h.begun
-	settle := func(g *gate.Gate, d *wire.Dispatch) *wire.Settled {
-		got, _ := g.Resolve(&wire.Settle{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease})
+	settle := func(g *gate.Gate, d *wire.Dispatch) *wire.Resolution {
+		got, _ := g.Resolve(&wire.Resolve{ID: d.ID, Attempt: 1, Incarnation: incarnation, Upstream: "c1", Lease: d.Lease})
 		return got
 	}
-	if got := settle(old, second); got == nil || !got.Voided {
+	if got := settle(old, second); got == nil || !got.Revoked {
 		t.Fatalf("got %+v for one that never came, want it voided", got)
 	}
 	old.Leave()
 	next, fresh := gateAfter(t, old, s, u)
-	if got := settle(next, first); got == nil || got.Voided {
+	if got := settle(next, first); got == nil || got.Revoked {
 		t.Errorf("got %+v for one that runs, want it not called not run", got)
 	}
 	replies := make(chan *wire.Reply, 1)
--- a/gate/run.go
+++ b/gate/run.go
@@ -33,7 +33,7 @@
 	ctx, cancel := g.callContext(j)
 	defer cancel()
 	answer, err := g.config.Backend.Do(ctx, &Call{
-		ID:         wire.NameOf(d.Label, d.ID),
+		ID:         wire.RequestName(d.CallerRequestID, d.ID),
 		Caller:     d.Caller,
 		Account:    d.Account,
 		Method:     d.Method,
@@ -68,7 +68,7 @@
 	defer g.mu.Unlock()
 	now := g.config.Now()
 	if now >= j.deadline {
-		return now, wire.ReasonVoided, false
+		return now, wire.ReasonRevoked, false
 	}
 	switch reason, isParked := g.admitSuspect(j); {
 	case isParked:
@@ -77,7 +77,7 @@
 		g.dedup.Refuse(j.key)
 		return now, reason, false
 	case !g.beginKey(now, j):
-		return now, wire.ReasonVoided, false
+		return now, wire.ReasonRevoked, false
 	}
 	if reason := g.beginRun(now, j); reason != "" {
 		g.endKey(j.dispatch, &wire.Reply{Outcome: wire.NotRun})
@@ -96,10 +96,10 @@
 func (g *Gate) beginRun(now clock.Millis, j *job) wire.Reason {
 	if j.dispatch.Retry && !g.quota.Allows(now, false) {
 		g.dedup.Refuse(j.key)
-		return wire.ReasonBudget
+		return wire.ReasonRetryBudget
 	}
 	if !g.dedup.Begin(now, j.key) {
-		return wire.ReasonVoided
+		return wire.ReasonRevoked
 	}
 	if j.dispatch.Retry {
 		g.quota.Spend(now)
@@ -149,7 +149,7 @@
 		return
 	}
 	g.log.WithError(err).WithFields(logrus.Fields{
-		"request":     wire.NameOf(d.Label, d.ID),
+		"request":     wire.RequestName(d.CallerRequestID, d.ID),
 		"fingerprint": fingerprintOf(d),
 		"reason":      string(reply.Reason),
 		"took":        took.String(),
@@ -157,7 +157,7 @@
 }
 
 func fingerprintOf(d *wire.Dispatch) string {
-	subject := d.Subject()
+	subject := d.QuarantineRequest()
 	return subject.Fingerprint().String()
 }
 
@@ -264,19 +264,19 @@
 func fillReply(r *wire.Reply, a Response, err error) {
 	switch {
 	case errors.Is(err, ErrRefused):
-		r.Outcome, r.Reason = wire.NotRun, wire.ReasonRefused
+		r.Outcome, r.Reason = wire.NotRun, wire.ReasonConnectionRefused
 	case errors.Is(err, ErrTimeout):
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonTimeout
 	case errors.Is(err, ErrTooLarge):
-		r.Outcome, r.Reason = wire.Broken, wire.ReasonTooLarge
+		r.Outcome, r.Reason = wire.Broken, wire.ReasonReplyTooLarge
 	case errors.Is(err, ErrMismatchedReply):
-		r.Outcome, r.Reason = wire.Broken, wire.ReasonForeign
+		r.Outcome, r.Reason = wire.Broken, wire.ReasonMismatchedReply
 	case errors.Is(err, ErrCancelled):
-		r.Outcome, r.Reason = wire.Broken, wire.ReasonLeft
+		r.Outcome, r.Reason = wire.Broken, wire.ReasonCallerLeft
 	case errors.Is(err, ErrCrashed):
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonCrashed
 	case err != nil:
-		r.Outcome, r.Reason = wire.Broken, wire.ReasonTorn
+		r.Outcome, r.Reason = wire.Broken, wire.ReasonTruncated
 	case a.Shed:
 		r.Outcome, r.Reason, r.RetryAfter = wire.NotRun, wire.ReasonShed, a.RetryAfter
 	default:
--- a/gate/settle.go
+++ b/gate/settle.go
@@ -7,7 +7,7 @@
 
 // Resolve says what became of a dispatch and voids one that has not begun. It
 // returns the reply once more if there is one.
-func (g *Gate) Resolve(s *wire.Settle) (*wire.Settled, *wire.Reply) {
+func (g *Gate) Resolve(s *wire.Resolve) (*wire.Resolution, *wire.Reply) {
 	now := g.config.Now()
 	key := s.ID.Key(s.Attempt)
 	if settled, reply, ok := g.resolvePrevious(key, s); ok {
@@ -22,12 +22,12 @@
 	if state == lease.Done && reply != nil {
 		return nil, reply
 	}
-	return &wire.Settled{
-		ID:        s.ID,
-		Attempt:   s.Attempt,
-		Voided:    state == lease.NotRun,
-		Forgotten: state == lease.Forgotten || state == lease.Done,
-		Time:      now,
+	return &wire.Resolution{
+		ID:      s.ID,
+		Attempt: s.Attempt,
+		Revoked: state == lease.NotRun,
+		Unknown: state == lease.Forgotten || state == lease.Done,
+		Time:    now,
 	}, nil
 }
 
--- a/gate/stalled_test.go
+++ b/gate/stalled_test.go
@@ -16,21 +16,21 @@
 	gate    *gate.Gate
 	backend *held
 	replies chan *wire.Reply
-	stalled chan *wire.Stalled
+	stalled chan *wire.HungRun
 }
 
 // hung begins runs at a backend server that hangs.
 func hung(t *testing.T, count int, change func(d *wire.Dispatch)) *hanging {
 	t.Helper()
-	h := &hanging{replies: make(chan *wire.Reply, count), stalled: make(chan *wire.Stalled, 64)}
+	h := &hanging{replies: make(chan *wire.Reply, count), stalled: make(chan *wire.HungRun, 64)}
 	h.gate, h.backend = gateOf(t, gate.Config{
-		Service:  table.Service{Name: "conferme", Caution: table.Brief},
+		Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: count},
-		OnHung:   func(_ uint64, s *wire.Stalled) { h.stalled <- s },
+		OnHung:   func(_ uint64, s *wire.HungRun) { h.stalled <- s },
 	})
 	for seq := range uint64(count) {
 		d := dispatch(seq+1, "hangs")
-		d.Repeatable, d.Usual, d.Hanging = true, 10, 101
+		d.Repeatable, d.MedianTime, d.Hanging = true, 10, 101
 		change(d)
 		h.gate.Handle(d, func(r *wire.Reply) { h.replies <- r })
 		<-h.backend.begun
@@ -61,7 +61,7 @@
 func TestRunsWithoutAnotherChanceAreNotTold(t *testing.T) {
 	for name, change := range map[string]func(d *wire.Dispatch){
 		"runs once": func(d *wire.Dispatch) { d.Repeatable = false },
-		"no time":   func(d *wire.Dispatch) { d.Usual, d.Budget = 200, 190 },
+		"no time":   func(d *wire.Dispatch) { d.MedianTime, d.Budget = 200, 190 },
 	} {
 		h := hung(t, 3, change)
 		for h.gate.Status().Severity < 0.9 {
@@ -76,9 +76,9 @@
 
 // A caller that leaves says nothing of the upstream.
 func TestLeavingIsNoStall(t *testing.T) {
-	h := hung(t, 1, func(d *wire.Dispatch) { d.Usual = clock.Hour })
+	h := hung(t, 1, func(d *wire.Dispatch) { d.MedianTime = clock.Hour })
 	h.gate.Cancel(wire.RequestID{Entry: 1, Seq: 1}, 1)
-	if got := <-h.replies; got.Reason != wire.ReasonLeft {
+	if got := <-h.replies; got.Reason != wire.ReasonCallerLeft {
 		t.Errorf("got %q, want it told that the caller has left", got.Reason)
 	}
 	if got := h.gate.Status().Severity; got >= grade.EjectThreshold {
--- a/gate/status.go
+++ b/gate/status.go
@@ -42,14 +42,14 @@
 	return wire.Upstream{
 		Name:     g.upstream.Name,
 		State:    uint8(s.State),
-		Severity: wire.Short(s.Severity),
-		Share:    wire.Short(s.Share),
+		Severity: wire.RoundFloat(s.Severity),
+		Share:    wire.RoundFloat(s.Share),
 		InFlight: load.InFlight,
 		Waiting:  load.Waiting,
 		Until:    max(s.Until-now, 0),
 		Leaving:  g.isLeaving(),
 		Down:     g.crash.isDown,
-		Own:      wire.BaselineOf(own),
+		Local:    wire.NewBaseline(own),
 	}
 }
 
--- a/gate/trial.go
+++ b/gate/trial.go
@@ -100,7 +100,7 @@
 	isParked := len(g.parked) < before
 	g.mu.Unlock()
 	if isParked {
-		g.finishNotRun(j, wire.ReasonLate)
+		g.finishNotRun(j, wire.ReasonDeadlineTooShort)
 	}
 }
 
--- a/gate/waiting_test.go
+++ b/gate/waiting_test.go
@@ -15,17 +15,17 @@
 	g, h, _, _ := guardedWith(t, func() { worse <- struct{}{} })
 	h.isFailing = true
 	d := dispatch(1, "hangs")
-	d.Usual = 50
+	d.MedianTime = 50
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
-	holds := make(chan *wire.Hold, 1)
-	g.ProbeCapacity(&wire.Enquiry{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, Patience: clock.Minute}, func(hold *wire.Hold) { holds <- hold })
+	holds := make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(&wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, WaitBudget: clock.Minute}, func(hold *wire.Reservation) { holds <- hold })
 	for g.Status().Severity < grade.EjectThreshold {
 		<-worse // until the run has lasted so long that the upstream is set aside
 	}
 	close(h.end)
-	if got := <-holds; got.Held || got.Reason != wire.ReasonAside {
-		t.Errorf("got a slot: %v, %q; want it refused, as the upstream is set aside", got.Held, got.Reason)
+	if got := <-holds; got.Reserved || got.Reason != wire.ReasonEjected {
+		t.Errorf("got a slot: %v, %q; want it refused, as the upstream is set aside", got.Reserved, got.Reason)
 	}
 	if got := g.MetricsState().Running; got != 0 {
 		t.Errorf("got %d slots taken, want none", got)
--- a/gate/watch.go
+++ b/gate/watch.go
@@ -31,7 +31,7 @@
 
 // typicalLatency is what an entry tells of the runs of a dispatch's route.
 func typicalLatency(d *wire.Dispatch) grade.TypicalLatency {
-	return grade.TypicalLatency{Median: d.Usual, Spread: d.Spread, HangShare: grade.HangShare(d.Hanging)}
+	return grade.TypicalLatency{Median: d.MedianTime, Spread: d.LogStdDev, HangShare: grade.HangShare(d.Hanging)}
 }
 
 // checkRun takes in that a run has come to no end yet: a backend server that hangs gives no
@@ -53,7 +53,7 @@
 	j.timer.Reset((next - now).Duration())
 	g.recordState(now)
 	if g.config.OnHung != nil && g.isHung(now, j) {
-		g.config.OnHung(j.dispatch.ID.Entry, &wire.Stalled{ID: j.dispatch.ID, Attempt: j.dispatch.Attempt})
+		g.config.OnHung(j.dispatch.ID.Entry, &wire.HungRun{ID: j.dispatch.ID, Attempt: j.dispatch.Attempt})
 	}
 }
 
@@ -64,7 +64,7 @@
 // another one elsewhere. The gate's lock is held.
 func (g *Gate) isHung(now clock.Millis, j *job) bool {
 	judge, ok := g.detector.(runDetector)
-	if !ok || j.run == nil || !j.dispatch.Repeatable || j.deadline-now < j.dispatch.Usual {
+	if !ok || j.run == nil || !j.dispatch.Repeatable || j.deadline-now < j.dispatch.MedianTime {
 		return false
 	}
 	return judge.HangProbability(now, j.run) >= hungThreshold
--- a/link/conn.go
+++ b/link/conn.go
@@ -18,11 +18,11 @@
 
 // Faults of a link.
 const (
-	ErrClosed = errors.ConstError("link is closed")
-	ErrBusy   = errors.ConstError("link's queue is full")
-	ErrProof  = errors.ConstError("peer doesn't prove the shared secret")
-	ErrFormat = errors.ConstError("peer speaks another format")
-	ErrPeer   = errors.ConstError("peer is another node than the one dialled")
+	ErrClosed    = errors.ConstError("link is closed")
+	ErrBusy      = errors.ConstError("link's queue is full")
+	ErrProof     = errors.ConstError("peer doesn't prove the shared secret")
+	ErrFormat    = errors.ConstError("peer speaks another format")
+	ErrWrongPeer = errors.ConstError("peer is another node than the one dialled")
 )
 
 const (
@@ -85,9 +85,9 @@
 	pool sync.Pool
 }
 
-// keptBuffer bounds what the pool keeps of one frame: a rare large body must
+// maxPooledBuffer bounds what the pool keeps of one frame: a rare large body must
 // not stay in memory for good.
-const keptBuffer = 128 << 10
+const maxPooledBuffer = 128 << 10
 
 // Get returns an empty buffer.
 func (p *bufferPool) Get() *bytes.Buffer {
@@ -100,7 +100,7 @@
 
 // Put gives a buffer back.
 func (p *bufferPool) Put(b *bytes.Buffer) {
-	if b.Cap() <= keptBuffer {
+	if b.Cap() <= maxPooledBuffer {
 		p.pool.Put(b)
 	}
 }
@@ -158,7 +158,7 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "waiting for a frame")
 	}
-	if c.input.Cap() > keptBuffer {
+	if c.input.Cap() > maxPooledBuffer {
 		c.input = bytes.Buffer{}
 	}
 	c.input.Reset()
@@ -172,7 +172,7 @@
 	return m, errors.Trace(err)
 }
 
-func (c *Conn) sendNow(m wire.Message) error {
+func (c *Conn) writeMessage(m wire.Message) error {
 	frame, err := wire.Encode(m)
 	if err != nil {
 		return errors.Trace(err)
--- a/link/dial.go
+++ b/link/dial.go
@@ -10,30 +10,30 @@
 
 func (p *Peer) pathChanged(state path.State) {
 	p.log.WithField("path", pathName(state)).Info("path changed")
-	p.config.Watcher.PeerPath(p.config.Address, state)
+	p.config.Observer.PeerPath(p.config.Address, state)
 	if state == path.Lost {
-		p.lose()
+		p.notifyLost()
 	}
 }
 
-// lose tells all waiters that the path is lost.
-func (p *Peer) lose() {
+// notifyLost tells all waiters that the path is lost.
+func (p *Peer) notifyLost() {
 	p.mu.Lock()
-	waiters := make([]Waiter, 0, len(p.pending))
+	waiters := make([]DispatchObserver, 0, len(p.pending))
 	for _, one := range p.pending {
-		waiters = append(waiters, one.waiter)
+		waiters = append(waiters, one.observer)
 	}
 	p.mu.Unlock()
 	for _, w := range waiters {
-		w.Lost()
+		w.PathLost()
 	}
 }
 
-// open dials unless a good link is open or the backoff of a failed dial runs.
-func (p *Peer) open(ctx context.Context) {
+// dialIfDue dials unless a good link is open or the backoff of a failed dial runs.
+func (p *Peer) dialIfDue(ctx context.Context) {
 	now := p.config.Now()
 	p.mu.Lock()
-	due := !p.dialling && (p.conn == nil || p.judge.State(now) != path.Good) && p.judge.Redial(now)
+	due := !p.dialling && (p.conn == nil || p.detector.State(now) != path.Good) && p.detector.ShouldDial(now)
 	p.dialling = p.dialling || due
 	p.mu.Unlock()
 	if due {
@@ -42,48 +42,48 @@
 }
 
 func (p *Peer) dial(ctx context.Context) {
-	conn, remote, err := Dial(ctx, p.config.Address, p.config.Self, p.config.Limit)
+	conn, remote, err := Dial(ctx, p.config.Address, p.config.Self, p.config.MaxFrame)
 	now := p.config.Now()
 	if err != nil {
 		p.log.WithError(err).Debug("link not opened")
 		p.mu.Lock()
 		p.dialling = false
-		p.judge.Failed(now)
+		p.detector.Failed(now)
 		lost := p.conn == nil
 		p.mu.Unlock()
 		if lost {
-			p.lose()
-			p.withdraw()
-			p.withdrawQuestions()
-			p.giveUp()
+			p.notifyLost()
+			p.failUnsent()
+			p.failUnsentRequests()
+			p.failRevocations()
 		}
 		return
 	}
-	conn.onPong(p.ponged)
-	p.adopt(now, conn, remote)
+	conn.onPong(p.handlePong)
+	p.replaceConn(now, conn, remote)
 	p.serve(conn)
 }
 
-// adopt replaces the link and settles what is undecided over the new one.
-func (p *Peer) adopt(now clock.Millis, conn *Conn, remote Remote) {
+// replaceConn replaces the link and settles what is undecided over the new one.
+func (p *Peer) replaceConn(now clock.Millis, conn *Conn, remote Remote) {
 	p.mu.Lock()
 	old := p.conn
 	p.conn = conn
 	p.dialling = false
-	p.judge.Opened(now)
+	p.detector.Opened(now)
 	p.probe = path.Probe{}
 	changed := p.estimate.Update(now, remote.Incarnation, remote.Time)
-	undecided := make([]*pending, 0, len(p.pending))
+	undecided := make([]*pendingDispatch, 0, len(p.pending))
 	for _, one := range p.pending {
 		if one.unsent {
-			p.sendLate(now, one)
+			p.sendQueued(now, one)
 			continue
 		}
 		undecided = append(undecided, one)
 		one.partial = nil
 	}
-	p.enquiries.sendLate(p, now)
-	p.draws.sendLate(p, now)
+	p.capacityProbes.flush(p, now)
+	p.quotaRequests.flush(p, now)
 	p.mu.Unlock()
 	if old != nil {
 		old.Close()
@@ -92,12 +92,12 @@
 		p.log.Info("node was replaced")
 	}
 	for _, one := range undecided {
-		_ = conn.Send(settleOf(one.dispatch)) // a link that fails again is replaced again
+		_ = conn.Send(newResolve(one.dispatch)) // a link that fails again is replaced again
 	}
-	p.askAgain(conn)
+	p.resendRevocations(conn)
 	p.log.WithField("undecided", len(undecided)).Debug("link opened")
-	p.review()
-	p.sendBeat()
+	p.updateState()
+	p.sendHeartbeat()
 }
 
 func (p *Peer) serve(conn *Conn) {
@@ -107,12 +107,12 @@
 	current := p.conn == conn
 	if current {
 		p.conn = nil
-		p.judge.Closed(p.config.Now())
+		p.detector.Closed(p.config.Now())
 	}
-	busy := len(p.pending)+len(p.voids)+len(p.enquiries)+len(p.draws) > 0
+	busy := len(p.pending)+len(p.revocations)+len(p.capacityProbes)+len(p.quotaRequests) > 0
 	p.mu.Unlock()
 	if current && busy {
-		p.Wake()
+		p.Connect()
 	}
 }
 
@@ -121,7 +121,7 @@
 	switch s {
 	case path.Good:
 		return "good"
-	case path.Doubted:
+	case path.Suspected:
 		return "doubted"
 	case path.Lost:
 		return "lost"
--- a/link/dispatch.go
+++ b/link/dispatch.go
@@ -9,9 +9,9 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-type pending struct {
+type pendingDispatch struct {
 	dispatch *wire.Dispatch
-	waiter   Waiter
+	observer DispatchObserver
 	queued   clock.Millis
 	sent     clock.Millis
 	unsent   bool
@@ -21,16 +21,16 @@
 // Dispatch sends a request and fills in its incarnation and lease. Without an
 // open link it waits for one that is being opened. It returns ErrNoLink,
 // ErrBusy or ErrClosed when nothing was sent or will be.
-func (p *Peer) Dispatch(d *wire.Dispatch, w Waiter) error {
+func (p *Peer) Dispatch(d *wire.Dispatch, w DispatchObserver) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
-	p.used = now
-	one := &pending{dispatch: d, waiter: w, queued: now}
+	p.lastUsed = now
+	one := &pendingDispatch{dispatch: d, observer: w, queued: now}
 	if p.conn != nil {
 		return p.send(now, one)
 	}
-	p.Wake()
+	p.Connect()
 	if p.state == path.Lost || len(p.pending) >= queueLength {
 		return ErrNoLink
 	}
@@ -41,7 +41,7 @@
 
 // send gives a dispatch its lease and queues it on the link. The time that it
 // waited for a link is taken from its budget.
-func (p *Peer) send(now clock.Millis, one *pending) error {
+func (p *Peer) send(now clock.Millis, one *pendingDispatch) error {
 	d := one.dispatch
 	d.Budget -= now - one.queued
 	d.Incarnation = p.estimate.Incarnation()
@@ -53,24 +53,24 @@
 	}
 	one.unsent, one.sent = false, now
 	p.pending[key] = one
-	p.watch(now)
-	p.judge.Sent(now, judged(key), now+d.Budget)
+	p.startProbe(now)
+	p.detector.Sent(now, detectorID(key), now+d.Budget)
 	return nil
 }
 
-// judged is the number by which the path's judge knows a dispatch.
-func judged(key lease.Key) uint64 {
+// detectorID is the number by which the path's judge knows a dispatch.
+func detectorID(key lease.Key) uint64 {
 	return key.Seq<<8 | uint64(key.Attempt)
 }
 
-// stalled hands on that a dispatch's run most likely comes to no end.
-func (p *Peer) stalled(s *wire.Stalled) {
+// handleHungRun hands on that a dispatch's run most likely comes to no end.
+func (p *Peer) handleHungRun(s *wire.HungRun) {
 	p.mu.Lock()
-	p.judge.Heard(p.config.Now())
+	p.detector.Received(p.config.Now())
 	one, ok := p.pending[s.ID.Key(s.Attempt)]
 	p.mu.Unlock()
 	if ok {
-		one.waiter.Stalled()
+		one.observer.Hung()
 	}
 }
 
@@ -83,9 +83,9 @@
 	switch {
 	case ok && one.unsent:
 		p.remove(id.Key(attempt))
-		one.waiter.Unsent()
+		one.observer.NotSent()
 	case ok && p.conn != nil:
-		_ = p.conn.Send(settleOf(one.dispatch)) // without an answer the outcome stays unknown
+		_ = p.conn.Send(newResolve(one.dispatch)) // without an answer the outcome stays unknown
 	}
 }
 
@@ -109,7 +109,7 @@
 	defer p.mu.Unlock()
 	one, ok := p.pending[id.Key(attempt)]
 	if ok && !one.unsent && p.conn != nil {
-		settle := settleOf(one.dispatch)
+		settle := newResolve(one.dispatch)
 		settle.Abandon = true
 		_ = p.conn.Send(settle) // a lost link ends with the request's own deadline
 	}
@@ -123,37 +123,37 @@
 	p.remove(id.Key(attempt))
 }
 
-// withdraw ends the dispatches that still wait for a link: none was sent.
-func (p *Peer) withdraw() {
+// failUnsent ends the dispatches that still wait for a link: none was sent.
+func (p *Peer) failUnsent() {
 	p.mu.Lock()
-	var waiters []Waiter
+	var waiters []DispatchObserver
 	for key, one := range p.pending {
 		if one.unsent {
-			waiters = append(waiters, one.waiter)
+			waiters = append(waiters, one.observer)
 			p.remove(key)
 		}
 	}
 	p.mu.Unlock()
 	for _, w := range waiters {
-		w.Unsent()
+		w.NotSent()
 	}
 }
 
-// sendLate sends a dispatch that waited for the link, or ends it as not sent.
-func (p *Peer) sendLate(now clock.Millis, one *pending) {
+// sendQueued sends a dispatch that waited for the link, or ends it as not sent.
+func (p *Peer) sendQueued(now clock.Millis, one *pendingDispatch) {
 	own := *one.dispatch // the entry still reads the one it made
 	one.dispatch = &own
 	if now-one.queued >= one.dispatch.Budget || p.send(now, one) != nil {
 		delete(p.pending, one.dispatch.ID.Key(one.dispatch.Attempt))
-		one.waiter.Unsent()
+		one.observer.NotSent()
 	}
 }
 
 func (p *Peer) remove(key lease.Key) {
 	delete(p.pending, key)
-	p.judge.Settled(p.config.Now(), judged(key))
+	p.detector.Completed(p.config.Now(), detectorID(key))
 }
 
-func settleOf(d *wire.Dispatch) *wire.Settle {
-	return &wire.Settle{ID: d.ID, Attempt: d.Attempt, Incarnation: d.Incarnation, Upstream: d.Upstream, Lease: d.Lease}
+func newResolve(d *wire.Dispatch) *wire.Resolve {
+	return &wire.Resolve{ID: d.ID, Attempt: d.Attempt, Incarnation: d.Incarnation, Upstream: d.Upstream, Lease: d.Lease}
 }
--- a/link/draw.go
+++ b/link/draw.go
@@ -5,25 +5,25 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Draw asks the node for leave to send requests of a client account, as Enquire asks a gate
+// RequestQuota asks the node for leave to send requests of a client account, as Enquire asks a gate
 // for a slot.
-func (p *Peer) Draw(d *wire.Draw, told func(*wire.Drawn)) error {
+func (p *Peer) RequestQuota(d *wire.QuotaRequest, told func(*wire.QuotaGrant)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.draws.ask(p, d.Seq, d, told)
+	return p.quotaRequests.send(p, d.Seq, d, told)
 }
 
-// ForgetDraw drops a question that was given up on.
-func (p *Peer) ForgetDraw(seq uint64) {
+// ForgetQuotaRequest drops a question that was given up on.
+func (p *Peer) ForgetQuotaRequest(seq uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.draws, seq)
+	delete(p.quotaRequests, seq)
 }
 
-func (p *Peer) drawn(d *wire.Drawn) {
+func (p *Peer) handleQuotaGrant(d *wire.QuotaGrant) {
 	p.mu.Lock()
-	p.judge.Heard(p.config.Now())
-	told, ok := p.draws.answered(p, d.Seq)
+	p.detector.Received(p.config.Now())
+	told, ok := p.quotaRequests.complete(p, d.Seq)
 	p.mu.Unlock()
 	if ok {
 		told(d)
--- a/link/handshake.go
+++ b/link/handshake.go
@@ -53,7 +53,7 @@
 	}
 	_ = response.Body.Close()
 	c := newConn(socket, limit)
-	remote, err := c.introduce(address, self)
+	remote, err := c.dialHandshake(address, self)
 	if err != nil {
 		c.Close()
 		return nil, Remote{}, errors.Annotatef(err, "shaking hands with %s", address)
@@ -62,7 +62,7 @@
 	return c, remote, nil
 }
 
-func (c *Conn) introduce(address string, self Identity) (Remote, error) {
+func (c *Conn) dialHandshake(address string, self Identity) (Remote, error) {
 	if err := c.socket.SetReadDeadline(deadline(handshakeTimeout)); err != nil {
 		return Remote{}, errors.Trace(err)
 	}
@@ -74,46 +74,46 @@
 		return Remote{}, errors.Annotatef(ErrFormat, "format %d, want %d", challenge.Format, wire.Format)
 	}
 	if challenge.Node != address {
-		return Remote{}, errors.Annotatef(ErrPeer, "it says it is %s", challenge.Node)
+		return Remote{}, errors.Annotatef(ErrWrongPeer, "it says it is %s", challenge.Node)
 	}
 	nonce := wire.Nonce()
 	proof := &wire.Proof{Node: self.Node, Entry: self.Incarnation, Nonce: nonce}
-	proof.MAC = wire.Prove(self.Secret, wire.Dialler, self.Node, self.Incarnation, nonce, challenge.Nonce)
-	if err := c.sendNow(proof); err != nil {
+	proof.MAC = wire.ComputeMAC(self.Secret, wire.Dialler, self.Node, self.Incarnation, nonce, challenge.Nonce)
+	if err := c.writeMessage(proof); err != nil {
 		return Remote{}, errors.Trace(err)
 	}
 	welcome, err := expect[*wire.Welcome](c)
 	if err != nil {
 		return Remote{}, errors.Trace(err)
 	}
-	want := wire.Prove(self.Secret, wire.Acceptor, challenge.Node, challenge.Incarnation, challenge.Nonce, nonce)
-	if !wire.Proved(welcome.MAC, want) {
+	want := wire.ComputeMAC(self.Secret, wire.Acceptor, challenge.Node, challenge.Incarnation, challenge.Nonce, nonce)
+	if !wire.EqualMAC(welcome.MAC, want) {
 		return Remote{}, ErrProof
 	}
 	remote := Remote{Node: challenge.Node, Incarnation: challenge.Incarnation, Time: welcome.Time}
 	return remote, errors.Trace(c.socket.SetReadDeadline(time.Time{}))
 }
 
-// accept proves the dialling side. Nothing else is read from a peer before.
-func (c *Conn) accept(self Identity, now func() clock.Millis) (Remote, error) {
+// acceptHandshake proves the dialling side. Nothing else is read from a peer before.
+func (c *Conn) acceptHandshake(self Identity, now func() clock.Millis) (Remote, error) {
 	if err := c.socket.SetReadDeadline(deadline(handshakeTimeout)); err != nil {
 		return Remote{}, errors.Trace(err)
 	}
 	nonce := wire.Nonce()
 	challenge := &wire.Challenge{Format: wire.Format, Node: self.Node, Incarnation: self.Incarnation, Nonce: nonce}
-	if err := c.sendNow(challenge); err != nil {
+	if err := c.writeMessage(challenge); err != nil {
 		return Remote{}, errors.Trace(err)
 	}
 	proof, err := expect[*wire.Proof](c)
 	if err != nil {
 		return Remote{}, errors.Trace(err)
 	}
-	want := wire.Prove(self.Secret, wire.Dialler, proof.Node, proof.Entry, proof.Nonce, nonce)
-	if len(proof.Nonce) != wire.NonceSize || !wire.Proved(proof.MAC, want) {
+	want := wire.ComputeMAC(self.Secret, wire.Dialler, proof.Node, proof.Entry, proof.Nonce, nonce)
+	if len(proof.Nonce) != wire.NonceSize || !wire.EqualMAC(proof.MAC, want) {
 		return Remote{}, ErrProof
 	}
-	mac := wire.Prove(self.Secret, wire.Acceptor, self.Node, self.Incarnation, nonce, proof.Nonce)
-	if err := c.sendNow(&wire.Welcome{MAC: mac, Time: now()}); err != nil {
+	mac := wire.ComputeMAC(self.Secret, wire.Acceptor, self.Node, self.Incarnation, nonce, proof.Nonce)
+	if err := c.writeMessage(&wire.Welcome{MAC: mac, Time: now()}); err != nil {
 		return Remote{}, errors.Trace(err)
 	}
 	remote := Remote{Node: proof.Node, Incarnation: proof.Entry}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -29,17 +29,19 @@
 	dispatched atomic.Int64
 }
 
-func (c *counter) Dispatch(uint64, *wire.Dispatch)       { c.dispatched.Add(1) }
-func (c *counter) Settle(uint64, *wire.Settle)           {}
-func (c *counter) Enquire(uint64, *wire.Enquiry)         {}
-func (c *counter) Waive(*wire.Waive)                     {}
-func (c *counter) Draw(uint64, *wire.Draw)               {}
-func (c *counter) Void(*wire.Void) *wire.Voided          { return &wire.Voided{} }
-func (c *counter) Beat(string, *wire.Beat)               {}
-func (c *counter) Status() wire.Beat                     { return wire.Beat{} }
-func (c *counter) Ask(*wire.Ask) (*wire.Edition, bool)   { return nil, false }
-func (c *counter) Edition(string, *wire.Edition)         {}
-func (c *counter) Crashes(*wire.Crashes) []*wire.Crashes { return nil }
+func (c *counter) Dispatch(uint64, *wire.Dispatch)             { c.dispatched.Add(1) }
+func (c *counter) Resolve(uint64, *wire.Resolve)               {}
+func (c *counter) ProbeCapacity(uint64, *wire.CapacityProbe)   {}
+func (c *counter) ReleaseReservation(*wire.ReleaseReservation) {}
+func (c *counter) RequestQuota(uint64, *wire.QuotaRequest)     {}
+func (c *counter) RevokeKey(*wire.KeyRevocation) *wire.KeyRevocationReply {
+	return &wire.KeyRevocationReply{}
+}
+func (c *counter) Heartbeat(string, *wire.Heartbeat)                          {}
+func (c *counter) Status() wire.Heartbeat                                     { return wire.Heartbeat{} }
+func (c *counter) RequestTable(*wire.TableRequest) (*wire.TableVersion, bool) { return nil, false }
+func (c *counter) ReceiveTable(string, *wire.TableVersion)                    {}
+func (c *counter) ReceiveCrashes(*wire.CrashReport) []*wire.CrashReport       { return nil }
 func identity(node, secret string) link.Identity {
 	return link.Identity{Node: node, Incarnation: 1, Secret: secret}
 }
@@ -76,7 +78,7 @@
 	t.Helper()
 	handler := &counter{}
 	s := link.NewServer(link.ServerConfig{
-		Identity: identity(claims, secret), Limit: limit, Beat: clock.Second, Now: clock.NewSystem().Now,
+		Identity: identity(claims, secret), MaxFrame: limit, HeartbeatInterval: clock.Second, Now: clock.NewSystem().Now,
 		Handler: handler, Log: logger(),
 	})
 	done := make(chan struct{})
@@ -103,7 +105,7 @@
 		want   error
 	}{
 		{"the node itself", "", secret, nil},
-		{"another node's identity", "10.0.0.9:7000", secret, link.ErrPeer},
+		{"another node's identity", "10.0.0.9:7000", secret, link.ErrWrongPeer},
 		{"another secret", "", "another sixteen!", nil},
 	}
 	for _, tt := range tests {
@@ -139,12 +141,12 @@
 		{"dispatch first", func(*wire.Challenge) wire.Message { return &wire.Dispatch{Upstream: "conferme-1"} }},
 		{"proof of another challenge", func(*wire.Challenge) wire.Message {
 			own, other := wire.Nonce(), wire.Nonce()
-			mac := wire.Prove(secret, wire.Dialler, "10.0.0.1:1", 1, own, other)
+			mac := wire.ComputeMAC(secret, wire.Dialler, "10.0.0.1:1", 1, own, other)
 			return &wire.Proof{Node: "10.0.0.1:1", Entry: 1, Nonce: own, MAC: mac}
 		}},
 		{"identity of another under a valid proof", func(c *wire.Challenge) wire.Message {
 			own := wire.Nonce()
-			mac := wire.Prove(secret, wire.Dialler, "10.0.0.1:1", 1, own, c.Nonce)
+			mac := wire.ComputeMAC(secret, wire.Dialler, "10.0.0.1:1", 1, own, c.Nonce)
 			return &wire.Proof{Node: "10.0.0.2:1", Entry: 1, Nonce: own, MAC: mac}
 		}},
 	}
@@ -210,15 +212,15 @@
 		self := identity("10.0.0.1:7000", secret)
 		self.Incarnation = uint64(i + 10)
 		peer := link.NewPeer(link.PeerConfig{
-			Address: address, Self: self, Limit: limit, Answer: limit, Beat: clock.Second, Now: clock.NewSystem().Now,
-			Status: func() wire.Beat { return wire.Beat{} }, Watcher: guest{number: i, invited: invited}, Log: logger(),
+			Address: address, Self: self, MaxFrame: limit, MaxReplyBody: limit, HeartbeatInterval: clock.Second, Now: clock.NewSystem().Now,
+			Status: func() wire.Heartbeat { return wire.Heartbeat{} }, Observer: guest{number: i, invited: invited}, Log: logger(),
 		})
 		go func() { _ = peer.Run(t.Context()) }()
 		peer.EnsureLink()
 	}
-	reach(t, func() bool { return server.Open() == entries })
+	reach(t, func() bool { return server.OpenLinks() == entries })
 	for range entries * rounds {
-		if !server.Invite(0, &wire.Invitation{Upstream: "conferme-1", For: clock.Second}) {
+		if !server.SendWorkRequest(0, &wire.WorkRequest{Upstream: "conferme-1", TTL: clock.Second}) {
 			t.Fatal("got an invitation not sent, want all sent")
 		}
 	}
@@ -241,7 +243,7 @@
 	invited chan int
 }
 
-func (g guest) PeerInvitation(*wire.Invitation) { g.invited <- g.number }
+func (g guest) PeerWorkRequest(*wire.WorkRequest) { g.invited <- g.number }
 
 // PeerPath drops the judgement: the test ends with links open.
 func (guest) PeerPath(string, path.State) {}
@@ -251,12 +253,12 @@
 	seen atomic.Bool
 }
 
-func (l *lost) PeerBeat(string, *wire.Beat)        {}
-func (l *lost) PeerUpstream(string, wire.Upstream) {}
-func (l *lost) PeerEdition(string, *wire.Edition)  {}
-func (l *lost) PeerInvitation(*wire.Invitation)    {}
-func (l *lost) PeerNews(*wire.News)                {}
-func (l *lost) PeerCrashes(*wire.Crashes)          {}
+func (l *lost) PeerHeartbeat(string, *wire.Heartbeat)       {}
+func (l *lost) PeerUpstream(string, wire.Upstream)          {}
+func (l *lost) PeerTableVersion(string, *wire.TableVersion) {}
+func (l *lost) PeerWorkRequest(*wire.WorkRequest)           {}
+func (l *lost) PeerStoreUpdate(*wire.StoreUpdate)           {}
+func (l *lost) PeerCrashReport(*wire.CrashReport)           {}
 func (l *lost) PeerPath(_ string, state path.State) {
 	l.seen.Store(l.seen.Load() || state == path.Lost)
 }
@@ -268,7 +270,7 @@
 	address, _ := serve(t, "")
 	const beat = clock.Millis(20)
 	watcher := &lost{}
-	peer, stop := runPeer(t, link.PeerConfig{Address: address, Beat: beat, Idle: beat, Watcher: watcher})
+	peer, stop := runPeer(t, link.PeerConfig{Address: address, HeartbeatInterval: beat, IdleTimeout: beat, Observer: watcher})
 	peer.EnsureLink()
 	reach(t, peer.Ready)
 	reach(t, func() bool { return !peer.Ready() })
@@ -291,7 +293,7 @@
 	_ = listener.Close()
 	const beat = clock.Millis(20)
 	states := make(chan path.State, 16)
-	peer, _ := runPeer(t, link.PeerConfig{Address: address, Beat: beat, Idle: 4 * beat, Watcher: watcher{states}})
+	peer, _ := runPeer(t, link.PeerConfig{Address: address, HeartbeatInterval: beat, IdleTimeout: 4 * beat, Observer: watcher{states}})
 	peer.EnsureLink()
 	for _, want := range []path.State{path.Lost, path.Good} {
 		select {
@@ -308,8 +310,8 @@
 // runPeer starts a peer that ends with the test, or by stop.
 func runPeer(t *testing.T, c link.PeerConfig) (peer *link.Peer, stop func()) {
 	t.Helper()
-	c.Self, c.Limit, c.Answer = identity("10.0.0.1:7000", secret), limit, limit
-	c.Now, c.Status, c.Log = clock.NewSystem().Now, func() wire.Beat { return wire.Beat{} }, logger()
+	c.Self, c.MaxFrame, c.MaxReplyBody = identity("10.0.0.1:7000", secret), limit, limit
+	c.Now, c.Status, c.Log = clock.NewSystem().Now, func() wire.Heartbeat { return wire.Heartbeat{} }, logger()
 	peer = link.NewPeer(c)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -330,13 +332,13 @@
 	states chan path.State
 }
 
-func (watcher) PeerBeat(string, *wire.Beat)           {}
-func (watcher) PeerUpstream(string, wire.Upstream)    {}
-func (watcher) PeerEdition(string, *wire.Edition)     {}
-func (watcher) PeerInvitation(*wire.Invitation)       {}
-func (watcher) PeerNews(*wire.News)                   {}
-func (watcher) PeerCrashes(*wire.Crashes)             {}
-func (w watcher) PeerPath(_ string, state path.State) { w.states <- state }
+func (watcher) PeerHeartbeat(string, *wire.Heartbeat)       {}
+func (watcher) PeerUpstream(string, wire.Upstream)          {}
+func (watcher) PeerTableVersion(string, *wire.TableVersion) {}
+func (watcher) PeerWorkRequest(*wire.WorkRequest)           {}
+func (watcher) PeerStoreUpdate(*wire.StoreUpdate)           {}
+func (watcher) PeerCrashReport(*wire.CrashReport)           {}
+func (w watcher) PeerPath(_ string, state path.State)       { w.states <- state }
 
 func reach(t *testing.T, reached func() bool) {
 	t.Helper()
--- a/link/peer.go
+++ b/link/peer.go
@@ -18,38 +18,38 @@
 const ErrNoLink = errors.ConstError("no link to the node")
 
 const (
-	// idleAfter closes a link that carried no request for so long: at the
+	// defaultIdleTimeout closes a link that carried no request for so long: at the
 	// size to design for, heartbeats to every node would not fit the bytes
 	// that control may take.
-	idleAfter = 30 * clock.Second
+	defaultIdleTimeout = 30 * clock.Second
 	// ticks of the judge within one heartbeat interval.
-	ticksPerBeat = 4
+	ticksPerHeartbeat = 4
 )
 
-// Waiter is told what becomes of a dispatch. Its methods must not block. A
+// DispatchObserver is told what becomes of a dispatch. Its methods must not block. A
 // dispatch ends with one Replied, Settled or Unsent call; Lost may come before.
-type Waiter interface {
+type DispatchObserver interface {
 	// Replied hands over the gate's whole answer.
 	Replied(r *wire.Reply)
-	// Settled says that the dispatch is voided, or that the gate can't vouch
+	// Resolved says that the dispatch is voided, or that the gate can't vouch
 	// for it.
-	Settled(voided bool)
-	// Unsent says that no link opened in time: nothing was sent.
-	Unsent()
-	// Lost says that the path is lost for now: an answer may still come.
-	Lost()
-	// Stalled says that the run most likely comes to no end: an answer may still come.
-	Stalled()
+	Resolved(voided bool)
+	// NotSent says that no link opened in time: nothing was sent.
+	NotSent()
+	// PathLost says that the path is lost for now: an answer may still come.
+	PathLost()
+	// Hung says that the run most likely comes to no end: an answer may still come.
+	Hung()
 }
 
-// Watcher is told what a peer says of itself. Its methods must not block.
-type Watcher interface {
-	PeerBeat(node string, b *wire.Beat)
+// PeerObserver is told what a peer says of itself. Its methods must not block.
+type PeerObserver interface {
+	PeerHeartbeat(node string, b *wire.Heartbeat)
 	PeerUpstream(node string, u wire.Upstream)
-	PeerEdition(node string, e *wire.Edition)
-	PeerInvitation(i *wire.Invitation)
-	PeerNews(n *wire.News)
-	PeerCrashes(c *wire.Crashes)
+	PeerTableVersion(node string, e *wire.TableVersion)
+	PeerWorkRequest(i *wire.WorkRequest)
+	PeerStoreUpdate(n *wire.StoreUpdate)
+	PeerCrashReport(c *wire.CrashReport)
 	PeerPath(node string, state path.State)
 }
 
@@ -58,68 +58,68 @@
 	// Address is the node's link address.
 	Address string
 	Self    Identity
-	// Idle closes a link that carried no request for so long; 0 stands for
+	// IdleTimeout closes a link that carried no request for so long; 0 stands for
 	// half a minute.
-	Idle clock.Millis
-	// Limit bounds a frame in bytes, Answer an answer's body.
-	Limit  int
-	Answer int
-	Beat   clock.Millis
-	// Redial is about how long after a failed dial the next one is due; 0 stands
+	IdleTimeout clock.Millis
+	// MaxFrame bounds a frame in bytes, Answer an answer's body.
+	MaxFrame          int
+	MaxReplyBody      int
+	HeartbeatInterval clock.Millis
+	// RedialDelay is about how long after a failed dial the next one is due; 0 stands
 	// for Beat.
-	Redial clock.Millis
-	Seed   uint64
-	Now    func() clock.Millis
+	RedialDelay clock.Millis
+	Seed        uint64
+	Now         func() clock.Millis
 	// Status returns what this node's own heartbeats say.
-	Status  func() wire.Beat
-	Watcher Watcher
-	Log     logrus.FieldLogger
+	Status   func() wire.Heartbeat
+	Observer PeerObserver
+	Log      logrus.FieldLogger
 }
 
 // Peer is the entry's side of the links to one node. Run drives it.
 type Peer struct {
-	config PeerConfig
-	log    logrus.FieldLogger
-	need   chan struct{}
+	config          PeerConfig
+	log             logrus.FieldLogger
+	connectRequests chan struct{}
 
-	telling   sync.Mutex // held while a change of the path is told; taken before mu
-	mu        sync.Mutex
-	conn      *Conn
-	dialling  bool
-	judge     *path.Judge
-	probe     path.Probe
-	checking  bool // a check of the probe is due
-	state     path.State
-	estimate  lease.ClockEstimate
-	pending   map[lease.Key]*pending
-	voids     map[wire.RequestID]*voiding
-	enquiries questions[lease.Key, wire.Hold]
-	draws     questions[uint64, wire.Drawn]
-	used      clock.Millis
-	heard     clock.Millis
+	notifyMu       sync.Mutex // held while a change of the path is told; taken before mu
+	mu             sync.Mutex
+	conn           *Conn
+	dialling       bool
+	detector       *path.Detector
+	probe          path.Probe
+	checkScheduled bool // a check of the probe is due
+	state          path.State
+	estimate       lease.ClockEstimate
+	pending        map[lease.Key]*pendingDispatch
+	revocations    map[wire.RequestID]*pendingRevocation
+	capacityProbes pendingRequests[lease.Key, wire.Reservation]
+	quotaRequests  pendingRequests[uint64, wire.QuotaGrant]
+	lastUsed       clock.Millis
+	lastPeerTime   clock.Millis
 }
 
 // NewPeer returns a peer without a link; Run opens one on first need.
 func NewPeer(c PeerConfig) *Peer {
-	if c.Idle == 0 {
-		c.Idle = idleAfter
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = defaultIdleTimeout
 	}
 	return &Peer{
-		config:    c,
-		log:       c.Log.WithField("peer", c.Address),
-		need:      make(chan struct{}, 1),
-		judge:     c.judge(),
-		pending:   map[lease.Key]*pending{},
-		voids:     map[wire.RequestID]*voiding{},
-		enquiries: questions[lease.Key, wire.Hold]{},
-		draws:     questions[uint64, wire.Drawn]{},
-		used:      c.Now() - c.Idle - 1, // not needed yet
+		config:          c,
+		log:             c.Log.WithField("peer", c.Address),
+		connectRequests: make(chan struct{}, 1),
+		detector:        c.newDetector(),
+		pending:         map[lease.Key]*pendingDispatch{},
+		revocations:     map[wire.RequestID]*pendingRevocation{},
+		capacityProbes:  pendingRequests[lease.Key, wire.Reservation]{},
+		quotaRequests:   pendingRequests[uint64, wire.QuotaGrant]{},
+		lastUsed:        c.Now() - c.IdleTimeout - 1, // not needed yet
 	}
 }
 
-// judge returns a judge that knows nothing of the peer.
-func (c *PeerConfig) judge() *path.Judge {
-	return path.New(path.Config{Beat: c.Beat, Redial: c.Redial, Seed: c.Seed})
+// newDetector returns a judge that knows nothing of the peer.
+func (c *PeerConfig) newDetector() *path.Detector {
+	return path.New(path.Config{HeartbeatInterval: c.HeartbeatInterval, RedialDelay: c.RedialDelay, Seed: c.Seed})
 }
 
 // Address returns the node's link address.
@@ -134,16 +134,16 @@
 	return p.conn != nil
 }
 
-// Wake asks for an open link, without anything to send yet.
-func (p *Peer) Wake() {
+// Connect asks for an open link, without anything to send yet.
+func (p *Peer) Connect() {
 	select {
-	case p.need <- struct{}{}:
+	case p.connectRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Ask asks the node for a table edition that goes before the named one.
-func (p *Peer) Ask(a wire.Ask) {
+// RequestTable asks the node for a table edition that goes before the named one.
+func (p *Peer) RequestTable(a wire.TableRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
@@ -151,8 +151,8 @@
 	}
 }
 
-// Offer sends the node an edition that it didn't ask for.
-func (p *Peer) Offer(e *wire.Edition) {
+// SendTable sends the node an edition that it didn't ask for.
+func (p *Peer) SendTable(e *wire.TableVersion) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// TellCrashes tells the node of crashes over an open link.
-func (p *Peer) TellCrashes(c *wire.Crashes) {
+// SendCrashes tells the node of crashes over an open link.
+func (p *Peer) SendCrashes(c *wire.CrashReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
@@ -172,40 +172,40 @@
 // EnsureLink asks for an open link and keeps it, as a request would.
 func (p *Peer) EnsureLink() {
 	p.mu.Lock()
-	p.used = p.config.Now()
+	p.lastUsed = p.config.Now()
 	p.mu.Unlock()
-	p.Wake()
+	p.Connect()
 }
 
 // Run keeps the link as long as it is needed, until the context ends.
 func (p *Peer) Run(ctx context.Context) error {
-	defer p.drop()
-	span := (p.config.Beat / ticksPerBeat).Duration()
+	defer p.closeConn()
+	span := (p.config.HeartbeatInterval / ticksPerHeartbeat).Duration()
 	ticker := time.NewTicker(span)
 	defer ticker.Stop()
 	beat := 0
 	for {
-		if p.resting() {
+		if p.isQuiescent() {
 			ticker.Stop()
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.need:
+		case <-p.connectRequests:
 			ticker.Reset(span)
-			p.open(ctx)
+			p.dialIfDue(ctx)
 		case <-ticker.C:
 			p.tick(ctx)
-			if beat++; beat%ticksPerBeat == 0 {
-				p.sendBeat()
+			if beat++; beat%ticksPerHeartbeat == 0 {
+				p.sendHeartbeat()
 			}
 		}
 	}
 }
 
-// resting reports whether there is nothing to watch: at the size to design for
+// isQuiescent reports whether there is nothing to watch: at the size to design for
 // a node has thousands of peers, and few of them are in use at a time.
-func (p *Peer) resting() bool {
+func (p *Peer) isQuiescent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conn == nil && !p.dialling && p.state == path.Good && p.idle()
@@ -213,10 +213,10 @@
 
 // idle reports whether no request has needed the peer for a while.
 func (p *Peer) idle() bool {
-	return p.config.Now()-p.used > p.config.Idle && len(p.pending) == 0
+	return p.config.Now()-p.lastUsed > p.config.IdleTimeout && len(p.pending) == 0
 }
 
-func (p *Peer) drop() {
+func (p *Peer) closeConn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
@@ -241,18 +241,18 @@
 		// The quiet from here on says nothing about the peer. Nor does an old
 		// loss: no entry chooses an upstream that is out of reach, so nobody
 		// would ever need, and dial, it again.
-		p.judge = p.config.judge()
+		p.detector = p.config.newDetector()
 	}
 	p.mu.Unlock()
-	state := p.review()
+	state := p.updateState()
 	switch {
 	case idle:
 	case !open, state != path.Good:
-		p.open(ctx)
+		p.dialIfDue(ctx)
 	}
 }
 
-func (p *Peer) sendBeat() {
+func (p *Peer) sendHeartbeat() {
 	if !p.Ready() {
 		return
 	}
@@ -264,66 +264,66 @@
 	if p.conn == nil {
 		return
 	}
-	b.Heard = p.heard
+	b.Echo = p.lastPeerTime
 	_ = p.conn.Send(&b) // a full queue shows at the judge as an overdue answer
 }
 
 func (p *Peer) handle(conn *Conn, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Reply:
-		p.reply(m)
+		p.handleReply(m)
 	case *wire.Chunk:
-		p.chunk(m)
-	case *wire.Settled:
-		p.settled(m)
-	case *wire.Voided:
-		p.voided(m)
-	case *wire.Hold:
-		p.held(m)
-	case *wire.Drawn:
-		p.drawn(m)
-	case *wire.Stalled:
-		p.stalled(m)
-	case *wire.Beat:
-		p.beat(m)
+		p.handleChunk(m)
+	case *wire.Resolution:
+		p.handleResolution(m)
+	case *wire.KeyRevocationReply:
+		p.handleRevocationReply(m)
+	case *wire.Reservation:
+		p.handleReservation(m)
+	case *wire.QuotaGrant:
+		p.handleQuotaGrant(m)
+	case *wire.HungRun:
+		p.handleHungRun(m)
+	case *wire.Heartbeat:
+		p.handleHeartbeat(m)
 		if m.Leaving {
-			p.sendBeat() // it waits to know that nothing more comes
+			p.sendHeartbeat() // it waits to know that nothing more comes
 		}
-		p.config.Watcher.PeerBeat(p.config.Address, m)
-	case *wire.Edition:
-		p.config.Watcher.PeerEdition(p.config.Address, m)
-	case *wire.Invitation:
-		p.config.Watcher.PeerInvitation(m)
-	case *wire.News:
-		p.news(m)
-	case *wire.Crashes:
-		p.config.Watcher.PeerCrashes(m)
+		p.config.Observer.PeerHeartbeat(p.config.Address, m)
+	case *wire.TableVersion:
+		p.config.Observer.PeerTableVersion(p.config.Address, m)
+	case *wire.WorkRequest:
+		p.config.Observer.PeerWorkRequest(m)
+	case *wire.StoreUpdate:
+		p.handleStoreUpdate(m)
+	case *wire.CrashReport:
+		p.config.Observer.PeerCrashReport(m)
 	default:
 		conn.Close()
 	}
 }
 
-// news hands on what the peer has learned. What a stalled path or a pause of this
+// handleStoreUpdate hands on what the peer has learned. What a stalled path or a pause of this
 // process has held up is older than the peer says.
-func (p *Peer) news(n *wire.News) {
+func (p *Peer) handleStoreUpdate(n *wire.StoreUpdate) {
 	now := p.config.Now()
 	p.mu.Lock()
-	p.judge.Heard(now)
+	p.detector.Received(now)
 	if p.estimate.Known() {
 		n.Age += max(p.estimate.At(now)-n.Time, 0)
 	}
 	p.mu.Unlock()
-	p.config.Watcher.PeerNews(n)
+	p.config.Observer.PeerStoreUpdate(n)
 }
 
-func (p *Peer) beat(b *wire.Beat) {
+func (p *Peer) handleHeartbeat(b *wire.Heartbeat) {
 	now := p.config.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard = b.Time
-	p.judge.Heard(now)
-	if b.Heard > 0 {
-		p.judge.Echoed(now, b.Heard)
+	p.lastPeerTime = b.Time
+	p.detector.Received(now)
+	if b.Echo > 0 {
+		p.detector.Echoed(now, b.Echo)
 	}
 	if p.estimate.Known() {
 		p.estimate.Update(now, p.estimate.Incarnation(), b.Time)
--- a/link/probe.go
+++ b/link/probe.go
@@ -27,61 +27,61 @@
 	})
 }
 
-// watch begins to check the path, as a message was sent that the peer will answer. The
+// startProbe begins to check the path, as a message was sent that the peer will answer. The
 // peer's lock is held.
-func (p *Peer) watch(now clock.Millis) {
+func (p *Peer) startProbe(now clock.Millis) {
 	p.probe.Sent(now)
-	if !p.checking {
-		p.checking = true
-		time.AfterFunc(path.PingAfter.Duration(), p.check)
+	if !p.checkScheduled {
+		p.checkScheduled = true
+		time.AfterFunc(path.PingDelay.Duration(), p.checkProbe)
 	}
 }
 
-// check pings the peer where something has been unanswered for too long, and takes the
+// checkProbe pings the peer where something has been unanswered for too long, and takes the
 // path for lost when the ping is, too.
-func (p *Peer) check() {
+func (p *Peer) checkProbe() {
 	p.mu.Lock()
 	now := p.config.Now()
 	action, after := p.probe.Check(now)
-	p.checking = after > 0
-	if p.checking {
-		time.AfterFunc(after.Duration(), p.check)
+	p.checkScheduled = after > 0
+	if p.checkScheduled {
+		time.AfterFunc(after.Duration(), p.checkProbe)
 	}
 	conn := p.conn
-	if action == path.Stall && conn != nil {
-		p.judge.Stalled(now)
+	if action == path.DeclareLost && conn != nil {
+		p.detector.PingTimedOut(now)
 	}
 	p.mu.Unlock()
 	switch {
 	case conn == nil:
 	case action == path.Ping:
 		_ = conn.Ping(now) // one that can't be sent isn't answered
-	case action == path.Stall:
-		p.review()
+	case action == path.DeclareLost:
+		p.updateState()
 	}
 }
 
-// ponged takes in that the peer has answered a ping: the path works both ways.
-func (p *Peer) ponged(at clock.Millis) {
+// handlePong takes in that the peer has answered a ping: the path works both ways.
+func (p *Peer) handlePong(at clock.Millis) {
 	now := p.config.Now()
 	p.mu.Lock()
-	p.probe.Proved(at)
-	p.judge.Heard(now)
-	p.judge.Echoed(now, now)
+	p.probe.Answered(at)
+	p.detector.Received(now)
+	p.detector.Echoed(now, now)
 	isLost := p.state == path.Lost
 	p.mu.Unlock()
 	if isLost {
-		p.review()
+		p.updateState()
 	}
 }
 
-// review tells the watcher if the path's state has changed. Changes are told one after the
+// updateState tells the watcher if the path's state has changed. Changes are told one after the
 // other: overtaken by an older one, the newest would not stand.
-func (p *Peer) review() path.State {
-	p.telling.Lock()
-	defer p.telling.Unlock()
+func (p *Peer) updateState() path.State {
+	p.notifyMu.Lock()
+	defer p.notifyMu.Unlock()
 	p.mu.Lock()
-	state := p.judge.State(p.config.Now())
+	state := p.detector.State(p.config.Now())
 	changed := state != p.state
 	p.state = state
 	p.mu.Unlock()
--- a/link/probe_test.go
+++ b/link/probe_test.go
@@ -17,10 +17,10 @@
 }
 
 func (*waiting) Replied(*wire.Reply) {}
-func (*waiting) Settled(bool)        {}
-func (*waiting) Unsent()             {}
-func (w *waiting) Lost()             { w.lost <- struct{}{} }
-func (*waiting) Stalled()            {}
+func (*waiting) Resolved(bool)       {}
+func (*waiting) NotSent()            {}
+func (w *waiting) PathLost()         { w.lost <- struct{}{} }
+func (*waiting) Hung()               {}
 
 // A path is cut in one direction, and requests on it waited until heartbeats were missed,
 // most of them for their whole deadline. Heartbeats are an hour apart here.
@@ -51,7 +51,7 @@
 	peer, _, states := linked(t)
 	w := &waiting{lost: make(chan struct{}, 1)}
 	send(t, peer, w)
-	<-time.After((2 * (path.PingAfter + path.StallAfter)).Duration())
+	<-time.After((2 * (path.PingDelay + path.PingTimeout)).Duration())
 	select {
 	case got := <-states:
 		t.Errorf("got state %v, want no change", got)
@@ -61,7 +61,7 @@
 	}
 }
 
-func send(t *testing.T, peer *link.Peer, w link.Waiter) {
+func send(t *testing.T, peer *link.Peer, w link.DispatchObserver) {
 	t.Helper()
 	d := &wire.Dispatch{ID: wire.RequestID{Entry: 1, Seq: 1}, Attempt: 1, Budget: clock.Hour, Upstream: "c1", URI: "/turni"}
 	if err := peer.Dispatch(d, w); err != nil {
@@ -87,7 +87,7 @@
 	t.Helper()
 	relay := serveBehindRelay(t)
 	states := make(chan path.State, 16)
-	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), Beat: clock.Hour, Watcher: watcher{states}})
+	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), HeartbeatInterval: clock.Hour, Observer: watcher{states}})
 	peer.EnsureLink()
 	reach(t, peer.Ready)
 	return peer, relay, states
@@ -113,7 +113,7 @@
 	relay := serveBehindRelay(t)
 	states := make(chan path.State, 16)
 	w := &slowWatcher{watcher: watcher{states}, entered: make(chan struct{}, 16), release: make(chan struct{})}
-	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), Beat: clock.Second, Redial: 20, Watcher: w})
+	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), HeartbeatInterval: clock.Second, RedialDelay: 20, Observer: w})
 	peer.EnsureLink()
 	reach(t, peer.Ready)
 	relay.SetMode(standin.BlackholeOpen)
@@ -121,7 +121,7 @@
 	<-w.entered
 	<-time.After(time.Second)
 	close(w.release)
-	last := path.Doubted
+	last := path.Suspected
 	reach(t, func() bool {
 		for len(states) > 0 {
 			last = <-states
--- a/link/resend.go
+++ b/link/resend.go
@@ -9,30 +9,30 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// VoidWaiter is told what a node knows of a key. One of its methods is called
+// RevocationObserver is told what a node knows of a key. One of its methods is called
 // once, or none; they must not block.
-type VoidWaiter interface {
-	Voided(v *wire.Voided)
-	// Unasked says that no link could be opened.
-	Unasked()
+type RevocationObserver interface {
+	Revoked(v *wire.KeyRevocationReply)
+	// NotSent says that no link could be opened.
+	NotSent()
 }
 
-type voiding struct {
-	message *wire.Void
-	waiter  VoidWaiter
+type pendingRevocation struct {
+	message  *wire.KeyRevocation
+	observer RevocationObserver
 }
 
 // RevokeKey asks the node about a resend's key. The question goes out again on each
 // new link until it is answered or forgotten: asking twice changes nothing. It
 // returns ErrNoLink when the node is out of reach now.
-func (p *Peer) RevokeKey(v *wire.Void, patience clock.Millis, w VoidWaiter) error {
+func (p *Peer) RevokeKey(v *wire.KeyRevocation, patience clock.Millis, w RevocationObserver) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
-	p.used = now
+	p.lastUsed = now
 	if p.conn == nil {
-		p.Wake()
-		if p.state == path.Lost || len(p.voids) >= queueLength {
+		p.Connect()
+		if p.state == path.Lost || len(p.revocations) >= queueLength {
 			return ErrNoLink
 		}
 	}
@@ -41,10 +41,10 @@
 			return errors.Trace(err)
 		}
 	}
-	p.voids[v.ID] = &voiding{message: v, waiter: w}
+	p.revocations[v.ID] = &pendingRevocation{message: v, observer: w}
 	// An overdue answer makes the judge try a new link, while the entry can
 	// still wait for an answer on it.
-	p.judge.Sent(now, judged(voidKey(v.ID)), now+patience/2)
+	p.detector.Sent(now, detectorID(revocationKey(v.ID)), now+patience/2)
 	return nil
 }
 
@@ -52,52 +52,52 @@
 func (p *Peer) ForgetRevocation(id wire.RequestID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.removeVoid(id)
+	p.removeRevocation(id)
 }
 
-func (p *Peer) removeVoid(id wire.RequestID) {
-	if _, ok := p.voids[id]; ok {
-		delete(p.voids, id)
-		p.judge.Settled(p.config.Now(), judged(voidKey(id)))
+func (p *Peer) removeRevocation(id wire.RequestID) {
+	if _, ok := p.revocations[id]; ok {
+		delete(p.revocations, id)
+		p.detector.Completed(p.config.Now(), detectorID(revocationKey(id)))
 	}
 }
 
-// voidKey is the key by which the path's judge knows a question: attempts
+// revocationKey is the key by which the path's judge knows a question: attempts
 // count from 1.
-func voidKey(id wire.RequestID) lease.Key {
+func revocationKey(id wire.RequestID) lease.Key {
 	return id.Key(0)
 }
 
-// askAgain sends the open questions on a new link.
-func (p *Peer) askAgain(conn *Conn) {
+// resendRevocations sends the open questions on a new link.
+func (p *Peer) resendRevocations(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.voids {
+	for _, one := range p.revocations {
 		_ = conn.Send(one.message) // a link that fails again is replaced again
 	}
 }
 
-// giveUp ends the open questions: no link can be opened now.
-func (p *Peer) giveUp() {
+// failRevocations ends the open questions: no link can be opened now.
+func (p *Peer) failRevocations() {
 	p.mu.Lock()
-	waiters := make([]VoidWaiter, 0, len(p.voids))
-	for id, one := range p.voids {
-		waiters = append(waiters, one.waiter)
-		p.removeVoid(id)
+	waiters := make([]RevocationObserver, 0, len(p.revocations))
+	for id, one := range p.revocations {
+		waiters = append(waiters, one.observer)
+		p.removeRevocation(id)
 	}
 	p.mu.Unlock()
 	for _, w := range waiters {
-		w.Unasked()
+		w.NotSent()
 	}
 }
 
-func (p *Peer) voided(v *wire.Voided) {
+func (p *Peer) handleRevocationReply(v *wire.KeyRevocationReply) {
 	p.mu.Lock()
-	p.judge.Heard(p.config.Now())
-	one, ok := p.voids[v.ID]
-	p.removeVoid(v.ID)
+	p.detector.Received(p.config.Now())
+	one, ok := p.revocations[v.ID]
+	p.removeRevocation(v.ID)
 	p.mu.Unlock()
 	if ok {
-		one.waiter.Voided(v)
+		one.observer.Revoked(v)
 	}
 }
