--- a/link/server.go
+++ b/link/server.go
@@ -20,37 +20,37 @@
 type Handler interface {
 	// Dispatch takes in a request; the answer goes out by Server.Answer.
 	Dispatch(entry uint64, d *wire.Dispatch)
-	Settle(entry uint64, s *wire.Settle)
-	// Enquire keeps a slot for a dispatch, or says why not; the answer goes out by
+	Resolve(entry uint64, s *wire.Resolve)
+	// ProbeCapacity keeps a slot for a dispatch, or says why not; the answer goes out by
 	// Server.Held.
-	Enquire(entry uint64, e *wire.Enquiry)
-	Waive(w *wire.Waive)
-	// Draw asks for leave to send requests of a client account; the answer goes out by
+	ProbeCapacity(entry uint64, e *wire.CapacityProbe)
+	ReleaseReservation(w *wire.ReleaseReservation)
+	// RequestQuota asks for leave to send requests of a client account; the answer goes out by
 	// Server.Drawn.
-	Draw(entry uint64, d *wire.Draw)
-	// Void says what is known of a resend's key and forbids earlier sends.
-	Void(v *wire.Void) *wire.Voided
-	// Beat takes a heartbeat in. The peer's link address is node.
-	Beat(node string, b *wire.Beat)
+	RequestQuota(entry uint64, d *wire.QuotaRequest)
+	// RevokeKey says what is known of a resend's key and forbids earlier sends.
+	RevokeKey(v *wire.KeyRevocation) *wire.KeyRevocationReply
+	// Heartbeat takes a heartbeat in. The peer's link address is node.
+	Heartbeat(node string, b *wire.Heartbeat)
 	// Status returns what this node's own heartbeats say; Time and Heard are
 	// filled in by the link.
-	Status() wire.Beat
-	// Ask returns the table edition in force, if it is newer.
-	Ask(a *wire.Ask) (*wire.Edition, bool)
-	Edition(node string, e *wire.Edition)
-	// Crashes takes in what a peer tells of crashes, and returns what it is to hear.
-	Crashes(c *wire.Crashes) []*wire.Crashes
+	Status() wire.Heartbeat
+	// RequestTable returns the table edition in force, if it is newer.
+	RequestTable(a *wire.TableRequest) (*wire.TableVersion, bool)
+	ReceiveTable(node string, e *wire.TableVersion)
+	// ReceiveCrashes takes in what a peer tells of crashes, and returns what it is to hear.
+	ReceiveCrashes(c *wire.CrashReport) []*wire.CrashReport
 }
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
 	Identity Identity
-	// Limit bounds a frame in bytes.
-	Limit   int
-	Beat    clock.Millis
-	Now     func() clock.Millis
-	Handler Handler
-	Log     logrus.FieldLogger
+	// MaxFrame bounds a frame in bytes.
+	MaxFrame          int
+	HeartbeatInterval clock.Millis
+	Now               func() clock.Millis
+	Handler           Handler
+	Log               logrus.FieldLogger
 }
 
 // Server accepts links from the entries of other nodes.
@@ -62,19 +62,19 @@
 	mu sync.Mutex
 	// latest holds the newest link of each entry: answers go there, so that an
 	// entry that replaced a silent link gets them on the new one.
-	latest map[uint64]*Conn
-	all    map[*Conn]*session
+	latest   map[uint64]*Conn
+	sessions map[*Conn]*session
 	// entries are those of latest; turn counts the invitations for any of them.
-	entries []uint64
-	turn    int
+	entries   []uint64
+	nextIndex int
 }
 
 // NewServer returns a server that isn't listening yet.
 func NewServer(c ServerConfig) *Server {
 	s := &Server{
-		config: c,
-		latest: map[uint64]*Conn{},
-		all:    map[*Conn]*session{},
+		config:   c,
+		latest:   map[uint64]*Conn{},
+		sessions: map[*Conn]*session{},
 		upgrader: websocket.FastHTTPUpgrader{
 			ReadBufferSize:  bufferSize,
 			WriteBufferSize: bufferSize,
@@ -86,17 +86,17 @@
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    handshakeLimit,
 		ReadTimeout:           handshakeTimeout.Duration(),
-		Logger:                quiet{},
+		Logger:                discardLogger{},
 	}
 	return s
 }
 
-// quiet drops what the HTTP library logs of malformed handshakes: anything may
+// discardLogger drops what the HTTP library logs of malformed handshakes: anything may
 // connect to a port, and it must not fill the log.
-type quiet struct{}
+type discardLogger struct{}
 
 // Printf drops a line.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Serve accepts links until the listener is closed.
 func (s *Server) Serve(listener net.Listener) error {
@@ -106,8 +106,8 @@
 // Close ends all links.
 func (s *Server) Close() {
 	s.mu.Lock()
-	conns := make([]*Conn, 0, len(s.all))
-	for c := range s.all {
+	conns := make([]*Conn, 0, len(s.sessions))
+	for c := range s.sessions {
 		conns = append(conns, c)
 	}
 	s.mu.Unlock()
@@ -116,13 +116,13 @@
 	}
 }
 
-// Echoed reports whether all peers with a link have heard a heartbeat of since or
+// HeartbeatEchoed reports whether all peers with a link have heard a heartbeat of since or
 // later. What a peer sent before it heard one has arrived then: frames keep their
 // order.
-func (s *Server) Echoed(since clock.Millis) bool {
+func (s *Server) HeartbeatEchoed(since clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.all {
+	for _, one := range s.sessions {
 		one.mu.Lock()
 		echoed := one.echoed
 		one.mu.Unlock()
@@ -133,11 +133,11 @@
 	return true
 }
 
-// Open returns how many links are open.
-func (s *Server) Open() int {
+// OpenLinks returns how many links are open.
+func (s *Server) OpenLinks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.all)
+	return len(s.sessions)
 }
 
 func (s *Server) upgrade(ctx *fasthttp.RequestCtx) {
@@ -152,10 +152,10 @@
 }
 
 func (s *Server) serve(socket *websocket.Conn) {
-	c := newConn(socket, s.config.Limit)
+	c := newConn(socket, s.config.MaxFrame)
 	defer c.Close()
 	log := s.config.Log.WithField("remote", c.Remote().String())
-	remote, err := c.accept(s.config.Identity, s.config.Now)
+	remote, err := c.acceptHandshake(s.config.Identity, s.config.Now)
 	if err != nil {
 		log.WithError(err).Warn("link refused")
 		return
@@ -172,7 +172,7 @@
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go session.beat(ctx)
+	go session.runHeartbeats(ctx)
 	err = c.read(session.handle)
 	log.WithError(err).WithField("peer", remote.Node).Debug("link ended")
 }
@@ -184,22 +184,22 @@
 		s.entries = append(s.entries, one.remote.Incarnation)
 	}
 	s.latest[one.remote.Incarnation] = one.conn
-	s.all[one.conn] = one
+	s.sessions[one.conn] = one
 }
 
 func (s *Server) unregister(entry uint64, c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.all, c)
+	delete(s.sessions, c)
 	if s.latest[entry] == c {
 		delete(s.latest, entry)
 		s.entries = slices.DeleteFunc(s.entries, func(other uint64) bool { return other == entry })
 	}
 }
 
-// Answer sends a reply to an entry over its newest link. An entry without a
+// SendReply sends a reply to an entry over its newest link. An entry without a
 // link asks for the outcome when it is back.
-func (s *Server) Answer(entry uint64, r *wire.Reply) {
+func (s *Server) SendReply(entry uint64, r *wire.Reply) {
 	s.mu.Lock()
 	c, ok := s.latest[entry]
 	s.mu.Unlock()
@@ -212,23 +212,23 @@
 	}
 }
 
-// Settled sends a settlement to an entry. One without an answer asks again.
-func (s *Server) Settled(entry uint64, m *wire.Settled) {
+// SendResolution sends a settlement to an entry. One without an answer asks again.
+func (s *Server) SendResolution(entry uint64, m *wire.Resolution) {
 	s.send(entry, m)
 }
 
-// Held sends the answer to an enquiry. An entry without one goes elsewhere.
-func (s *Server) Held(entry uint64, h *wire.Hold) {
+// SendReservation sends the answer to an enquiry. An entry without one goes elsewhere.
+func (s *Server) SendReservation(entry uint64, h *wire.Reservation) {
 	s.send(entry, h)
 }
 
-// Stalled tells an entry that a run most likely comes to no end.
-func (s *Server) Stalled(entry uint64, m *wire.Stalled) {
+// SendHungRun tells an entry that a run most likely comes to no end.
+func (s *Server) SendHungRun(entry uint64, m *wire.HungRun) {
 	s.send(entry, m)
 }
 
-// Drawn sends the answer to a draw. An entry without one asks elsewhere.
-func (s *Server) Drawn(entry uint64, d *wire.Drawn) {
+// SendQuotaGrant sends the answer to a draw. An entry without one asks elsewhere.
+func (s *Server) SendQuotaGrant(entry uint64, d *wire.QuotaGrant) {
 	s.send(entry, d)
 }
 
@@ -241,9 +241,9 @@
 	}
 }
 
-// Invite sends an invitation to an entry, or for entry 0 to the one whose turn it is
+// SendWorkRequest sends an invitation to an entry, or for entry 0 to the one whose turn it is
 // of all that have a link. It returns false without a link to it.
-func (s *Server) Invite(entry uint64, i *wire.Invitation) bool {
+func (s *Server) SendWorkRequest(entry uint64, i *wire.WorkRequest) bool {
 	s.mu.Lock()
 	if entry == 0 {
 		entry = s.nextEntry()
@@ -259,12 +259,12 @@
 	if len(s.entries) == 0 {
 		return 0
 	}
-	s.turn++
-	return s.entries[s.turn%len(s.entries)]
+	s.nextIndex++
+	return s.entries[s.nextIndex%len(s.entries)]
 }
 
-// Tell sends news to all entries with a link.
-func (s *Server) Tell(n *wire.News) {
+// BroadcastUpdate sends news to all entries with a link.
+func (s *Server) BroadcastUpdate(n *wire.StoreUpdate) {
 	n.Time = s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,9 +273,9 @@
 	}
 }
 
-// TellCrashes sends what is known of crashes to all entries with a link. What is sent to
+// BroadcastCrashes sends what is known of crashes to all entries with a link. What is sent to
 // one of them after it, such as the reply to a run that crashed, arrives later.
-func (s *Server) TellCrashes(c *wire.Crashes) {
+func (s *Server) BroadcastCrashes(c *wire.CrashReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.latest {
@@ -310,8 +310,8 @@
 	conn   *Conn
 	remote Remote
 
-	mu    sync.Mutex
-	heard clock.Millis
+	mu           sync.Mutex
+	lastPeerTime clock.Millis
 	// echoed is this node's time on the last heartbeat that the peer has heard.
 	echoed clock.Millis
 }
@@ -321,29 +321,29 @@
 	switch m := m.(type) {
 	case *wire.Dispatch:
 		h.Dispatch(s.remote.Incarnation, m)
-	case *wire.Settle:
-		h.Settle(s.remote.Incarnation, m)
-	case *wire.Enquiry:
-		h.Enquire(s.remote.Incarnation, m)
-	case *wire.Waive:
-		h.Waive(m)
-	case *wire.Draw:
-		h.Draw(s.remote.Incarnation, m)
-	case *wire.Void:
-		_ = s.conn.Send(h.Void(m)) // asked again on a new link
-	case *wire.Beat:
+	case *wire.Resolve:
+		h.Resolve(s.remote.Incarnation, m)
+	case *wire.CapacityProbe:
+		h.ProbeCapacity(s.remote.Incarnation, m)
+	case *wire.ReleaseReservation:
+		h.ReleaseReservation(m)
+	case *wire.QuotaRequest:
+		h.RequestQuota(s.remote.Incarnation, m)
+	case *wire.KeyRevocation:
+		_ = s.conn.Send(h.RevokeKey(m)) // asked again on a new link
+	case *wire.Heartbeat:
 		s.mu.Lock()
-		s.heard, s.echoed = m.Time, max(s.echoed, m.Heard)
+		s.lastPeerTime, s.echoed = m.Time, max(s.echoed, m.Echo)
 		s.mu.Unlock()
-		h.Beat(s.remote.Node, m)
-	case *wire.Ask:
-		if e, ok := h.Ask(m); ok {
+		h.Heartbeat(s.remote.Node, m)
+	case *wire.TableRequest:
+		if e, ok := h.RequestTable(m); ok {
 			_ = s.conn.Send(e) // the peer asks again after the next heartbeat
 		}
-	case *wire.Edition:
-		h.Edition(s.remote.Node, m)
-	case *wire.Crashes:
-		for _, c := range h.Crashes(m) {
+	case *wire.TableVersion:
+		h.ReceiveTable(s.remote.Node, m)
+	case *wire.CrashReport:
+		for _, c := range h.ReceiveCrashes(m) {
 			_ = s.conn.Send(c) // the peer asks again after a heartbeat
 		}
 	default:
@@ -351,13 +351,13 @@
 	}
 }
 
-// beat sends this side's heartbeats on its own, not as answers, so that a peer
+// runHeartbeats sends this side's heartbeats on its own, not as answers, so that a peer
 // whose frames are lost on the way here still hears that they are.
-func (s *session) beat(ctx context.Context) {
-	ticker := time.NewTicker(s.server.config.Beat.Duration())
+func (s *session) runHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(s.server.config.HeartbeatInterval.Duration())
 	defer ticker.Stop()
 	for {
-		s.sendBeat()
+		s.sendHeartbeat()
 		select {
 		case <-ctx.Done():
 			return
@@ -368,22 +368,22 @@
 	}
 }
 
-func (s *session) sendBeat() {
+func (s *session) sendHeartbeat() {
 	b := s.server.config.Handler.Status()
 	b.Time = s.server.config.Now()
 	s.mu.Lock()
-	b.Heard = s.heard
+	b.Echo = s.lastPeerTime
 	s.mu.Unlock()
 	_ = s.conn.Send(&b) // a full queue shows at the peer as a missing beat
 }
 
-// BeatNow sends a heartbeat on every link at once, for news that can't wait.
-func (s *Server) BeatNow() {
+// BroadcastHeartbeat sends a heartbeat on every link at once, for news that can't wait.
+func (s *Server) BroadcastHeartbeat() {
 	b := s.config.Handler.Status()
 	b.Time = s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.all {
+	for c := range s.sessions {
 		_ = c.Send(&b) // the next regular beat says it again
 	}
 }
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -67,7 +67,7 @@
 func (fake) Links() metrics.LinkCount { return metrics.LinkCount{Peers: 8, Dialled: 5, Accepted: 4} }
 
 var services = []table.Service{{
-	Name: "conferme", Objective: table.Objective{Availability: 0.999, Latency: 500, Within: 0.99},
+	Name: "conferme", Objective: table.Objective{Availability: 0.999, Latency: 500, LatencyRatio: 0.99},
 }}
 
 // newSet returns a set with every source.
--- a/metrics/services.go
+++ b/metrics/services.go
@@ -75,7 +75,7 @@
 	for _, outcome := range []access.Outcome{access.Served, access.NotRun, access.Unknown} {
 		s.outcomes.WithLabelValues(service, string(outcome))
 	}
-	for promise, ratio := range map[burn.Kind]float64{burn.Availability: o.Availability, burn.Latency: o.Within} {
+	for promise, ratio := range map[burn.Kind]float64{burn.Availability: o.Availability, burn.Latency: o.LatencyRatio} {
 		s.requests.WithLabelValues(service, string(promise))
 		s.bad.WithLabelValues(service, string(promise))
 		s.promised.WithLabelValues(service, string(promise)).Set(ratio)
--- a/mirror/copy.go
+++ b/mirror/copy.go
@@ -14,59 +14,59 @@
 // away, and these write again within two seconds of its return.
 const returnGrace = 2 * clock.Second
 
-// Mark sums up what of a value matters to its readers, the key included: a change
+// HashFunc sums up what of a value matters to its readers, the key included: a change
 // that leaves it as it was needs no telling. 0 stands for a value that matters to
 // nobody.
-type Mark func(item Item) uint64
+type HashFunc func(item Item) uint64
 
 // Copy is the state of the store as this process knows it. It is not safe for
 // concurrent use.
 type Copy struct {
-	mark  Mark
+	hash  HashFunc
 	items map[string]Item
-	// marks are those of the items.
-	marks map[string]uint64
-	// vanished holds the instants at which values that are gone cease to count.
-	vanished map[string]clock.Millis
-	// removed holds the revisions of removals. An answer that was on its way while
+	// hashes are those of the items.
+	hashes map[string]uint64
+	// expiring holds the instants at which values that are gone cease to count.
+	expiring map[string]clock.Millis
+	// tombstones holds the revisions of removals. An answer that was on its way while
 	// news of a removal came would else bring the value back, and nothing would tell
 	// its removal again.
-	removed  map[string]uint64
-	revision uint64
-	// newest is the last revision of any value, which is ahead of revision after a
+	tombstones map[string]uint64
+	revision   uint64
+	// maxRevision is the last revision of any value, which is ahead of revision after a
 	// list: its pages aren't a snapshot.
-	newest uint64
+	maxRevision uint64
 	// bytes are those of all values and keys.
 	bytes int
-	// isLoose says that the last list may lack values that went while its pages were read.
-	isLoose bool
-	// sum is the exclusive or of the marks of all values that are not gone.
-	sum uint64
-	// heldUntil is the end of the grace after the store's last return.
-	heldUntil clock.Millis
+	// mayLackRemovals says that the last list may lack values that went while its pages were read.
+	mayLackRemovals bool
+	// digest is the exclusive or of the marks of all values that are not gone.
+	digest uint64
+	// graceEnd is the end of the grace after the store's last return.
+	graceEnd clock.Millis
 }
 
-// emptySum is the digest of a copy without values: that of none stands for one that
+// emptyDigest is the digest of a copy without values: that of none stands for one that
 // isn't told.
-const emptySum = 1
+const emptyDigest = 1
 
 // NewCopy returns an empty copy. Without a mark all of a value matters.
-func NewCopy(mark Mark) *Copy {
+func NewCopy(mark HashFunc) *Copy {
 	if mark == nil {
-		mark = markWhole
+		mark = hashWhole
 	}
 	return &Copy{
-		mark:     mark,
-		items:    map[string]Item{},
-		marks:    map[string]uint64{},
-		vanished: map[string]clock.Millis{},
-		removed:  map[string]uint64{},
-		sum:      emptySum,
+		hash:       mark,
+		items:      map[string]Item{},
+		hashes:     map[string]uint64{},
+		expiring:   map[string]clock.Millis{},
+		tombstones: map[string]uint64{},
+		digest:     emptyDigest,
 	}
 }
 
-// markWhole is the mark of a value of which all matters.
-func markWhole(item Item) uint64 {
+// hashWhole is the mark of a value of which all matters.
+func hashWhole(item Item) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%s", item.Key, item.Created, item.Value) // a hash's Write never fails
 	return max(hash.Sum64(), 1)
@@ -82,33 +82,33 @@
 	return c.bytes
 }
 
-// Returned takes in that the store answers again after it was away.
-func (c *Copy) Returned(now clock.Millis) {
-	c.heldUntil = now + returnGrace
+// StoreReturned takes in that the store answers again after it was away.
+func (c *Copy) StoreReturned(now clock.Millis) {
+	c.graceEnd = now + returnGrace
 }
 
 // Digest sums up the values that are not gone, as far as they matter. Two copies at the
 // same revision have the same one. It returns false where the copy holds values that
 // are newer than its revision.
 func (c *Copy) Digest() (uint64, bool) {
-	return c.sum, c.newest <= c.revision
+	return c.digest, c.maxRevision <= c.revision
 }
 
-// Watched takes in that a watch of this process has told all changes up to a revision: none
+// WatchedThrough takes in that a watch of this process has told all changes up to a revision: none
 // that a list before it has missed is left.
-func (c *Copy) Watched(revision uint64) {
+func (c *Copy) WatchedThrough(revision uint64) {
 	if revision > c.revision {
-		c.isLoose = false
+		c.mayLackRemovals = false
 	}
 }
 
-// Exact reports whether the copy is what the store held at its revision: no value is newer,
+// IsExact reports whether the copy is what the store held at its revision: no value is newer,
 // and none is gone by a later change.
-func (c *Copy) Exact() bool {
-	if c.isLoose || c.newest > c.revision {
+func (c *Copy) IsExact() bool {
+	if c.mayLackRemovals || c.maxRevision > c.revision {
 		return false
 	}
-	for _, at := range c.removed {
+	for _, at := range c.tombstones {
 		if at > c.revision {
 			return false
 		}
@@ -129,32 +129,32 @@
 			c.remove(now, key, revision)
 		}
 	}
-	c.revision, c.isLoose = revision, !all.IsSnapshot
-	c.newest = revision
+	c.revision, c.mayLackRemovals = revision, !all.IsSnapshot
+	c.maxRevision = revision
 	for _, item := range c.items {
-		c.newest = max(c.newest, item.Revision)
+		c.maxRevision = max(c.maxRevision, item.Revision)
 	}
 }
 
-// Wrong counts the values in which the copy is shown wrong by a list, which it has not
+// CountWrong counts the values in which the copy is shown wrong by a list, which it has not
 // taken in yet: those that it should hold already, by its revision, and doesn't, and,
 // where nothing has changed since, those that are gone or another.
-func (c *Copy) Wrong(items []Item, revision uint64) int {
+func (c *Copy) CountWrong(items []Item, revision uint64) int {
 	wrong := 0
 	listed := make(map[string]struct{}, len(items))
 	for _, item := range items {
 		listed[item.Key] = struct{}{}
 		held, isHeld := c.items[item.Key]
-		_, isRemoved := c.removed[item.Key]
+		_, isRemoved := c.tombstones[item.Key]
 		isMissed := item.Created <= c.revision && !isHeld && !isRemoved
-		isOther := isHeld && item.Revision <= c.revision && held.Revision < item.Revision && c.marks[item.Key] != c.mark(item)
+		isOther := isHeld && item.Revision <= c.revision && held.Revision < item.Revision && c.hashes[item.Key] != c.hash(item)
 		if isMissed || isOther {
 			wrong++
 		}
 	}
 	for key := range c.items {
 		_, isListed := listed[key]
-		_, isVanished := c.vanished[key]
+		_, isVanished := c.expiring[key]
 		if !isListed && !isVanished && revision == c.revision {
 			wrong++
 		}
@@ -162,10 +162,10 @@
 	return wrong
 }
 
-// Confirmed takes in that a call of this process was answered as of a revision: no
+// PruneTombstones takes in that a call of this process was answered as of a revision: no
 // later answer tells of changes up to it.
-func (c *Copy) Confirmed(revision uint64) {
-	maps.DeleteFunc(c.removed, func(_ string, at uint64) bool { return at <= revision })
+func (c *Copy) PruneTombstones(revision uint64) {
+	maps.DeleteFunc(c.tombstones, func(_ string, at uint64) bool { return at <= revision })
 }
 
 // Apply takes in changes in their order.
@@ -185,36 +185,36 @@
 // a watch that goes on from the first page's revision tells changes again.
 func (c *Copy) put(item Item) {
 	old, ok := c.items[item.Key]
-	if (ok && old.Revision > item.Revision) || c.removed[item.Key] > item.Revision {
+	if (ok && old.Revision > item.Revision) || c.tombstones[item.Key] > item.Revision {
 		return
 	}
-	_, isVanished := c.vanished[item.Key]
+	_, isVanished := c.expiring[item.Key]
 	switch {
 	case !ok, isVanished:
-		c.marks[item.Key] = c.mark(item)
-		c.sum ^= c.marks[item.Key]
+		c.hashes[item.Key] = c.hash(item)
+		c.digest ^= c.hashes[item.Key]
 	case old.Revision != item.Revision:
-		c.sum ^= c.marks[item.Key]
-		c.marks[item.Key] = c.mark(item)
-		c.sum ^= c.marks[item.Key]
+		c.digest ^= c.hashes[item.Key]
+		c.hashes[item.Key] = c.hash(item)
+		c.digest ^= c.hashes[item.Key]
 	}
 	c.bytes += item.size() - old.size()
 	c.items[item.Key] = item
-	c.newest = max(c.newest, item.Revision)
-	delete(c.vanished, item.Key)
-	delete(c.removed, item.Key)
+	c.maxRevision = max(c.maxRevision, item.Revision)
+	delete(c.expiring, item.Key)
+	delete(c.tombstones, item.Key)
 }
 
 // remove takes a value out at a revision, or, in the grace after the store's return,
 // lets it count until that is over.
 func (c *Copy) remove(now clock.Millis, key string, revision uint64) {
-	c.removed[key] = max(c.removed[key], revision)
-	if _, ok := c.vanished[key]; ok {
+	c.tombstones[key] = max(c.tombstones[key], revision)
+	if _, ok := c.expiring[key]; ok {
 		return
 	}
-	c.sum ^= c.marks[key]
-	if _, ok := c.items[key]; ok && now < c.heldUntil {
-		c.vanished[key] = c.heldUntil
+	c.digest ^= c.hashes[key]
+	if _, ok := c.items[key]; ok && now < c.graceEnd {
+		c.expiring[key] = c.graceEnd
 		return
 	}
 	c.drop(key)
@@ -224,14 +224,14 @@
 	old := c.items[key]
 	c.bytes -= old.size()
 	delete(c.items, key)
-	delete(c.marks, key)
+	delete(c.hashes, key)
 }
 
 // Items returns what counts now, by key.
 func (c *Copy) Items(now clock.Millis) []Item {
-	for key, end := range c.vanished {
+	for key, end := range c.expiring {
 		if now >= end {
-			delete(c.vanished, key)
+			delete(c.expiring, key)
 			c.drop(key)
 		}
 	}
--- a/mirror/copy_test.go
+++ b/mirror/copy_test.go
@@ -25,7 +25,7 @@
 func TestLapsedEntriesAreHeldForTheirReturn(t *testing.T) {
 	c := mirror.NewCopy(nil)
 	c.Reset(0, mirror.Listing{Items: []mirror.Item{item("a", 1), item("b", 2)}, Revision: 2})
-	c.Returned(10_000)
+	c.StoreReturned(10_000)
 	c.Reset(10_000, mirror.Listing{Items: []mirror.Item{item("a", 9)}, Revision: 9})
 	if got := keys(c.Items(11_000)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("a second after the return: got %v, want both", got)
@@ -44,7 +44,7 @@
 func TestLapsedEntriesGoAfterTheGrace(t *testing.T) {
 	c := mirror.NewCopy(nil)
 	c.Reset(0, mirror.Listing{Items: []mirror.Item{item("a", 1)}, Revision: 1})
-	c.Returned(5000)
+	c.StoreReturned(5000)
 	c.Apply(5100, []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 4}, Gone: true}}, 4)
 	if got := len(c.Items(6999)); got != 1 {
 		t.Errorf("before the grace is over: got %d values, want 1", got)
--- a/mirror/edit.go
+++ b/mirror/edit.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// mostSteps bounds the steps of an edit: a frame's arrays have 4,096 entries at most.
-	mostSteps = 2000
-	// mostValue bounds a value that an edit makes, in bytes: the platform holds a megabyte.
-	mostValue = 1 << 20
+	// maxSteps bounds the steps of an edit: a frame's arrays have 4,096 entries at most.
+	maxSteps = 2000
+	// maxValueSize bounds a value that an edit makes, in bytes: the platform holds a megabyte.
+	maxValueSize = 1 << 20
 )
 
 // Edit tells a large value by what has changed, so that nodes hear of it within a hop and
@@ -22,11 +22,11 @@
 	Steps     []difference.Step
 }
 
-// editOf tells a value by what has changed since the one before, and returns false where
+// newEdit tells a value by what has changed since the one before, and returns false where
 // that takes about as much as the value.
-func editOf(before, value []byte) (*Edit, bool) {
+func newEdit(before, value []byte) (*Edit, bool) {
 	steps, ok := difference.Make(before, value, len(value)/2)
-	if !ok || len(steps) > mostSteps {
+	if !ok || len(steps) > maxSteps {
 		return nil, false
 	}
 	return &Edit{Base: hashOf(before), Sum: hashOf(value), Steps: steps}, true
@@ -41,13 +41,13 @@
 	return size
 }
 
-// of makes the value of the one before, and returns false where that isn't the base, or
+// apply makes the value of the one before, and returns false where that isn't the base, or
 // the value not the one that the teller holds.
-func (e *Edit) of(before []byte) ([]byte, bool) {
+func (e *Edit) apply(before []byte) ([]byte, bool) {
 	if hashOf(before) != e.Base {
 		return nil, false
 	}
-	value, err := difference.Apply(before, e.Steps, mostValue)
+	value, err := difference.Apply(before, e.Steps, maxValueSize)
 	if err != nil || hashOf(value) != e.Sum {
 		return nil, false
 	}
@@ -60,9 +60,9 @@
 	return hash.Sum64()
 }
 
-// tellEdits puts edits in place of large values, each against the value of the event
+// encodeEdits puts edits in place of large values, each against the value of the event
 // before it, or the one that the copy holds.
-func tellEdits(c *Copy, events []Event) {
+func encodeEdits(c *Copy, events []Event) {
 	before := map[string][]byte{}
 	for i := range events {
 		e := &events[i]
@@ -72,18 +72,18 @@
 		}
 		value := e.Value
 		before[e.Key] = value
-		if len(value) < largeValue || len(old) == 0 {
+		if len(value) < largeValueSize || len(old) == 0 {
 			continue
 		}
-		if edit, ok := editOf(old, value); ok {
+		if edit, ok := newEdit(old, value); ok {
 			e.Value, e.Edit = nil, edit
 		}
 	}
 }
 
-// resolve puts values in place of edits. It returns false if there is one whose base is
+// decodeEdits puts values in place of edits. It returns false if there is one whose base is
 // not held here; that change is left out.
-func resolve(c *Copy, events []Event) ([]Event, bool) {
+func decodeEdits(c *Copy, events []Event) ([]Event, bool) {
 	before := map[string][]byte{}
 	isWhole := true
 	resolved := make([]Event, 0, len(events))
@@ -96,7 +96,7 @@
 			if !ok {
 				old = c.items[e.Key].Value
 			}
-			e.Value, ok = e.Edit.of(old)
+			e.Value, ok = e.Edit.apply(old)
 			if e.Edit = nil; !ok {
 				isWhole = false
 				continue
--- a/mirror/edit_test.go
+++ b/mirror/edit_test.go
@@ -37,16 +37,16 @@
 }
 
 // toldOfEdits is what a node tells that has read both edits.
-func toldOfEdits(t *testing.T) mirror.News {
+func toldOfEdits(t *testing.T) mirror.Update {
 	t.Helper()
-	var told mirror.News
+	var told mirror.Update
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &edited{script{
 		lists: [][]mirror.Item{{{Key: "table", Revision: 1, Created: 1, Value: largeText(0)}}}, now: clock.NewSystem().Now, next: cancel,
 	}}
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: s, Now: s.now, Fresh: 50, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
-		Tell: func(n mirror.News) { told = n },
+		Store: s, Now: s.now, MaxStaleness: 50, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
+		Publish: func(n mirror.Update) { told = n },
 	})
 	_ = f.Serve(ctx) // it ends with the context
 	return told
@@ -56,7 +56,7 @@
 func holding(t *testing.T, value []byte, revision uint64) *mirror.Follower {
 	t.Helper()
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Now: func() clock.Millis { return clock.Minute }, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
+		Now: func() clock.Millis { return clock.Minute }, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 	})
 	if !f.Seed([]mirror.Item{{Key: "table", Revision: revision, Created: 1, Value: value}}, revision) {
 		t.Fatal("got the first copy refused, want it taken")
@@ -69,8 +69,8 @@
 // than the teller did must not make a third one of it.
 func TestAnEditOfALargeValueIsTold(t *testing.T) {
 	told := toldOfEdits(t)
-	if len(told.Events) != 2 || told.More {
-		t.Fatalf("got %d changes told and more %v, want both", len(told.Events), told.More)
+	if len(told.Events) != 2 || told.IsTruncated {
+		t.Fatalf("got %d changes told and more %v, want both", len(told.Events), told.IsTruncated)
 	}
 	for _, e := range told.Events {
 		if len(e.Value) > 0 || e.Edit == nil || len(e.Edit.Steps) > 3 {
@@ -92,7 +92,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := holding(t, tt.held, tt.at)
-			f.Hear(told)
+			f.ReceiveUpdate(told)
 			items, revision := f.Snapshot()
 			if revision != tt.revision || !bytes.Equal(items[0].Value, tt.want) {
 				t.Errorf("got revision %d and a value of %d bytes, want %d with the right one", revision, len(items[0].Value), tt.revision)
@@ -109,7 +109,7 @@
 	f := holding(t, largeText(7), 9)
 	late := told.Events[0]
 	late.Revision = 12
-	f.Hear(mirror.News{Since: 5, Revision: 8, IsList: true, Events: []mirror.Event{late}})
+	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 8, IsListDiff: true, Events: []mirror.Event{late}})
 	if items, _ := f.Snapshot(); !bytes.Equal(items[0].Value, largeText(7)) {
 		t.Errorf("got a value of %d bytes, want the one held", len(items[0].Value))
 	}
@@ -134,16 +134,16 @@
 // edits follow each other faster than a read, it read every one.
 func TestNewsDuringAReadAreTakenAfterIt(t *testing.T) {
 	told := toldOfEdits(t)
-	second := mirror.News{Since: 3, Revision: 4, Events: slices.Clone(told.Events[1:])}
+	second := mirror.Update{Since: 3, Revision: 4, Events: slices.Clone(told.Events[1:])}
 	synctest.Test(t, func(t *testing.T) {
 		f := mirror.NewFollower(mirror.FollowerConfig{
-			Store: &reading{revision: 3}, Now: clock.NewSystem().Now, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
+			Store: &reading{revision: 3}, Now: clock.NewSystem().Now, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = f.Serve(ctx) }() // it ends with the context
 		<-time.After(500 * time.Millisecond)
-		f.Hear(second)
+		f.ReceiveUpdate(second)
 		<-time.After(600 * time.Millisecond)
 		if got := f.Revision(); got != 4 {
 			t.Errorf("got revision %d after the read, want 4: the edit was told", got)
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	// defaultFresh is the least of the spans within which an upstream that reports
+	// defaultMaxStaleness is the least of the spans within which an upstream that reports
 	// its leaving gets no new work, and an edit is in force.
-	defaultFresh = 2 * clock.Second
-	// watchWait is what a watch waits for a change: with the registrations of a
+	defaultMaxStaleness = 2 * clock.Second
+	// watchTimeout is what a watch waits for a change: with the registrations of a
 	// fleet there are always some. One that began before an absence of the store
 	// may never be answered; a longer wait would add to the time until that shows.
-	watchWait = clock.Millis(1)
+	watchTimeout = clock.Millis(1)
 )
 
 // FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Store Store
 	Now   func() clock.Millis
-	// Fresh is how old what is known may be at most while the store answers; 0
+	// MaxStaleness is how old what is known may be at most while the store answers; 0
 	// stands for two seconds.
-	Fresh clock.Millis
-	// Backoff is the longest span after a failed call; 0 stands for 0.3 s.
-	Backoff clock.Millis
+	MaxStaleness clock.Millis
+	// MaxBackoff is the longest span after a failed call; 0 stands for 0.3 s.
+	MaxBackoff clock.Millis
 	// Nodes tells how many nodes read the store, and whether this one does it ahead
 	// of the others; it may be nil.
 	Nodes func() (count int, isReader bool)
 	// Deliver takes in all values that count, after each call and, told, after
 	// news of a peer. It must not keep the slice's values beyond the next call.
 	Deliver func(items []Item, isTold bool)
-	// Mark sums up what of a value matters; changes beyond it are not told to other
+	// Hash sums up what of a value matters; changes beyond it are not told to other
 	// nodes. Tell tells them. Both may be nil, and must not block.
-	Mark Mark
-	Tell func(n News)
-	// Announced reports whether a value that is gone was expected to go; it may be
+	Hash    HashFunc
+	Publish func(n Update)
+	// ExpectedRemoval reports whether a value that is gone was expected to go; it may be
 	// nil.
-	Announced func(old Item) bool
-	// Away is told when the store goes away, with the cause, and with nil when
+	ExpectedRemoval func(old Item) bool
+	// OnAvailability is told when the store goes away, with the cause, and with nil when
 	// it is back.
-	Away func(cause error)
-	// Received counts the bytes that have come from the store; it may be nil.
-	Received func() uint64
-	Seed     uint64
+	OnAvailability func(cause error)
+	// BytesReceived counts the bytes that have come from the store; it may be nil.
+	BytesReceived func() uint64
+	Seed          uint64
 	// Log takes lines; nil stands for none.
 	Log logrus.FieldLogger
 }
@@ -59,23 +59,23 @@
 type Follower struct {
 	config FollowerConfig
 
-	mu   sync.Mutex // guards copy and pace, and calls of Deliver
-	copy *Copy
-	pace *Pace
+	mu       sync.Mutex // guards copy and pace, and calls of Deliver
+	copy     *Copy
+	schedule *PollSchedule
 	// revision is the copy's. It is read without the lock: what Deliver calls
 	// may hold locks that its readers hold, too.
-	revision atomic.Uint64
-	woken    chan struct{}
-	isAway   bool
-	// confirmed is the revision of the last call that was answered, which began at
+	revision      atomic.Uint64
+	wakeup        chan struct{}
+	isUnavailable bool
+	// confirmedRevision is the revision of the last call that was answered, which began at
 	// confirmedAt. doubted is that of news since with removals that were not taken
 	// on a peer's word, 0 without.
-	confirmed   uint64
-	confirmedAt clock.Millis
-	doubted     uint64
-	audit       audit
-	lag         lag
-	kept        []kept
+	confirmedRevision   uint64
+	confirmedAt         clock.Millis
+	unconfirmedRevision uint64
+	audit               audit
+	lag                 lag
+	pendingUpdates      []pendingUpdate
 	// peerBytes is the size of all values that a peer holds which knows newer ones.
 	peerBytes int
 	stats     Stats
@@ -85,16 +85,16 @@
 type Stats struct {
 	// Answered and Failed sum up the calls with a whole answer, and those without.
 	Answered, Failed CallStats
-	// Late is how often a change that a peer knew was not read within Fresh; Lag is
+	// LateChanges is how often a change that a peer knew was not read within Fresh; Lag is
 	// for how long the oldest one that is not read yet has been known of.
-	Late uint64
-	Lag  clock.Millis
-	// Heard is how often news of another node were taken in.
-	Heard uint64
-	// Wrong is how often a list showed that the copy was wrong.
-	Wrong uint64
-	// Known is the instant at which what is known was the store's, if IsKnown.
-	Known   clock.Millis
+	LateChanges uint64
+	Lag         clock.Millis
+	// UpdatesReceived is how often news of another node were taken in.
+	UpdatesReceived uint64
+	// CopyErrors is how often a list showed that the copy was wrong.
+	CopyErrors uint64
+	// KnownAt is the instant at which what is known was the store's, if IsKnown.
+	KnownAt clock.Millis
 	IsKnown bool
 }
 
@@ -117,48 +117,48 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.stats
-	s.Known, s.IsKnown = f.pace.current, f.pace.current >= 0
+	s.KnownAt, s.IsKnown = f.schedule.currentAt, f.schedule.currentAt >= 0
 	s.Lag = f.lag.span(f.config.Now())
 	return s
 }
 
 // NewFollower returns a follower; Serve runs it.
 func NewFollower(c FollowerConfig) *Follower {
-	if c.Fresh <= 0 {
-		c.Fresh = defaultFresh
+	if c.MaxStaleness <= 0 {
+		c.MaxStaleness = defaultMaxStaleness
 	}
 	if c.Log == nil {
 		c.Log = lines.Silent()
 	}
-	return &Follower{config: c, copy: NewCopy(c.Mark), pace: NewPace(PaceConfig{Fresh: c.Fresh, Backoff: c.Backoff, Seed: c.Seed}), woken: make(chan struct{}, 1)}
+	return &Follower{config: c, copy: NewCopy(c.Hash), schedule: NewPollSchedule(PollConfig{MaxStaleness: c.MaxStaleness, MaxBackoff: c.MaxBackoff, Seed: c.Seed}), wakeup: make(chan struct{}, 1)}
 }
 
 // Serve follows the store until the context ends.
 func (f *Follower) Serve(ctx context.Context) error {
-	for f.await(ctx) {
+	for f.waitUntilDue(ctx) {
 		if f.config.Nodes != nil {
 			nodes, isReader := f.config.Nodes() // it may hold locks that take this one's
 			f.mu.Lock()
-			f.pace.Size(nodes, isReader)
+			f.schedule.SetFleetSize(nodes, isReader)
 			f.mu.Unlock()
 		}
-		began, received := f.config.Now(), f.received()
+		began, received := f.config.Now(), f.bytesReceived()
 		err := f.step(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		f.note(f.config.Now()-began, f.received()-received, err)
+		f.recordCall(f.config.Now()-began, f.bytesReceived()-received, err)
 	}
 	return errors.Trace(ctx.Err())
 }
 
-// await waits until a call is due, and returns false when the context ends.
-func (f *Follower) await(ctx context.Context) bool {
+// waitUntilDue waits until a call is due, and returns false when the context ends.
+func (f *Follower) waitUntilDue(ctx context.Context) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		left := f.pace.Due() - f.config.Now()
+		left := f.schedule.Due() - f.config.Now()
 		f.mu.Unlock()
 		if left <= 0 {
 			return true
@@ -166,7 +166,7 @@
 		timer.Reset(left.Duration())
 		select {
 		case <-ctx.Done():
-		case <-f.woken:
+		case <-f.wakeup:
 		case <-timer.C:
 		}
 	}
@@ -176,7 +176,7 @@
 // wake has await look again.
 func (f *Follower) wake() {
 	select {
-	case f.woken <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -210,15 +210,15 @@
 
 // step makes one call and takes its answer in.
 func (f *Follower) step(ctx context.Context) error {
-	after, isAudit := f.from()
+	after, isAudit := f.watchStart()
 	if after == 0 || isAudit {
 		return f.relist(ctx, false)
 	}
 	asked := f.config.Now()
-	events, revision, err := f.config.Store.Watch(ctx, after, watchWait, f.listBytes())
-	if errors.Is(err, ErrHistory) || errors.Is(err, ErrLarge) {
+	events, revision, err := f.config.Store.Watch(ctx, after, watchTimeout, f.listBytes())
+	if errors.Is(err, ErrCompacted) || errors.Is(err, ErrTooLarge) {
 		f.config.Log.WithError(err).WithField("revision", after).Info("changes are not to be had; all values are listed again")
-		return f.relist(ctx, errors.Is(err, ErrLarge))
+		return f.relist(ctx, errors.Is(err, ErrTooLarge))
 	}
 	if err != nil {
 		return errors.Trace(err)
@@ -228,9 +228,9 @@
 		// counts them: gone on from its count, they would never be known.
 		revision = after
 	}
-	f.take(asked, revision, func(now clock.Millis) News {
-		n := newsOf(f.copy, after, revision, events)
-		f.copy.Watched(revision)
+	f.applyAnswer(asked, revision, func(now clock.Millis) Update {
+		n := newUpdate(f.copy, after, revision, events)
+		f.copy.WatchedThrough(revision)
 		f.copy.Apply(now, events, revision)
 		return n
 	})
@@ -248,14 +248,14 @@
 	return max(f.copy.Bytes(), f.peerBytes)
 }
 
-// from is the revision from which changes are to be read, and whether all values are
+// watchStart is the revision from which changes are to be read, and whether all values are
 // to be listed in their place.
-func (f *Follower) from() (after uint64, isAudit bool) {
+func (f *Follower) watchStart() (after uint64, isAudit bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.audit.called(len(f.copy.items))
-	if f.doubted > 0 {
-		return f.confirmed, f.audit.isDue
+	f.audit.recordCall(len(f.copy.items))
+	if f.unconfirmedRevision > 0 {
+		return f.confirmedRevision, f.audit.isDue
 	}
 	return f.copy.Revision(), f.audit.isDue
 }
@@ -268,76 +268,76 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	f.take(asked, all.Revision, func(now clock.Millis) News {
-		var n News
+	f.applyAnswer(asked, all.Revision, func(now clock.Millis) Update {
+		var n Update
 		if isTold {
-			n = newsOfList(f.copy, all.Items, all.Revision)
+			n = newListUpdate(f.copy, all.Items, all.Revision)
 		}
-		f.checked(now, all.Items, all.Revision)
+		f.auditList(now, all.Items, all.Revision)
 		f.copy.Reset(now, all)
 		return n
 	})
 	return nil
 }
 
-// take changes the copy by an answer, delivers it and tells others. After an absence
+// applyAnswer changes the copy by an answer, delivers it and tells others. After an absence
 // of the store it begins the grace for values that lapsed meanwhile. An answer that is
 // older than removals in doubt confirms nothing: the next call does.
-func (f *Follower) take(asked clock.Millis, revision uint64, change func(now clock.Millis) News) {
+func (f *Follower) applyAnswer(asked clock.Millis, revision uint64, change func(now clock.Millis) Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.config.Now()
-	if f.pace.Failures() > 0 {
-		f.copy.Returned(now)
+	if f.schedule.Failures() > 0 {
+		f.copy.StoreReturned(now)
 	}
 	news := change(now)
-	f.copy.Confirmed(revision)
-	isUrgent := f.pace.Urgent() // all others make such a call too, and need not be told
+	f.copy.PruneTombstones(revision)
+	isUrgent := f.schedule.IsUrgent() // all others make such a call too, and need not be told
 	f.revision.Store(f.copy.Revision())
 	f.config.Deliver(f.copy.Items(now), false)
-	f.pace.Answered(asked)
-	f.confirmed, f.confirmedAt = revision, asked
-	if revision >= f.doubted {
-		f.doubted = 0
+	f.schedule.Answered(asked)
+	f.confirmedRevision, f.confirmedAt = revision, asked
+	if revision >= f.unconfirmedRevision {
+		f.unconfirmedRevision = 0
 	} else {
-		f.pace.Hurry(now)
+		f.schedule.PollSoon(now)
 	}
-	if digest, isSettled := f.copy.Digest(); isSettled && f.doubted == 0 && news.Revision == f.copy.Revision() {
+	if digest, isSettled := f.copy.Digest(); isSettled && f.unconfirmedRevision == 0 && news.Revision == f.copy.Revision() {
 		news.Digest = digest
 	}
-	if news.More {
+	if news.IsTruncated {
 		news.Bytes = f.copy.Bytes()
 	}
 	if !isUrgent {
-		f.tell(news, now, asked)
+		f.publish(news, now, asked)
 	}
 	f.peerBytes = 0
-	f.hearKept(now)
+	f.receivePending(now)
 	f.logLag()
 	if f.lag.isLarge() {
-		f.pace.Hurry(now) // it was told while the answer was on its way
+		f.schedule.PollSoon(now) // it was told while the answer was on its way
 	}
 }
 
-// note takes in what became of a call, and tells when the store goes away and when it is
+// recordCall takes in what became of a call, and tells when the store goes away and when it is
 // back.
-func (f *Follower) note(took clock.Millis, bytes uint64, err error) {
+func (f *Follower) recordCall(took clock.Millis, bytes uint64, err error) {
 	f.mu.Lock()
 	if err == nil {
 		f.stats.Answered.add(bytes, took)
 	} else {
 		f.stats.Failed.add(bytes, took)
-		f.pace.Failed(f.config.Now())
+		f.schedule.Failed(f.config.Now())
 		f.logFailure(took, bytes, err)
 	}
 	f.logLag()
 	f.mu.Unlock()
-	isGone := err != nil && !errors.Is(err, ErrCut) // others may be answered whole
-	if isGone && f.config.Tell != nil {
-		f.config.Tell(News{IsAway: true})
+	isGone := err != nil && !errors.Is(err, ErrTruncated) // others may be answered whole
+	if isGone && f.config.Publish != nil {
+		f.config.Publish(Update{IsUnavailable: true})
 	}
-	if away := err != nil; away != f.isAway {
-		f.isAway = away
-		f.config.Away(err)
+	if away := err != nil; away != f.isUnavailable {
+		f.isUnavailable = away
+		f.config.OnAvailability(err)
 	}
 }
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -55,18 +55,18 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &script{
 		lists: [][]mirror.Item{{item("a", 1)}, {item("a", 1), item("b", 2)}},
-		watch: []error{mirror.ErrHistory, mirror.ErrUnavailable},
+		watch: []error{mirror.ErrCompacted, mirror.ErrUnavailable},
 		now:   clock.NewSystem().Now,
 		next:  cancel,
 	}
 	var delivered []int
 	var away []bool
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store:   s,
-		Now:     s.now,
-		Deliver: func(items []mirror.Item, _ bool) { delivered = append(delivered, len(items)) },
-		Away:    func(cause error) { away = append(away, cause != nil) },
-		Log:     log,
+		Store:          s,
+		Now:            s.now,
+		Deliver:        func(items []mirror.Item, _ bool) { delivered = append(delivered, len(items)) },
+		OnAvailability: func(cause error) { away = append(away, cause != nil) },
+		Log:            log,
 	})
 	_ = f.Serve(ctx) // it ends with the context
 	if got, want := len(s.calls), 5; got != want || s.calls[2] != "list" {
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &counting{script: script{lists: [][]mirror.Item{{item("a", 1)}}, now: clock.NewSystem().Now, next: cancel}}
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: c, Now: c.now, Fresh: 100, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
+		Store: c, Now: c.now, MaxStaleness: 100, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 	})
 	_ = f.Serve(ctx) // it ends with the context
 	if !slices.Equal(c.after, []uint64{1, 1}) {
@@ -123,10 +123,10 @@
 	t.Helper()
 	now := clock.Minute // long after any call
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Now:       func() clock.Millis { return now },
-		Deliver:   func(items []mirror.Item, _ bool) { *delivered = append(*delivered, items) },
-		Away:      func(error) {},
-		Announced: func(old mirror.Item) bool { return string(old.Value) == "draining" },
+		Now:             func() clock.Millis { return now },
+		Deliver:         func(items []mirror.Item, _ bool) { *delivered = append(*delivered, items) },
+		OnAvailability:  func(error) {},
+		ExpectedRemoval: func(old mirror.Item) bool { return string(old.Value) == "draining" },
 	})
 	if !f.Seed([]mirror.Item{item("a", 4), item("b", 5)}, 5) {
 		t.Fatal("got the first copy refused, want it taken")
@@ -139,18 +139,18 @@
 func TestNewsWithAGapIsNotTaken(t *testing.T) {
 	var delivered [][]mirror.Item
 	f := hearing(t, &delivered)
-	f.Hear(mirror.News{Since: 7, Revision: 9, Events: []mirror.Event{{Item: item("c", 9)}}})
+	f.ReceiveUpdate(mirror.Update{Since: 7, Revision: 9, Events: []mirror.Event{{Item: item("c", 9)}}})
 	if got := f.Revision(); got != 5 {
 		t.Errorf("got revision %d after news with a gap, want 5", got)
 	}
-	f.Hear(mirror.News{Since: 4, Revision: 9, Events: []mirror.Event{{Item: item("c", 9)}, {Item: item("a", 8)}}})
+	f.ReceiveUpdate(mirror.Update{Since: 4, Revision: 9, Events: []mirror.Event{{Item: item("c", 9)}, {Item: item("a", 8)}}})
 	if got := f.Revision(); got != 9 {
 		t.Errorf("got revision %d, want 9", got)
 	}
 	if got := keys(delivered[len(delivered)-1]); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("got %v, want a, b and c", got)
 	}
-	f.Hear(mirror.News{Since: 4, Revision: 6, Events: []mirror.Event{{Item: item("a", 6)}}})
+	f.ReceiveUpdate(mirror.Update{Since: 4, Revision: 6, Events: []mirror.Event{{Item: item("a", 6)}}})
 	if got := f.Revision(); got != 9 {
 		t.Errorf("got revision %d after late news, want 9 kept", got)
 	}
@@ -163,7 +163,7 @@
 	var delivered [][]mirror.Item
 	f := hearing(t, &delivered)
 	gone := mirror.Event{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}
-	f.Hear(mirror.News{Since: 5, Revision: 9, Events: []mirror.Event{gone, {Item: item("c", 9)}}})
+	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{gone, {Item: item("c", 9)}}})
 	if got := keys(delivered[len(delivered)-1]); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("got %v on a peer's word, want a kept and c known", got)
 	}
@@ -177,10 +177,10 @@
 func TestAnnouncedRemovalsAreTakenOnAPeersWord(t *testing.T) {
 	var delivered [][]mirror.Item
 	f := hearing(t, &delivered)
-	f.Hear(mirror.News{Since: 5, Revision: 9, Events: []mirror.Event{
+	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{
 		{Item: mirror.Item{Key: "b", Revision: 7, Value: []byte("draining")}},
 	}})
-	f.Hear(mirror.News{Since: 5, Revision: 9, Events: []mirror.Event{{Item: mirror.Item{Key: "b", Revision: 9}, Gone: true}}})
+	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{{Item: mirror.Item{Key: "b", Revision: 9}, Gone: true}}})
 	if got := keys(delivered[len(delivered)-1]); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("got %v, want a alone", got)
 	}
@@ -216,12 +216,12 @@
 	s := &interrupted{script: script{lists: [][]mirror.Item{{item("a", 1), item("b", 2)}}, now: now, next: cancel}}
 	var delivered [][]mirror.Item
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: s, Now: now, Fresh: 100,
-		Deliver: func(items []mirror.Item, _ bool) { delivered = append(delivered, items) }, Away: func(error) {},
+		Store: s, Now: now, MaxStaleness: 100,
+		Deliver: func(items []mirror.Item, _ bool) { delivered = append(delivered, items) }, OnAvailability: func(error) {},
 	})
 	s.hear = func() {
 		passed.Store(int64(clock.Minute)) // since the last call that was answered
-		f.Hear(mirror.News{Since: 1, Revision: 8, Events: []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}}})
+		f.ReceiveUpdate(mirror.Update{Since: 1, Revision: 8, Events: []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}}})
 	}
 	_ = f.Serve(ctx) // it ends with the context
 	if want := []uint64{1, 6}; !slices.Equal(s.after, want) {
@@ -237,7 +237,7 @@
 func TestLargeChangesAreReadNotTold(t *testing.T) {
 	var delivered [][]mirror.Item
 	f := hearing(t, &delivered)
-	f.Hear(mirror.News{Since: 5, Revision: 9, More: true})
+	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, IsTruncated: true})
 	if got := f.Revision(); got != 5 {
 		t.Errorf("got revision %d, want 5: what changed isn't known", got)
 	}
--- a/mirror/lag.go
+++ b/mirror/lag.go
@@ -6,47 +6,47 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// mostAwaited bounds the changes that are remembered as unread; the first ones count.
-const mostAwaited = 64
+// maxAwaited bounds the changes that are remembered as unread; the first ones count.
+const maxAwaited = 64
 
 // lag tells for how long a node has known of changes that it has not read. It is not
 // safe for concurrent use.
 type lag struct {
 	// awaited holds the revisions that peers have told of, in order, with the instants
 	// at which they did.
-	awaited []awaited
-	// told is the span at which it was last said that changes are late, 0 while they
+	awaited []awaitedRevision
+	// lastReported is the span at which it was last said that changes are late, 0 while they
 	// aren't.
-	told clock.Millis
+	lastReported clock.Millis
 }
 
-// awaited is a revision that a peer has told of.
-type awaited struct {
+// awaitedRevision is a revision that a peer has told of.
+type awaitedRevision struct {
 	revision uint64
 	since    clock.Millis
 	isLarge  bool
 }
 
-// heard takes in that a peer knows the store up to a revision, and this node doesn't, and
+// recordUpdate takes in that a peer knows the store up to a revision, and this node doesn't, and
 // whether there are changes that are too large to be told.
-func (l *lag) heard(now clock.Millis, revision uint64, isLarge bool) {
-	if len(l.awaited) == mostAwaited || (len(l.awaited) > 0 && l.awaited[len(l.awaited)-1].revision >= revision) {
+func (l *lag) recordUpdate(now clock.Millis, revision uint64, isLarge bool) {
+	if len(l.awaited) == maxAwaited || (len(l.awaited) > 0 && l.awaited[len(l.awaited)-1].revision >= revision) {
 		return
 	}
-	l.awaited = append(l.awaited, awaited{revision, now, isLarge})
+	l.awaited = append(l.awaited, awaitedRevision{revision, now, isLarge})
 }
 
-// read takes in that all changes up to a revision are known. It returns how long the
+// recordRead takes in that all changes up to a revision are known. It returns how long the
 // oldest had been awaited if that was late and what is left is not, else 0.
-func (l *lag) read(now, bound clock.Millis, revision uint64) clock.Millis {
+func (l *lag) recordRead(now, bound clock.Millis, revision uint64) clock.Millis {
 	span := l.span(now)
 	for len(l.awaited) > 0 && l.awaited[0].revision <= revision {
 		l.awaited = l.awaited[1:]
 	}
-	if l.told == 0 || l.span(now) > bound {
+	if l.lastReported == 0 || l.span(now) > bound {
 		return 0
 	}
-	l.told = 0
+	l.lastReported = 0
 	return span
 }
 
@@ -62,17 +62,17 @@
 // that is to be said now: at first, and whenever the span has doubled since.
 func (l *lag) late(now, bound clock.Millis) (isFirst, isDue bool) {
 	span := l.span(now)
-	if span <= max(bound, 2*l.told) {
+	if span <= max(bound, 2*l.lastReported) {
 		return false, false
 	}
-	isFirst = l.told == 0
-	l.told = span
+	isFirst = l.lastReported == 0
+	l.lastReported = span
 	return isFirst, true
 }
 
 // isLarge reports whether a change that is too large to be told has not been read.
 func (l *lag) isLarge() bool {
-	return slices.ContainsFunc(l.awaited, func(a awaited) bool { return a.isLarge })
+	return slices.ContainsFunc(l.awaited, func(a awaitedRevision) bool { return a.isLarge })
 }
 
 // newest is the last revision that a peer has told of and that is not read; 0 for none.
--- a/mirror/lag_test.go
+++ b/mirror/lag_test.go
@@ -37,22 +37,22 @@
 		log, lines := test.NewNullLogger()
 		received := uint64(0)
 		f := mirror.NewFollower(mirror.FollowerConfig{
-			Store: s, Now: now, Log: log, Fresh: 2 * clock.Second,
-			Received: func() uint64 { received += 500; return received },
-			Deliver:  func([]mirror.Item, bool) {}, Away: func(error) {},
+			Store: s, Now: now, Log: log, MaxStaleness: 2 * clock.Second,
+			BytesReceived: func() uint64 { received += 500; return received },
+			Deliver:       func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = f.Serve(ctx) }() // it ends with the context
 		<-time.After(3 * time.Second)
-		f.Hear(mirror.News{Since: 7, Revision: 9})
+		f.ReceiveUpdate(mirror.Update{Since: 7, Revision: 9})
 		<-time.After(5 * time.Second)
-		if got := f.Stats(); got.Late != 1 || got.Lag < 5*clock.Second || got.Failed.Bytes != 500*got.Failed.Count {
+		if got := f.Stats(); got.LateChanges != 1 || got.Lag < 5*clock.Second || got.Failed.Bytes != 500*got.Failed.Count {
 			t.Errorf("got %+v, want one late change, known of for 5s, and the bytes of each failed call", got)
 		}
 		s.isWell.Store(true)
 		<-time.After(3 * time.Second)
-		if got := f.Stats(); got.Late != 1 || got.Lag != 0 || got.Answered.Count < 2 {
+		if got := f.Stats(); got.LateChanges != 1 || got.Lag != 0 || got.Answered.Count < 2 {
 			t.Errorf("got %+v, want nothing left unread", got)
 		}
 		cancel()
--- a/mirror/logs.go
+++ b/mirror/logs.go
@@ -8,12 +8,12 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// received is how many bytes have come from the store.
-func (f *Follower) received() uint64 {
-	if f.config.Received == nil {
+// bytesReceived is how many bytes have come from the store.
+func (f *Follower) bytesReceived() uint64 {
+	if f.config.BytesReceived == nil {
 		return 0
 	}
-	return f.config.Received()
+	return f.config.BytesReceived()
 }
 
 // logFailure writes how a call failed: the first of a row, and whenever their number has
@@ -21,7 +21,7 @@
 // line or for the time that a call may take look alike in the error; the bytes that came
 // and the time that they took tell them apart. The lock is held.
 func (f *Follower) logFailure(took clock.Millis, bytes uint64, err error) {
-	failures := f.pace.Failures()
+	failures := f.schedule.Failures()
 	if bits.OnesCount(uint(failures)) != 1 {
 		return
 	}
@@ -34,18 +34,18 @@
 // may take, so that what is in force is known to be old, and that it is read at last. The
 // lock is held.
 func (f *Follower) logLag() {
-	now, fresh := f.config.Now(), f.config.Fresh
-	if late := f.lag.read(now, fresh, f.copy.Revision()); late > 0 {
+	now, fresh := f.config.Now(), f.config.MaxStaleness
+	if late := f.lag.recordRead(now, fresh, f.copy.Revision()); late > 0 {
 		f.config.Log.WithFields(logrus.Fields{"revision": f.copy.Revision(), "late": late.String()}).
 			Info("late changes of the platform's values were read")
 	}
 	isFirst, isDue := f.lag.late(now, fresh)
 	if isFirst {
-		f.stats.Late++
+		f.stats.LateChanges++
 	}
 	if isDue {
 		f.config.Log.WithFields(logrus.Fields{
-			"revision": f.copy.Revision(), "newest": f.lag.newest(), "late": f.lag.span(now).String(), "failures": f.pace.Failures(),
+			"revision": f.copy.Revision(), "newest": f.lag.newest(), "late": f.lag.span(now).String(), "failures": f.schedule.Failures(),
 		}).Warn("platform's values are old: changes that a peer has read are not known here")
 	}
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -17,15 +17,15 @@
 const (
 	// ErrUnavailable means that the store gave no answer, or none in time.
 	ErrUnavailable = errors.ConstError("the platform's store doesn't answer")
-	// ErrCut means that an answer began and did not end: the store is there.
-	ErrCut = errors.ConstError("the platform's answer did not end")
-	// ErrLarge means that a watch's answer is larger than was allowed; it was not read.
-	ErrLarge = errors.ConstError("the platform's answer is larger than all of its values")
-	// ErrHistory means that the store has dropped the changes that were asked
+	// ErrTruncated means that an answer began and did not end: the store is there.
+	ErrTruncated = errors.ConstError("the platform's answer did not end")
+	// ErrTooLarge means that a watch's answer is larger than was allowed; it was not read.
+	ErrTooLarge = errors.ConstError("the platform's answer is larger than all of its values")
+	// ErrCompacted means that the store has dropped the changes that were asked
 	// for: all values must be listed again.
-	ErrHistory = errors.ConstError("the platform's store no longer has these changes")
-	// ErrAnswer means an answer that breaks the store's protocol.
-	ErrAnswer = errors.ConstError("the platform's store answered what can't be read")
+	ErrCompacted = errors.ConstError("the platform's store no longer has these changes")
+	// ErrMalformed means an answer that breaks the store's protocol.
+	ErrMalformed = errors.ConstError("the platform's store answered what can't be read")
 )
 
 // Item is one value of the store.
--- a/mirror/pace_test.go
+++ b/mirror/pace_test.go
@@ -14,7 +14,7 @@
 
 // reader is one node of a fleet in virtual time.
 type reader struct {
-	pace *mirror.Pace
+	pace *mirror.PollSchedule
 	// known is the instant at which what it knows was the store's, calling when the
 	// call that is under way began, heard what a peer has told that is on its way.
 	known, calling clock.Millis
@@ -37,8 +37,8 @@
 	random := rand.New(rand.NewPCG(uint64(nodes), 7))
 	all := make([]reader, nodes)
 	for i := range all {
-		all[i].pace = mirror.NewPace(mirror.PaceConfig{Fresh: fresh, Seed: uint64(i)})
-		all[i].pace.Size(nodes, heard < nodes && i < heard)
+		all[i].pace = mirror.NewPollSchedule(mirror.PollConfig{MaxStaleness: fresh, Seed: uint64(i)})
+		all[i].pace.SetFleetSize(nodes, heard < nodes && i < heard)
 	}
 	calls := 0
 	for now := clock.Millis(1); now <= clock.Minute; now++ {
@@ -46,7 +46,7 @@
 			r := &all[i]
 			for len(r.news) > 0 && r.news[0].at <= now {
 				r.known = max(r.known, r.news[0].known)
-				r.pace.Known(r.news[0].known)
+				r.pace.Refreshed(r.news[0].known)
 				r.news = r.news[1:]
 			}
 			if r.calling > 0 && now >= r.calling+answer {
@@ -184,11 +184,11 @@
 func TestOutageIsProbedTogether(t *testing.T) {
 	const nodes, outage = 95, 30 * clock.Second
 	random := rand.New(rand.NewPCG(3, 3))
-	all := make([]*mirror.Pace, nodes)
+	all := make([]*mirror.PollSchedule, nodes)
 	heard := make([][]clock.Millis, nodes)
 	for i := range all {
-		all[i] = mirror.NewPace(mirror.PaceConfig{Fresh: fresh, Seed: uint64(i)})
-		all[i].Size(nodes, false)
+		all[i] = mirror.NewPollSchedule(mirror.PollConfig{MaxStaleness: fresh, Seed: uint64(i)})
+		all[i].SetFleetSize(nodes, false)
 	}
 	calls, last, longest := 0, clock.Millis(0), clock.Millis(0)
 	for now := clock.Millis(1); now <= outage; now++ {
@@ -218,7 +218,7 @@
 	if longest > 500 {
 		t.Errorf("got none for %v, want one every 500ms at least", longest)
 	}
-	served := mirror.NewPace(mirror.PaceConfig{Fresh: fresh, Seed: 1})
+	served := mirror.NewPollSchedule(mirror.PollConfig{MaxStaleness: fresh, Seed: 1})
 	served.Answered(1000)
 	before := served.Due()
 	if served.Postpone(1900); served.Due() != before {
@@ -229,7 +229,7 @@
 // The store is away for all and returns. It must be read within half a second: an
 // edit made at its return is to be in force within two.
 func TestStoreThatReturnsIsReadAtOnce(t *testing.T) {
-	p := mirror.NewPace(mirror.PaceConfig{Fresh: fresh, Seed: 1})
+	p := mirror.NewPollSchedule(mirror.PollConfig{MaxStaleness: fresh, Seed: 1})
 	for now := clock.Millis(0); now < clock.Minute; now = p.Due() {
 		p.Failed(now)
 		if got := p.Due() - now; got < 50 || got > 500 {
--- a/mirror/story_test.go
+++ b/mirror/story_test.go
@@ -35,14 +35,14 @@
 func TestNewsIsCompleteThoughHeardBefore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &overtaken{script: script{lists: [][]mirror.Item{{}}, now: clock.NewSystem().Now, next: cancel}}
-	var told []mirror.News
+	var told []mirror.Update
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: s, Now: s.now, Fresh: 50,
-		Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
-		Tell: func(n mirror.News) { told = append(told, n) },
+		Store: s, Now: s.now, MaxStaleness: 50,
+		Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
+		Publish: func(n mirror.Update) { told = append(told, n) },
 	})
 	s.hear = func() {
-		f.Hear(mirror.News{Since: 1, Revision: 20, Events: []mirror.Event{{Item: item("a", 12)}, {Item: item("b", 15)}}})
+		f.ReceiveUpdate(mirror.Update{Since: 1, Revision: 20, Events: []mirror.Event{{Item: item("a", 12)}, {Item: item("b", 15)}}})
 	}
 	_ = f.Serve(ctx) // it ends with the context
 	if len(told) != 1 || told[0].Since != 1 || len(told[0].Events) != 2 {
@@ -54,14 +54,14 @@
 // node that reads. Compared with what that node held before, the second change is
 // none: told of the first alone, all others would leave the upstream alone for good.
 func TestAChangeAndItsOppositeAreBothTold(t *testing.T) {
-	var told []mirror.News
+	var told []mirror.Update
 	s := &changing{script: script{lists: [][]mirror.Item{{{Key: "a", Revision: 1, Created: 1, Value: []byte("ready")}}}, now: clock.NewSystem().Now}}
 	ctx, cancel := context.WithCancel(t.Context())
 	s.next = cancel
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: s, Now: s.now, Fresh: 50,
-		Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
-		Tell: func(n mirror.News) { told = append(told, n) },
+		Store: s, Now: s.now, MaxStaleness: 50,
+		Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
+		Publish: func(n mirror.Update) { told = append(told, n) },
 	})
 	_ = f.Serve(ctx) // it ends with the context
 	if len(told) != 1 || len(told[0].Events) != 2 {
@@ -91,13 +91,13 @@
 		now := clock.NewSystem().Now
 		s := &script{lists: [][]mirror.Item{{item("a", 2)}, whole}, now: now, next: func() {}}
 		f := mirror.NewFollower(mirror.FollowerConfig{
-			Store: s, Now: now, Log: log, Fresh: clock.Hour, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
+			Store: s, Now: now, Log: log, MaxStaleness: clock.Hour, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = f.Serve(ctx) }() // it ends with the context
 		for range 5 {                    // a list is not read for doubt so soon after another
 			<-time.After(time.Second)
-			f.Hear(mirror.News{Since: 1, Revision: 5, Digest: digest})
+			f.ReceiveUpdate(mirror.Update{Since: 1, Revision: 5, Digest: digest})
 		}
 		<-time.After(time.Second)
 		cancel()
@@ -105,7 +105,7 @@
 		if got := keys(items); !slices.Equal(got, []string{"a", "b"}) {
 			t.Errorf("got %v, want both", got)
 		}
-		if got := f.Stats().Wrong; got != 1 {
+		if got := f.Stats().CopyErrors; got != 1 {
 			t.Errorf("got %d copies found wrong, want 1", got)
 		}
 	})
@@ -120,7 +120,7 @@
 		s := &overtaken{script: script{lists: [][]mirror.Item{{}}, now: clock.NewSystem().Now, next: func() {}}}
 		var at []clock.Millis
 		f := mirror.NewFollower(mirror.FollowerConfig{
-			Store: s, Now: s.now, Fresh: 2 * clock.Second, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
+			Store: s, Now: s.now, MaxStaleness: 2 * clock.Second, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 		})
 		s.hear = func() {
 			at = append(at, s.now())
@@ -128,7 +128,7 @@
 				cancel()
 				return
 			}
-			f.Hear(mirror.News{Since: 20, Revision: 30, More: true})
+			f.ReceiveUpdate(mirror.Update{Since: 20, Revision: 30, IsTruncated: true})
 		}
 		_ = f.Serve(ctx) // it ends with the context
 		if len(at) < 2 || at[1]-at[0] > 200 {
@@ -141,7 +141,7 @@
 type crowded struct{ script }
 
 func (s *crowded) Watch(context.Context, uint64, clock.Millis, int) ([]mirror.Event, uint64, error) {
-	return nil, 0, mirror.ErrLarge
+	return nil, 0, mirror.ErrTooLarge
 }
 
 // An upstream comes and goes while one node is several versions behind; it lists all values
@@ -150,18 +150,18 @@
 func TestAListIsNotAllThatHasChanged(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &crowded{script{lists: [][]mirror.Item{{item("a", 1)}, {item("a", 1), item("c", 2)}}, now: clock.NewSystem().Now}}
-	var told mirror.News
+	var told mirror.Update
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: s, Now: s.now, Fresh: 50, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
-		Tell: func(n mirror.News) { told = n; cancel() },
+		Store: s, Now: s.now, MaxStaleness: 50, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
+		Publish: func(n mirror.Update) { told = n; cancel() },
 	})
 	_ = f.Serve(ctx) // it ends with the context
-	if len(told.Events) != 1 || !told.IsList {
+	if len(told.Events) != 1 || !told.IsListDiff {
 		t.Fatalf("got %+v told of a list, want the change, and that it is from a list", told)
 	}
 	var delivered [][]mirror.Item
 	second := hearing(t, &delivered) // it holds a and b at 5
-	second.Hear(mirror.News{Since: 4, Revision: 9, IsList: true, Events: []mirror.Event{{Item: item("c", 8)}}})
+	second.ReceiveUpdate(mirror.Update{Since: 4, Revision: 9, IsListDiff: true, Events: []mirror.Event{{Item: item("c", 8)}}})
 	if got := second.Revision(); got != 5 {
 		t.Errorf("got revision %d after the news of a list, want 5", got)
 	}
@@ -169,7 +169,7 @@
 		t.Errorf("got %v, want c known beside a and b", got)
 	}
 	third := hearing(t, &delivered)
-	third.Hear(mirror.News{Since: 5, Revision: 9, IsList: true, Events: []mirror.Event{{Item: item("c", 8)}}})
+	third.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, IsListDiff: true, Events: []mirror.Event{{Item: item("c", 8)}}})
 	if got := third.Revision(); got != 9 {
 		t.Errorf("got revision %d of a node that knew just what the teller had known, want 9", got)
 	}
@@ -178,12 +178,12 @@
 // The store was away for a minute, and thousands of upstreams registered anew. The node that
 // reads it first tells more changes than a frame holds: nobody can read them, each time.
 func TestMoreChangesThanAFrameHoldsAreReadByEach(t *testing.T) {
-	var told mirror.News
+	var told mirror.Update
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &returning{script{lists: [][]mirror.Item{{}}, now: clock.NewSystem().Now, next: cancel}}
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: s, Now: s.now, Fresh: 50, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
-		Tell: func(n mirror.News) { told = n },
+		Store: s, Now: s.now, MaxStaleness: 50, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
+		Publish: func(n mirror.Update) { told = n },
 	})
 	_ = f.Serve(ctx) // it ends with the context
 	packed, err := wire.Pack(told.Events)
@@ -191,8 +191,8 @@
 		t.Fatal(err)
 	}
 	var heard []mirror.Event
-	if err := wire.Unpack(packed, &heard); err != nil || !told.More {
-		t.Errorf("got %v for what is told, more %v, want what can be read, and that there is more", err, told.More)
+	if err := wire.Unpack(packed, &heard); err != nil || !told.IsTruncated {
+		t.Errorf("got %v for what is told, more %v, want what can be read, and that there is more", err, told.IsTruncated)
 	}
 }
 
@@ -263,16 +263,16 @@
 				now := clock.NewSystem().Now
 				s := &flaky{script: script{lists: [][]mirror.Item{{item("a", 1)}}, now: now, next: func() {}}}
 				f := mirror.NewFollower(mirror.FollowerConfig{
-					Store: s, Now: now, Deliver: func([]mirror.Item, bool) {}, Away: func(error) {},
+					Store: s, Now: now, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 					Nodes: func() (int, bool) { return 30, false },
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() { _ = f.Serve(ctx) }() // it ends with the context
 				for turn := range 100 {
 					<-time.After(30 * time.Millisecond)
-					f.Hear(mirror.News{IsAway: true})
+					f.ReceiveUpdate(mirror.Update{IsUnavailable: true})
 					if gap && turn%10 == 0 {
-						f.Hear(mirror.News{Since: 50, Revision: 60})
+						f.ReceiveUpdate(mirror.Update{Since: 50, Revision: 60})
 					}
 				}
 				cancel()
--- a/mirror/walk_test.go
+++ b/mirror/walk_test.go
@@ -179,9 +179,9 @@
 	case !r.pause(ctx, r.node):
 		return nil, 0, mirror.ErrUnavailable
 	case isForgotten:
-		return nil, 0, mirror.ErrHistory
+		return nil, 0, mirror.ErrCompacted
 	case size > most:
-		return nil, 0, mirror.ErrLarge
+		return nil, 0, mirror.ErrTooLarge
 	default:
 		return events, revision, nil
 	}
@@ -250,10 +250,10 @@
 	log := lines.Silent()
 	seen, gone := map[string]uint64{}, map[string]uint64{}
 	f := mirror.NewFollower(mirror.FollowerConfig{
-		Store: walkReader{w.modelled, i}, Now: clock.NewSystem().Now, Mark: markOf, Seed: uint64(i), Log: log,
-		Deliver: func(items []mirror.Item, _ bool) { w.delivered(i, items, seen, gone) },
-		Tell:    func(n mirror.News) { w.tell(i, n) },
-		Away:    func(error) {},
+		Store: walkReader{w.modelled, i}, Now: clock.NewSystem().Now, Hash: markOf, Seed: uint64(i), Log: log,
+		Deliver:        func(items []mirror.Item, _ bool) { w.delivered(i, items, seen, gone) },
+		Publish:        func(n mirror.Update) { w.tell(i, n) },
+		OnAvailability: func(error) {},
 	})
 	ctx, cancel := context.WithCancel(w.t.Context())
 	w.mu.Lock() // nodes that tell others read them
@@ -290,7 +290,7 @@
 }
 
 // tell brings news to the others, late, and to some of them not at all.
-func (w *walk) tell(from int, n mirror.News) {
+func (w *walk) tell(from int, n mirror.Update) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.noDigest {
@@ -307,7 +307,7 @@
 		span := time.Duration(1+w.random.IntN(30)) * time.Millisecond
 		w.served.Go(func() {
 			<-time.After(span + time.Duration(i)*time.Microsecond)
-			to.Hear(heard)
+			to.ReceiveUpdate(heard)
 		})
 	}
 }
--- a/node/crashes.go
+++ b/node/crashes.go
@@ -16,7 +16,7 @@
 type crashes struct {
 	now func() clock.Millis
 	// tell tells entries of other nodes at once.
-	tell func(c *wire.Crashes)
+	tell func(c *wire.CrashReport)
 	// isEmpty and digest are the register's, for readers that can't wait.
 	isEmpty atomic.Bool
 	digest  atomic.Uint64
@@ -30,7 +30,7 @@
 	untold []quarantine.Crash
 }
 
-func newCrashes(now func() clock.Millis, tell func(c *wire.Crashes)) *crashes {
+func newCrashes(now func() clock.Millis, tell func(c *wire.CrashReport)) *crashes {
 	c := &crashes{now: now, tell: tell, register: quarantine.NewRegistry(), changed: make(chan struct{}, 1)}
 	c.isEmpty.Store(true)
 	return c
@@ -78,7 +78,7 @@
 	if c.IsEmpty() {
 		return
 	}
-	subject := d.Subject()
+	subject := d.QuarantineRequest()
 	if !c.MayMatch(subject.Hint()) {
 		return
 	}
@@ -96,10 +96,10 @@
 
 // merge takes in what a peer tells and returns what that peer lacks. A node that others
 // keep links to passes on what is new.
-func (c *crashes) merge(told *wire.Crashes, passesOn bool) (behind []quarantine.Crash) {
+func (c *crashes) merge(told *wire.CrashReport, passesOn bool) (behind []quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	isNews, behind := c.register.Merge(c.now(), told.Plain(c.now()))
+	isNews, behind := c.register.Merge(c.now(), told.ToQuarantine(c.now()))
 	if isNews {
 		c.share(passesOn)
 	}
@@ -115,7 +115,7 @@
 	c.told = told
 	if tells && len(ends) > 0 {
 		c.untold = append(c.untold, ends...)
-		for _, frame := range wire.CrashesOf(c.now(), ends) {
+		for _, frame := range wire.NewCrashReports(c.now(), ends) {
 			c.tell(frame)
 		}
 	}
@@ -161,7 +161,7 @@
 func (c *crashes) lift(t *table.Table) {
 	var all []quarantine.Fingerprint
 	for i := range t.Services {
-		for _, text := range t.Services[i].Lift {
+		for _, text := range t.Services[i].LiftedFingerprints {
 			if f, ok := quarantine.ParseFingerprint(text); ok { // the table was checked
 				all = append(all, f)
 			}
@@ -181,7 +181,7 @@
 	if b.IsEmpty() {
 		return quarantine.Status{}
 	}
-	subject := d.Subject()
+	subject := d.QuarantineRequest()
 	if d.Verdict == uint8(quarantine.Free) && !b.MayMatch(subject.Hint()) {
 		return quarantine.Status{}
 	}
--- a/node/describe.go
+++ b/node/describe.go
@@ -6,7 +6,7 @@
 func (n *Node) Links() metrics.LinkCount {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := metrics.LinkCount{Peers: len(n.peers), Accepted: n.links.Open()}
+	c := metrics.LinkCount{Peers: len(n.peers), Accepted: n.links.OpenLinks()}
 	for _, p := range n.peers {
 		if p.link.Ready() {
 			c.Dialled++
--- a/node/edition.go
+++ b/node/edition.go
@@ -40,8 +40,8 @@
 	version := t.Version
 	log = log.WithField("version", version)
 	n.mu.Lock()
-	verdict := n.fence.Offer(edition.Offer{Version: version, Digest: table.Digest(text), Source: source})
-	rival, contested := n.fence.Rival()
+	verdict := n.fence.Propose(edition.Candidate{Version: version, Digest: table.Digest(text), Source: source})
+	rival, contested := n.fence.Conflicting()
 	var changes []table.Change
 	if verdict == edition.Accept {
 		changes = table.Diff(n.table, t)
@@ -50,7 +50,7 @@
 	}
 	n.mu.Unlock()
 	if verdict == edition.Accept {
-		n.links.BeatNow() // a weight given back must not wait for a heartbeat
+		n.links.BroadcastHeartbeat() // a weight given back must not wait for a heartbeat
 	}
 	n.noteEdition(log, version, verdict, changes)
 	if contested && verdict != edition.Same {
@@ -65,12 +65,12 @@
 	n.table = t
 	n.apply(t)
 	n.mu.Unlock()
-	n.links.BeatNow() // what is leaving here must not wait for a heartbeat
+	n.links.BroadcastHeartbeat() // what is leaving here must not wait for a heartbeat
 	log := n.log.WithFields(logrus.Fields{"version": t.Version, "source": "store"})
 	n.noteEdition(log, t.Version, edition.Accept, changes)
 }
 
-func (n *Node) noteEdition(log logrus.FieldLogger, version uint64, verdict edition.Verdict, changes []table.Change) {
+func (n *Node) noteEdition(log logrus.FieldLogger, version uint64, verdict edition.Decision, changes []table.Change) {
 	e := access.Event{At: n.clock.Now(), Reason: "version " + formatVersion(version)}
 	switch verdict {
 	case edition.Accept:
@@ -89,7 +89,7 @@
 
 // noteRival says that two texts were published under one version: the edit in
 // one of them is not in force, and its author may not know.
-func (n *Node) noteRival(log logrus.FieldLogger, version uint64, rival edition.Offer) {
+func (n *Node) noteRival(log logrus.FieldLogger, version uint64, rival edition.Candidate) {
 	log.WithField("digest", rival.Digest).Warn("two tables have this version; this one is not in force; publish one above it")
 	n.metrics.RecordEvent(access.Event{
 		At:     n.clock.Now(),
@@ -108,7 +108,7 @@
 			log.WithField("changes", len(changes)-i).Info("more changes, not listed")
 			return
 		}
-		log.WithFields(logrus.Fields{"what": string(c.What), "where": c.Where, "from": c.From, "to": c.To}).Info("table changed")
+		log.WithFields(logrus.Fields{"what": string(c.Kind), "where": c.Path, "from": c.From, "to": c.To}).Info("table changed")
 	}
 }
 
@@ -165,23 +165,23 @@
 		g.SetListedLeaving(self)
 		n.entry.UpdateUpstream(g.Status())
 	}
-	n.links.BeatNow()
+	n.links.BroadcastHeartbeat()
 }
 
-// Ask returns the table in force for a peer whose own it goes before.
-func (n *Node) Ask(a *wire.Ask) (*wire.Edition, bool) {
+// RequestTable returns the table in force for a peer whose own it goes before.
+func (n *Node) RequestTable(a *wire.TableRequest) (*wire.TableVersion, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	current := n.fence.Current()
-	if !current.Before(edition.Offer{Version: a.Version, Digest: a.Digest}) {
+	if !current.Supersedes(edition.Candidate{Version: a.Version, Digest: a.Digest}) {
 		return nil, false
 	}
-	return &wire.Edition{Version: current.Version, Text: n.text}, true
+	return &wire.TableVersion{Version: current.Version, Text: n.text}, true
 }
 
 // holds reports whether an edition is the one in force: several peers may send
 // the same, and checking a large table takes tens of milliseconds.
-func (n *Node) holds(e *wire.Edition) bool {
+func (n *Node) holds(e *wire.TableVersion) bool {
 	digest := table.Digest(e.Text)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,9 +189,9 @@
 	return e.Version == current.Version && digest == current.Digest
 }
 
-// Edition takes in a table that a peer relays; it passes the same check as one
+// ReceiveTable takes in a table that a peer relays; it passes the same check as one
 // from the platform.
-func (n *Node) Edition(node string, e *wire.Edition) {
+func (n *Node) ReceiveTable(node string, e *wire.TableVersion) {
 	if n.tables != nil {
 		n.takeOver(node, e)
 		return
--- a/node/gates.go
+++ b/node/gates.go
@@ -145,7 +145,7 @@
 			ID:       d.ID,
 			Attempt:  d.Attempt,
 			Outcome:  wire.NotRun,
-			Reason:   wire.ReasonNobody,
+			Reason:   wire.ReasonNoUpstream,
 			Time:     n.clock.Now(),
 			Upstream: n.stranger(d.Upstream),
 		})
@@ -183,39 +183,39 @@
 }
 
 // invite asks an entry for a request to an upstream beside this node.
-func (n *Node) invite(entry uint64, i *wire.Invitation) bool {
+func (n *Node) invite(entry uint64, i *wire.WorkRequest) bool {
 	if entry == n.incarnation {
 		n.entry.HandleWorkRequest(i)
 		return true
 	}
-	return n.links.Invite(entry, i)
+	return n.links.SendWorkRequest(entry, i)
 }
 
 // stalled tells an entry of a run that most likely comes to no end. One that doesn't hear it
 // waits on.
-func (n *Node) stalled(entry uint64, s *wire.Stalled) {
+func (n *Node) stalled(entry uint64, s *wire.HungRun) {
 	if entry == n.incarnation {
 		n.stalls.tell(s)
 		return
 	}
-	n.links.Stalled(entry, s)
+	n.links.SendHungRun(entry, s)
 }
 
 // Dispatch takes in a request from another node's entry.
 func (n *Node) Dispatch(from uint64, d *wire.Dispatch) {
-	n.handle(d, func(r *wire.Reply) { n.links.Answer(from, r) })
+	n.handle(d, func(r *wire.Reply) { n.links.SendReply(from, r) })
 }
 
-// Enquire answers another node's entry that looks for a slot.
-func (n *Node) Enquire(from uint64, e *wire.Enquiry) {
-	n.enquire(e, func(h *wire.Hold) { n.links.Held(from, h) })
+// ProbeCapacity answers another node's entry that looks for a slot.
+func (n *Node) ProbeCapacity(from uint64, e *wire.CapacityProbe) {
+	n.enquire(e, func(h *wire.Reservation) { n.links.SendReservation(from, h) })
 }
 
-func (n *Node) enquire(e *wire.Enquiry, answer func(*wire.Hold)) {
+func (n *Node) enquire(e *wire.CapacityProbe, answer func(*wire.Reservation)) {
 	g, ok := n.gate(e.Upstream)
 	if !ok {
-		answer(&wire.Hold{
-			ID: e.ID, Attempt: e.Attempt, Reason: wire.ReasonNobody, Time: n.clock.Now(),
+		answer(&wire.Reservation{
+			ID: e.ID, Attempt: e.Attempt, Reason: wire.ReasonNoUpstream, Time: n.clock.Now(),
 			Upstream: n.stranger(e.Upstream),
 		})
 		return
@@ -223,26 +223,26 @@
 	g.ProbeCapacity(e, answer)
 }
 
-// Waive lets go of a slot that an entry asked for.
-func (n *Node) Waive(w *wire.Waive) {
+// ReleaseReservation lets go of a slot that an entry asked for.
+func (n *Node) ReleaseReservation(w *wire.ReleaseReservation) {
 	if g, ok := n.gate(w.Upstream); ok {
 		g.ReleaseReservation(w)
 	}
 }
 
-// Settle answers another node's entry about one of its dispatches.
-func (n *Node) Settle(from uint64, s *wire.Settle) {
+// Resolve answers another node's entry about one of its dispatches.
+func (n *Node) Resolve(from uint64, s *wire.Resolve) {
 	g, ok := n.asked(s.Upstream)
 	if !ok {
-		n.links.Settled(from, &wire.Settled{ID: s.ID, Attempt: s.Attempt, Forgotten: true, Time: n.clock.Now()})
+		n.links.SendResolution(from, &wire.Resolution{ID: s.ID, Attempt: s.Attempt, Unknown: true, Time: n.clock.Now()})
 		return
 	}
 	settled, reply := g.Resolve(s)
 	if reply != nil {
-		n.links.Answer(from, reply)
+		n.links.SendReply(from, reply)
 		return
 	}
-	n.links.Settled(from, settled)
+	n.links.SendResolution(from, settled)
 }
 
 // target returns the way to the node beside an upstream.
--- a/node/leave.go
+++ b/node/leave.go
@@ -32,7 +32,7 @@
 		g.Leave()
 		n.entry.UpdateUpstream(g.Status())
 	}
-	n.links.BeatNow()
+	n.links.BroadcastHeartbeat()
 }
 
 // callersMost bounds how long a leaving node still takes callers' requests, its
@@ -90,7 +90,7 @@
 func (n *Node) awaitPeers(ctx context.Context, left clock.Millis) error {
 	ticker := time.NewTicker(drainCheck)
 	defer ticker.Stop()
-	for !n.links.Echoed(left) {
+	for !n.links.HeartbeatEchoed(left) {
 		select {
 		case <-ctx.Done():
 			return errors.Trace(ctx.Err())
--- a/node/local.go
+++ b/node/local.go
@@ -11,7 +11,7 @@
 }
 
 // Dispatch hands a request to the gate in this process.
-func (l local) Dispatch(d *wire.Dispatch, w link.Waiter) error {
+func (l local) Dispatch(d *wire.Dispatch, w link.DispatchObserver) error {
 	now := l.node.clock.Now()
 	d.Incarnation = l.node.incarnation
 	d.Lease = now + d.Budget
@@ -28,8 +28,8 @@
 func (local) Resolve(wire.RequestID, uint8) {}
 
 // ProbeCapacity asks the gate in this process.
-func (l local) ProbeCapacity(e *wire.Enquiry, told func(*wire.Hold)) error {
-	l.node.enquire(e, func(h *wire.Hold) {
+func (l local) ProbeCapacity(e *wire.CapacityProbe, told func(*wire.Reservation)) error {
+	l.node.enquire(e, func(h *wire.Reservation) {
 		l.node.entry.UpdateUpstream(h.Upstream)
 		told(h)
 	})
@@ -37,7 +37,7 @@
 }
 
 // ReleaseReservation lets go of a slot.
-func (l local) ReleaseReservation(w *wire.Waive) { l.node.Waive(w) }
+func (l local) ReleaseReservation(w *wire.ReleaseReservation) { l.node.ReleaseReservation(w) }
 
 // Withdraw has nothing that waits for a link.
 func (local) Withdraw(wire.RequestID, uint8) bool { return false }
--- a/node/node.go
+++ b/node/node.go
@@ -98,7 +98,7 @@
 	news chan struct{}
 
 	mu    sync.Mutex
-	fence *edition.Fence
+	fence *edition.VersionGuard
 	table *table.Table
 	text  []byte
 	gates map[string]*gate.Gate
@@ -147,7 +147,7 @@
 	}
 	n.seed = n.incarnation
 	n.keys = gate.NewKeyStore(n.clock.Now)
-	n.crashes = newCrashes(n.clock.Now, func(c *wire.Crashes) { n.links.TellCrashes(c) })
+	n.crashes = newCrashes(n.clock.Now, func(c *wire.CrashReport) { n.links.BroadcastCrashes(c) })
 	n.quotas = newQuotas(n)
 	n.metrics = n.newMetrics(c.Lines)
 	if err := n.buildPools(); err != nil {
@@ -172,12 +172,12 @@
 		n.follower = n.newFollower(c.Store)
 	}
 	n.links = link.NewServer(link.ServerConfig{
-		Identity: n.identity(),
-		Limit:    n.frameLimit(),
-		Beat:     c.Settings.Beat,
-		Now:      n.clock.Now,
-		Handler:  n,
-		Log:      n.log,
+		Identity:          n.identity(),
+		MaxFrame:          n.frameLimit(),
+		HeartbeatInterval: c.Settings.Beat,
+		Now:               n.clock.Now,
+		Handler:           n,
+		Log:               n.log,
 	})
 	return n, nil
 }
@@ -226,7 +226,7 @@
 }
 
 func (n *Node) frameLimit() int {
-	return max(n.settings.Limits.Body, wire.ChunkSize, platformLimit) + wire.Overhead
+	return max(n.settings.Limits.Body, wire.ChunkSize, platformLimit) + wire.MaxOverhead
 }
 
 // platformLimit is the largest value of the platform, which an edition frame
--- a/node/peers.go
+++ b/node/peers.go
@@ -87,17 +87,17 @@
 		return p
 	}
 	p := &peer{link: link.NewPeer(link.PeerConfig{
-		Address: address,
-		Self:    n.identity(),
-		Limit:   n.frameLimit(),
-		Answer:  n.settings.Limits.Answer,
-		Beat:    n.settings.Beat,
-		Redial:  min(redial, n.settings.Beat),
-		Seed:    n.seed + uint64(len(n.peers)),
-		Now:     n.clock.Now,
-		Status:  n.Status,
-		Watcher: n,
-		Log:     n.log,
+		Address:           address,
+		Self:              n.identity(),
+		MaxFrame:          n.frameLimit(),
+		MaxReplyBody:      n.settings.Limits.Answer,
+		HeartbeatInterval: n.settings.Beat,
+		RedialDelay:       min(redial, n.settings.Beat),
+		Seed:              n.seed + uint64(len(n.peers)),
+		Now:               n.clock.Now,
+		Status:            n.Status,
+		Observer:          n,
+		Log:               n.log,
 	})}
 	p.token = n.peerTree.Add(service{"peer " + address, func(ctx context.Context) error { return p.link.Run(ctx) }})
 	n.peers[address] = p
@@ -105,7 +105,7 @@
 }
 
 // Status is what this node's heartbeats say.
-func (n *Node) Status() wire.Beat {
+func (n *Node) Status() wire.Heartbeat {
 	gates := n.allGates()
 	upstreams := make([]wire.Upstream, 0, len(gates))
 	for _, g := range gates {
@@ -114,10 +114,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.tables != nil {
-		return wire.Beat{Version: n.follower.Revision(), Leaving: n.leaving, Crashes: n.crashes.digest.Load(), Upstreams: upstreams}
+		return wire.Heartbeat{Version: n.follower.Revision(), Leaving: n.leaving, CrashDigest: n.crashes.digest.Load(), Upstreams: upstreams}
 	}
 	current := n.fence.Current()
-	return wire.Beat{Version: current.Version, Digest: current.Digest, Leaving: n.leaving, Crashes: n.crashes.digest.Load(), Upstreams: upstreams}
+	return wire.Heartbeat{Version: current.Version, Digest: current.Digest, Leaving: n.leaving, CrashDigest: n.crashes.digest.Load(), Upstreams: upstreams}
 }
 
 // changed asks for heartbeats at once.
@@ -138,19 +138,19 @@
 			for _, g := range n.allGates() {
 				n.entry.UpdateUpstream(g.Status())
 			}
-			n.links.BeatNow()
+			n.links.BroadcastHeartbeat()
 		}
 	}
 }
 
-// Beat takes in a heartbeat of an entry that dialled this node.
-func (n *Node) Beat(node string, b *wire.Beat) {
+// Heartbeat takes in a heartbeat of an entry that dialled this node.
+func (n *Node) Heartbeat(node string, b *wire.Heartbeat) {
 	n.compare(node, b)
 }
 
 // compare asks a peer for its table if that goes before this node's. It
 // reports whether the peer has one that doesn't.
-func (n *Node) compare(node string, b *wire.Beat) (settled bool) {
+func (n *Node) compare(node string, b *wire.Heartbeat) (settled bool) {
 	if n.tables != nil {
 		return true
 	}
@@ -158,19 +158,19 @@
 	current := n.fence.Current()
 	p, ok := n.peers[node]
 	n.mu.Unlock()
-	theirs := edition.Offer{Version: b.Version, Digest: b.Digest}
-	if !theirs.Before(current) {
+	theirs := edition.Candidate{Version: b.Version, Digest: b.Digest}
+	if !theirs.Supersedes(current) {
 		return b.Version > 0
 	}
 	if ok {
 		p.link.EnsureLink()
-		p.link.Ask(wire.Ask{Version: current.Version, Digest: current.Digest})
+		p.link.RequestTable(wire.TableRequest{Version: current.Version, Digest: current.Digest})
 	}
 	return false
 }
 
-// PeerBeat takes in a heartbeat of a node that this one dialled.
-func (n *Node) PeerBeat(node string, b *wire.Beat) {
+// PeerHeartbeat takes in a heartbeat of a node that this one dialled.
+func (n *Node) PeerHeartbeat(node string, b *wire.Heartbeat) {
 	for _, u := range b.Upstreams {
 		n.entry.UpdateUpstream(u)
 	}
@@ -191,14 +191,14 @@
 	n.entry.UpdateUpstream(u)
 }
 
-// PeerInvitation takes in a gate's wish for a request.
-func (n *Node) PeerInvitation(i *wire.Invitation) {
+// PeerWorkRequest takes in a gate's wish for a request.
+func (n *Node) PeerWorkRequest(i *wire.WorkRequest) {
 	n.entry.HandleWorkRequest(i)
 }
 
-// PeerEdition takes in a table that was asked for.
-func (n *Node) PeerEdition(node string, e *wire.Edition) {
-	n.Edition(node, e)
+// PeerTableVersion takes in a table that was asked for.
+func (n *Node) PeerTableVersion(node string, e *wire.TableVersion) {
+	n.ReceiveTable(node, e)
 }
 
 // PeerPath takes in whether a node can be reached from here.
@@ -210,7 +210,7 @@
 	n.entry.UpdatePath(node, isLost)
 	n.mu.Lock()
 	p, ok := n.peers[node]
-	noted := ok && p.lost != isLost && (!isLost || !p.leaving) && state != path.Doubted
+	noted := ok && p.lost != isLost && (!isLost || !p.leaving) && state != path.Suspected
 	if noted {
 		p.lost = isLost
 	}
--- a/node/platform.go
+++ b/node/platform.go
@@ -51,24 +51,24 @@
 
 func (n *Node) newFollower(store mirror.Store) *mirror.Follower {
 	c := mirror.FollowerConfig{
-		Store:   store,
-		Now:     n.clock.Now,
-		Fresh:   n.settings.Platform.Fresh,
-		Nodes:   n.size,
-		Deliver: n.deliver,
-		Tell:    n.tell,
-		Away:    n.platformAnswered,
-		Seed:    n.seed,
-		Log:     n.log,
+		Store:          store,
+		Now:            n.clock.Now,
+		MaxStaleness:   n.settings.Platform.Fresh,
+		Nodes:          n.size,
+		Deliver:        n.deliver,
+		Publish:        n.tell,
+		OnAvailability: n.platformAnswered,
+		Seed:           n.seed,
+		Log:            n.log,
 	}
 	if counting, ok := store.(interface{ Received() uint64 }); ok {
-		c.Received = counting.Received
+		c.BytesReceived = counting.Received
 	}
 	if n.tables != nil {
-		c.Mark, c.Announced = n.tables.Mark, n.tables.Announced
+		c.Hash, c.ExpectedRemoval = n.tables.Mark, n.tables.Announced
 	}
 	if n.settings.Platform.Form == settings.FormTable {
-		c.Backoff = n.settings.Platform.Poll
+		c.MaxBackoff = n.settings.Platform.Poll
 	}
 	return mirror.NewFollower(c)
 }
@@ -136,10 +136,10 @@
 }
 
 // tell tells all nodes with a link what was learned from the platform.
-func (n *Node) tell(learned mirror.News) {
-	news := &wire.News{
-		Since: learned.Since, Revision: learned.Revision, More: learned.More, IsAway: learned.IsAway, Age: learned.Age,
-		IsList: learned.IsList, Bytes: learned.Bytes, Digest: learned.Digest,
+func (n *Node) tell(learned mirror.Update) {
+	news := &wire.StoreUpdate{
+		Since: learned.Since, Revision: learned.Revision, IsTruncated: learned.IsTruncated, IsUnavailable: learned.IsUnavailable, Age: learned.Age,
+		IsListDiff: learned.IsListDiff, Bytes: learned.Bytes, Digest: learned.Digest,
 	}
 	if len(learned.Events) > 0 {
 		var err error
@@ -149,17 +149,17 @@
 			return
 		}
 	}
-	n.links.Tell(news)
+	n.links.BroadcastUpdate(news)
 }
 
-// PeerNews takes in what another node has learned from the platform.
-func (n *Node) PeerNews(news *wire.News) {
+// PeerStoreUpdate takes in what another node has learned from the platform.
+func (n *Node) PeerStoreUpdate(news *wire.StoreUpdate) {
 	if n.follower == nil {
 		return
 	}
-	heard := mirror.News{
-		Since: news.Since, Revision: news.Revision, More: news.More, IsAway: news.IsAway, Age: news.Age,
-		IsList: news.IsList, Bytes: news.Bytes, Digest: news.Digest,
+	heard := mirror.Update{
+		Since: news.Since, Revision: news.Revision, IsTruncated: news.IsTruncated, IsUnavailable: news.IsUnavailable, Age: news.Age,
+		IsListDiff: news.IsListDiff, Bytes: news.Bytes, Digest: news.Digest,
 	}
 	if len(news.Changes) > 0 {
 		if err := wire.Unpack(news.Changes, &heard.Events); err != nil {
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	n.follower.Hear(heard)
+	n.follower.ReceiveUpdate(heard)
 }
 
 // helpers is about how many nodes help one that knows nothing, with each round of
@@ -178,7 +178,7 @@
 // that is replaced while the platform is away would else refuse all requests of
 // its callers until that is back. Its peers dial it, for they have it in their
 // tables; it could dial nobody.
-func (n *Node) helpBlank(node string, b *wire.Beat) {
+func (n *Node) helpBlank(node string, b *wire.Heartbeat) {
 	if n.tables == nil || b.Version > 0 || b.Leaving || n.follower.Revision() == 0 {
 		return
 	}
@@ -199,7 +199,7 @@
 	p, ok := n.peers[node]
 	n.mu.Unlock()
 	if ok {
-		p.link.Offer(&wire.Edition{Version: revision, Text: body})
+		p.link.SendTable(&wire.TableVersion{Version: revision, Text: body})
 	}
 }
 
@@ -210,12 +210,12 @@
 
 // partsOf cuts values into arrays that a peer reads.
 func partsOf(items []mirror.Item) [][]mirror.Item {
-	return slices.Collect(slices.Chunk(items, wire.MostItems))
+	return slices.Collect(slices.Chunk(items, wire.MaxItems))
 }
 
 // takeOver takes in another node's copy of the platform's values while nothing is known
 // here.
-func (n *Node) takeOver(node string, e *wire.Edition) {
+func (n *Node) takeOver(node string, e *wire.TableVersion) {
 	var parts [][]mirror.Item
 	log := n.log.WithField("peer", node)
 	if err := wire.Unpack(e.Text, &parts); err != nil {
@@ -269,11 +269,11 @@
 	}
 	s := n.follower.Stats()
 	r := metrics.Reading{
-		Answered: metrics.Calls(s.Answered), Failed: metrics.Calls(s.Failed), Heard: s.Heard, Wrong: s.Wrong,
-		Revision: n.follower.Revision(), Lag: s.Lag, Late: s.Late,
+		Answered: metrics.Calls(s.Answered), Failed: metrics.Calls(s.Failed), Heard: s.UpdatesReceived, Wrong: s.CopyErrors,
+		Revision: n.follower.Revision(), Lag: s.Lag, Late: s.LateChanges,
 	}
 	if s.IsKnown {
-		r.Known, r.Age = true, max(n.clock.Now()-s.Known, 0)
+		r.Known, r.Age = true, max(n.clock.Now()-s.KnownAt, 0)
 	}
 	return r
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -35,7 +35,7 @@
 			n.crashes.expire()
 		case <-n.crashes.changed:
 			if ends := n.crashes.takeUntold(); len(ends) > 0 {
-				n.tellReaders(wire.CrashesOf(n.clock.Now(), ends))
+				n.tellReaders(wire.NewCrashReports(n.clock.Now(), ends))
 			}
 		}
 		n.actOn(n.crashes.cases(), held)
@@ -43,11 +43,11 @@
 }
 
 // tellReaders tells the nodes that all others keep links to.
-func (n *Node) tellReaders(frames []*wire.Crashes) {
+func (n *Node) tellReaders(frames []*wire.CrashReport) {
 	for _, p := range n.allReaders() {
 		p.link.EnsureLink()
 		for _, c := range frames {
-			p.link.TellCrashes(c)
+			p.link.SendCrashes(c)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		held[c.Fingerprint] = struct{}{}
 		n.log.WithFields(logrus.Fields{
 			"fingerprint": c.Fingerprint.String(), "service": c.Service, "upstreams": c.Servers, "requests": c.Requests,
-			"trials": c.Trials, "chance": wire.Short(c.Chance), "age": (now - c.Last).String(), "until": (c.Until - now).String(),
+			"trials": c.Trials, "chance": wire.RoundFloat(c.Chance), "age": (now - c.Last).String(), "until": (c.Until - now).String(),
 		}).Warn("request quarantined; it crashes the backend servers that run it")
 		n.metrics.RecordEvent(access.Event{
 			At: now, Kind: access.Quarantined, Service: c.Service, Reason: c.Fingerprint.String(), Until: c.Until,
@@ -103,25 +103,25 @@
 	}
 }
 
-// Crashes takes in what a node with a link to this one tells.
-func (n *Node) Crashes(c *wire.Crashes) []*wire.Crashes {
+// ReceiveCrashes takes in what a node with a link to this one tells.
+func (n *Node) ReceiveCrashes(c *wire.CrashReport) []*wire.CrashReport {
 	_, isReader := n.size()
 	behind := n.crashes.merge(c, isReader)
-	if c.Asks {
+	if c.WantsReply {
 		behind = append(n.crashes.all(), behind...)
 	}
-	return wire.CrashesOf(n.clock.Now(), behind)
+	return wire.NewCrashReports(n.clock.Now(), behind)
 }
 
-// PeerCrashes takes in what a node that this one dialled tells.
-func (n *Node) PeerCrashes(c *wire.Crashes) {
+// PeerCrashReport takes in what a node that this one dialled tells.
+func (n *Node) PeerCrashReport(c *wire.CrashReport) {
 	_, isReader := n.size()
 	n.crashes.merge(c, isReader)
 }
 
 // compareCrashes asks a peer that knows something else of crashes.
-func (n *Node) compareCrashes(node string, b *wire.Beat) {
-	if b.Crashes == n.crashes.digest.Load() {
+func (n *Node) compareCrashes(node string, b *wire.Heartbeat) {
+	if b.CrashDigest == n.crashes.digest.Load() {
 		return
 	}
 	now := n.clock.Now()
@@ -135,10 +135,10 @@
 	if !isDue {
 		return
 	}
-	for _, c := range wire.CrashesOf(now, n.crashes.all()) {
-		p.link.TellCrashes(c)
+	for _, c := range wire.NewCrashReports(now, n.crashes.all()) {
+		p.link.SendCrashes(c)
 	}
-	p.link.TellCrashes(&wire.Crashes{Asks: true})
+	p.link.SendCrashes(&wire.CrashReport{WantsReply: true})
 }
 
 // Quarantine lists the requests under which backend servers crash.
--- a/node/quota.go
+++ b/node/quota.go
@@ -212,23 +212,23 @@
 			}
 			continue
 		}
-		frame := wire.DrawOf(q.sequence.Add(1), d)
-		frame.Passed = passed
+		frame := wire.NewQuotaRequest(q.sequence.Add(1), d)
+		frame.SkippedHomes = passed
 		if drawn := q.drawAt(home, frame, drawTime); drawn != nil {
-			return drawn.Plain(), true
+			return drawn.ToQuota(), true
 		}
 	}
 	return quota.Grant{}, false
 }
 
 // drawAt asks one home and waits for its answer, nil without one.
-func (q *quotas) drawAt(home string, d *wire.Draw, span clock.Millis) *wire.Drawn {
+func (q *quotas) drawAt(home string, d *wire.QuotaRequest, span clock.Millis) *wire.QuotaGrant {
 	peer := q.peer(home)
 	if peer == nil || peer.IsLost() {
 		return nil
 	}
-	told := make(chan *wire.Drawn, 1)
-	if peer.Draw(d, func(a *wire.Drawn) { told <- a }) != nil {
+	told := make(chan *wire.QuotaGrant, 1)
+	if peer.RequestQuota(d, func(a *wire.QuotaGrant) { told <- a }) != nil {
 		return nil // the next home is asked
 	}
 	timer := time.NewTimer(span.Duration())
@@ -237,7 +237,7 @@
 	case a := <-told:
 		return a
 	case <-timer.C:
-		peer.ForgetDraw(d.Seq)
+		peer.ForgetQuotaRequest(d.Seq)
 		return nil
 	}
 }
@@ -252,15 +252,15 @@
 // answer answers another node that asks. A home that isn't the first grants only where
 // those before it are out of its own reach, too, and then a part of the limit: one that some
 // nodes have lost goes on for the others.
-func (q *quotas) answer(d *wire.Draw) *wire.Drawn {
-	draw := d.Plain()
-	if d.Passed > 0 && !d.IsRelayed {
+func (q *quotas) answer(d *wire.QuotaRequest) *wire.QuotaGrant {
+	draw := d.ToQuota()
+	if d.SkippedHomes > 0 && !d.IsRelayed {
 		q.mu.Lock()
 		homes := q.order(d.Account)
 		q.mu.Unlock()
 		relayed := *d
 		relayed.IsRelayed, relayed.Seq = true, q.sequence.Add(1)
-		for _, home := range homes[:min(d.Passed, len(homes))] {
+		for _, home := range homes[:min(d.SkippedHomes, len(homes))] {
 			if home == q.self {
 				break
 			}
@@ -271,7 +271,7 @@
 		}
 		draw.Limit = draw.Limit.Fallback()
 	}
-	return wire.DrawnOf(d.Seq, q.grant(draw))
+	return wire.NewQuotaGrant(d.Seq, q.grant(draw))
 }
 
 // QuotaCounts counts the decisions about requests of client accounts here.
@@ -281,11 +281,11 @@
 	return q.counts
 }
 
-// Draw answers another node that asks for leave to send requests of a client account.
-func (n *Node) Draw(from uint64, d *wire.Draw) {
-	if d.Passed == 0 || d.IsRelayed {
-		n.links.Drawn(from, n.quotas.answer(d))
+// RequestQuota answers another node that asks for leave to send requests of a client account.
+func (n *Node) RequestQuota(from uint64, d *wire.QuotaRequest) {
+	if d.SkippedHomes == 0 || d.IsRelayed {
+		n.links.SendQuotaGrant(from, n.quotas.answer(d))
 		return
 	}
-	go func() { n.links.Drawn(from, n.quotas.answer(d)) }() // it may wait for another home
+	go func() { n.links.SendQuotaGrant(from, n.quotas.answer(d)) }() // it may wait for another home
 }
--- a/node/resend.go
+++ b/node/resend.go
@@ -7,18 +7,18 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Void says what this node knows of a resend's key and forbids its gates to
+// RevokeKey says what this node knows of a resend's key and forbids its gates to
 // begin earlier sends. The memory is the node's, not a gate's: it answers also
 // for gates that a table edit has removed.
-func (n *Node) Void(v *wire.Void) *wire.Voided {
+func (n *Node) RevokeKey(v *wire.KeyRevocation) *wire.KeyRevocationReply {
 	out := n.keys.Revoke(v)
 	out.Version = n.version()
 	return out
 }
 
 // RevokeKey asks the gates in this process.
-func (l local) RevokeKey(v *wire.Void, _ clock.Millis, w link.VoidWaiter) error {
-	w.Voided(l.node.Void(v))
+func (l local) RevokeKey(v *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
+	w.Revoked(l.node.RevokeKey(v))
 	return nil
 }
 
--- a/node/seed_test.go
+++ b/node/seed_test.go
@@ -95,7 +95,7 @@
 	t.Run("few values", func(t *testing.T) { testHelp(t, store{}) })
 	// More than one array of a frame holds: the copy was not handed over, and a large
 	// fleet's nodes refused their callers until the platform was back.
-	t.Run("many values", func(t *testing.T) { testHelp(t, store{values: 2*wire.MostItems + 1}) })
+	t.Run("many values", func(t *testing.T) { testHelp(t, store{values: 2*wire.MaxItems + 1}) })
 }
 
 func testHelp(t *testing.T, full store) {
@@ -104,7 +104,7 @@
 	deployment := table.Index(table.Table{
 		Format: table.Format, Version: 7,
 		Services: []table.Service{{
-			Name: "conferme", Caution: table.Brief, Deadline: clock.Second,
+			Name: "conferme", Caution: table.ShortEpisodes, Deadline: clock.Second,
 			Upstreams: []table.Upstream{{
 				Name: "c1", Address: "127.0.0.1:1", Node: blank.Link.Addr().String(),
 				Domain: "palermo", Weight: 100, Slots: 1, Connections: 1,
--- a/node/stalls.go
+++ b/node/stalls.go
@@ -12,14 +12,14 @@
 // concurrent use.
 type stalls struct {
 	mu      sync.Mutex
-	waiters map[lease.Key]link.Waiter
+	waiters map[lease.Key]link.DispatchObserver
 }
 
 func newStalls() *stalls {
-	return &stalls{waiters: map[lease.Key]link.Waiter{}}
+	return &stalls{waiters: map[lease.Key]link.DispatchObserver{}}
 }
 
-func (s *stalls) add(d *wire.Dispatch, w link.Waiter) {
+func (s *stalls) add(d *wire.Dispatch, w link.DispatchObserver) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiters[d.ID.Key(d.Attempt)] = w
@@ -32,11 +32,11 @@
 }
 
 // tell tells the waiter of a dispatch that its run most likely comes to no end.
-func (s *stalls) tell(m *wire.Stalled) {
+func (s *stalls) tell(m *wire.HungRun) {
 	s.mu.Lock()
 	w, ok := s.waiters[m.ID.Key(m.Attempt)]
 	s.mu.Unlock()
 	if ok {
-		w.Stalled()
+		w.Hung()
 	}
 }
--- a/path/dial.go
+++ b/path/dial.go
@@ -6,11 +6,11 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// dial paces the opening of links to one peer.
-type dial struct {
-	beat   clock.Millis
-	redial clock.Millis
-	random *rand.Rand
+// dialSchedule paces the opening of links to one peer.
+type dialSchedule struct {
+	interval    clock.Millis
+	redialDelay clock.Millis
+	random      *rand.Rand
 	// running since started, until opened or failed.
 	running bool
 	started clock.Millis
@@ -23,35 +23,35 @@
 	checks   int
 }
 
-// due says whether a dial is to be started, and counts it as started. Checking
+// tryStart says whether a dial is to be started, and counts it as started. Checking
 // says that a link is open and in doubt.
-func (d *dial) due(now clock.Millis, checking bool) bool {
-	if now < d.next || (d.running && now-d.started <= lostBeats*d.beat) {
+func (d *dialSchedule) tryStart(now clock.Millis, checking bool) bool {
+	if now < d.next || (d.running && now-d.started <= lostIntervals*d.interval) {
 		return false
 	}
 	d.running = true
 	d.started = now
 	if checking {
 		d.checks++
-		d.next = now + backoff(d.random, d.beat, min(d.checks-1, dialDoublings))
+		d.next = now + backoff(d.random, d.interval, min(d.checks-1, dialDoublings))
 	}
 	return true
 }
 
-func (d *dial) opened() {
+func (d *dialSchedule) opened() {
 	d.running = false
 	d.failures = 0
 }
 
-func (d *dial) failed(now clock.Millis) {
+func (d *dialSchedule) failed(now clock.Millis) {
 	d.running = false
 	d.failures++
 	d.failedAt = now
-	d.next = now + backoff(d.random, d.redial, min(d.failures-1, dialDoublings))
+	d.next = now + backoff(d.random, d.redialDelay, min(d.failures-1, dialDoublings))
 }
 
-// settled ends the pacing of checks: answers come.
-func (d *dial) settled() {
+// resetChecks ends the pacing of checks: answers come.
+func (d *dialSchedule) resetChecks() {
 	d.checks = 0
 }
 
@@ -60,9 +60,9 @@
 	// dialDoublings bounds it at 16 beats, or spans to redial: a peer that returns is found within
 	// 24, and 2,400 entries that lost one peer dial it 150 times a beat.
 	dialDoublings = 4
-	// holdDoublings bounds it at 64 beats: nothing is sent to hold a path off,
+	// holdDownDoublings bounds it at 64 beats: nothing is sent to hold a path off,
 	// so it may grow further than the span between two dials.
-	holdDoublings = 6
+	holdDownDoublings = 6
 )
 
 // backoff returns a span of about 2^doublings beats, between half and one and
--- a/path/outstanding.go
+++ b/path/outstanding.go
@@ -2,10 +2,10 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// mostSent bounds the requests remembered for one peer: the slots and queues
+// maxOutstanding bounds the requests remembered for one peer: the slots and queues
 // of 83 upstreams beside it, as at the size to design for, with room. Beyond
 // it requests aren't watched; those watched show a silent link as well.
-const mostSent = 4096
+const maxOutstanding = 4096
 
 // outstanding holds the requests not yet settled.
 type outstanding struct {
@@ -17,7 +17,7 @@
 
 func (o *outstanding) add(id uint64, due clock.Millis) {
 	o.remove(id)
-	if len(o.due) >= mostSent {
+	if len(o.due) >= maxOutstanding {
 		return
 	}
 	if len(o.due) == 0 || due < o.earliest {
@@ -36,8 +36,8 @@
 	delete(o.due, id)
 }
 
-// forget drops the requests that are overdue: they were judged.
-func (o *outstanding) forget(now clock.Millis) {
+// dropOverdue drops the requests that are overdue: they were judged.
+func (o *outstanding) dropOverdue(now clock.Millis) {
 	for id, due := range o.due {
 		if due <= now {
 			o.remove(id)
@@ -45,20 +45,20 @@
 	}
 }
 
-// overdue says whether any request is. The search for the earliest due is made
+// hasOverdue says whether any request is. The search for the earliest due is made
 // only when the bound has passed and its request is gone, so that a call costs
 // nothing while answers come in time.
-func (o *outstanding) overdue(now clock.Millis) bool {
+func (o *outstanding) hasOverdue(now clock.Millis) bool {
 	if len(o.due) == 0 || o.earliest >= now {
 		return false
 	}
 	if o.stale {
-		o.search()
+		o.findEarliest()
 	}
 	return o.earliest < now
 }
 
-func (o *outstanding) search() {
+func (o *outstanding) findEarliest() {
 	first := true
 	for _, due := range o.due {
 		if first || due < o.earliest {
--- a/path/path_test.go
+++ b/path/path_test.go
@@ -25,7 +25,7 @@
 
 // peer is a stand-in for a peer and the network to it, in virtual time.
 type peer struct {
-	judge *path.Judge
+	judge *path.Detector
 	// out and in say whether frames pass from the entry and to it; silent that
 	// they don't on the link now open, in either direction, but on a new one.
 	out, in, silent bool
@@ -43,7 +43,7 @@
 		p.heard = now
 	}
 	if now%beat == beat/2 && p.in && !p.silent {
-		p.judge.Heard(now)
+		p.judge.Received(now)
 		p.judge.Echoed(now, p.heard)
 	}
 	switch {
@@ -54,7 +54,7 @@
 		p.dialled = 0
 		p.judge.Failed(now)
 	}
-	if !p.idle && p.judge.Redial(now) {
+	if !p.idle && p.judge.ShouldDial(now) {
 		p.dials++
 		p.dialled = now
 	}
@@ -69,7 +69,7 @@
 
 // play runs the events until an instant and tells the changes of state.
 func play(events []event, until clock.Millis) (*peer, string) {
-	p := &peer{judge: path.New(path.Config{Beat: beat, Seed: 1}), out: true, in: true}
+	p := &peer{judge: path.New(path.Config{HeartbeatInterval: beat, Seed: 1}), out: true, in: true}
 	var told []string
 	last := path.Good
 	for now := clock.Millis(10); now <= until; now += 10 {
@@ -133,7 +133,7 @@
 			[]event{
 				{1000, func(p *peer) { p.silent = true }},
 				{1100, func(p *peer) { p.judge.Sent(1100, 7, 1200) }},
-				{1250, func(p *peer) { p.judge.Settled(1250, 7) }},
+				{1250, func(p *peer) { p.judge.Completed(1250, 7) }},
 			},
 			"1160 doubted, 1170 good", 2,
 		},
@@ -152,7 +152,7 @@
 			"idle link", "No caller comes from 1000 to 9000 and the link is closed meanwhile. The " +
 				"first request after it must find the path as good as before.",
 			[]event{
-				{1000, func(p *peer) { p.idle, p.in, p.out = true, false, false; p.judge.Idle(1000) }},
+				{1000, func(p *peer) { p.idle, p.in, p.out = true, false, false; p.judge.ClosedIdle(1000) }},
 				{9000, func(p *peer) { p.idle, p.in, p.out = false, true, true }},
 			},
 			"", 2,
@@ -219,11 +219,11 @@
 func TestRedialsSpread(t *testing.T) {
 	dials := make(map[clock.Millis]int)
 	for seed := range uint64(100) {
-		j := path.New(path.Config{Beat: beat, Seed: seed})
-		j.Redial(0)
+		j := path.New(path.Config{HeartbeatInterval: beat, Seed: seed})
+		j.ShouldDial(0)
 		j.Failed(0)
 		for now := clock.Millis(0); ; now++ {
-			if j.Redial(now) {
+			if j.ShouldDial(now) {
 				dials[now/10]++
 				break
 			}
@@ -238,11 +238,11 @@
 
 func TestOverdueIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j, now, due := path.New(path.Config{Beat: beat}), beat, make(map[uint64]clock.Millis)
+		j, now, due := path.New(path.Config{HeartbeatInterval: beat}), beat, make(map[uint64]clock.Millis)
 		j.Opened(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += clock.Millis(rapid.IntRange(1, 90).Draw(t, "span"))
-			j.Heard(now)
+			j.Received(now)
 			j.Echoed(now, now)
 			id := rapid.Uint64Range(0, 9).Draw(t, "id")
 			if rapid.Bool().Draw(t, "sent") {
@@ -250,12 +250,12 @@
 				j.Sent(now, id, due[id])
 			} else {
 				delete(due, id)
-				j.Settled(now, id)
+				j.Completed(now, id)
 			}
 			want := path.Good
 			for _, d := range due {
 				if d < now {
-					want = path.Doubted
+					want = path.Suspected
 				}
 			}
 			if got := j.State(now); got != want {
@@ -266,7 +266,7 @@
 }
 
 func TestSentIsBounded(t *testing.T) {
-	j := path.New(path.Config{Beat: beat})
+	j := path.New(path.Config{HeartbeatInterval: beat})
 	id := uint64(0)
 	sent := func() {
 		id++
@@ -286,15 +286,15 @@
 // that waited a heartbeat or more between two dials would keep away from a sound
 // upstream for seconds.
 func TestRedialIsIndependentOfTheBeat(t *testing.T) {
-	j := path.New(path.Config{Beat: 2 * clock.Second, Redial: 250, Seed: 1})
-	if !j.Redial(1000) {
+	j := path.New(path.Config{HeartbeatInterval: 2 * clock.Second, RedialDelay: 250, Seed: 1})
+	if !j.ShouldDial(1000) {
 		t.Fatal("got no first dial, want one")
 	}
 	j.Failed(1010)
-	if j.Redial(1100) {
+	if j.ShouldDial(1100) {
 		t.Error("got a dial 90 ms after a failed one, want a span of 125 ms at least")
 	}
-	if !j.Redial(1010 + 376) {
+	if !j.ShouldDial(1010 + 376) {
 		t.Error("got no dial 376 ms after a failed one, want one")
 	}
 }
--- a/path/probe_test.go
+++ b/path/probe_test.go
@@ -27,7 +27,7 @@
 	p.probe.Sent(now)
 	p.answer(now, took)
 	if p.check == 0 {
-		p.check = now + path.PingAfter
+		p.check = now + path.PingDelay
 	}
 }
 
@@ -39,7 +39,7 @@
 
 func (p *probed) step(now clock.Millis) {
 	for _, sent := range p.answers[now] {
-		p.probe.Proved(sent)
+		p.probe.Answered(sent)
 	}
 	if p.check == 0 || now < p.check {
 		return
@@ -53,9 +53,9 @@
 		p.check = now + after
 	case path.Wait:
 		p.check = now + after
-	case path.Stall:
+	case path.DeclareLost:
 		p.stalls = append(p.stalls, now)
-	case path.Rest:
+	case path.NoAction:
 	}
 }
 
@@ -70,7 +70,7 @@
 		p.step(now)
 	}
 	// the first request after the cut is that of 5.6 s
-	want := 5600 + path.PingAfter + path.StallAfter
+	want := 5600 + path.PingDelay + path.PingTimeout
 	if len(p.stalls) == 0 || p.stalls[0] != want {
 		t.Errorf("got the path stalled at %v, want %v", p.stalls, want)
 	}
@@ -114,15 +114,15 @@
 func TestPausedProcessPingsAgain(t *testing.T) {
 	var p path.Probe
 	p.Sent(1000)
-	if got, _ := p.Check(1000 + path.PingAfter); got != path.Ping {
+	if got, _ := p.Check(1000 + path.PingDelay); got != path.Ping {
 		t.Fatalf("got %v, want a ping", got)
 	}
-	woke := 1000 + path.PingAfter + clock.Second
-	if got, after := p.Check(woke); got != path.Ping || after != path.StallAfter {
+	woke := 1000 + path.PingDelay + clock.Second
+	if got, after := p.Check(woke); got != path.Ping || after != path.PingTimeout {
 		t.Errorf("got %v after a pause, want another ping", got)
 	}
-	p.Proved(woke)
-	if got, _ := p.Check(woke + path.StallAfter); got != path.Rest {
+	p.Answered(woke)
+	if got, _ := p.Check(woke + path.PingTimeout); got != path.NoAction {
 		t.Errorf("got %v after the answer, want rest", got)
 	}
 }
--- a/report/burning.go
+++ b/report/burning.go
@@ -121,7 +121,7 @@
 
 func formatObjective(o access.Objective, kind burn.Kind) string {
 	if kind == burn.Latency {
-		return formatTarget(o.Within) + " within " + formatDuration(o.Latency)
+		return formatTarget(o.LatencyRatio) + " within " + formatDuration(o.Latency)
 	}
 	return formatTarget(o.Availability) + " served"
 }
--- a/report/fixture_test.go
+++ b/report/fixture_test.go
@@ -22,8 +22,8 @@
 const evil = "\x1b[31m<script>alert(1)</script>"
 
 var services = []table.Service{
-	{Name: "bacheca", Objective: table.Objective{Availability: 0.999, Latency: 250, Within: 0.99}},
-	{Name: "conferme", Objective: table.Objective{Availability: 0.9995, Latency: 400, Within: 0.95}},
+	{Name: "bacheca", Objective: table.Objective{Availability: 0.999, Latency: 250, LatencyRatio: 0.99}},
+	{Name: "conferme", Objective: table.Objective{Availability: 0.9995, Latency: 400, LatencyRatio: 0.95}},
 }
 
 // node drives a book through its life.
--- a/settings/check.go
+++ b/settings/check.go
@@ -112,7 +112,7 @@
 
 func (s *Settings) checkPolicy(doc *document.Document) {
 	n := doc.Root.Field("policy")
-	cautions := []string{string(table.Fast), string(table.Balanced), string(table.Cautious), string(table.Brief)}
+	cautions := []string{string(table.Fast), string(table.Balanced), string(table.Cautious), string(table.ShortEpisodes)}
 	if !slices.Contains(cautions, string(s.Policy.Caution)) {
 		doc.Refuse(n, "caution", document.Quote(string(s.Policy.Caution)), strings.Join(cautions, ", "))
 	}
@@ -121,7 +121,7 @@
 	document.Within(doc, n, "retries", s.Policy.Retries, 0, 1)
 	document.Within(doc, n, "extra", s.Policy.Extra, 0, MaxExtra)
 	doc.Span(n, "window", s.Policy.Window, 0, MaxWindow)
-	table.CheckLift(doc, n, s.Policy.Lift)
+	table.CheckFingerprints(doc, n, s.Policy.Lift)
 }
 
 func (s *Settings) checkSecret(doc *document.Document) {
--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -41,7 +41,7 @@
 			Caution: table.DefaultCaution,
 			Floor:   table.DefaultFloor,
 			Drain:   table.DefaultDrain,
-			Retries: table.DefaultRetries,
+			Retries: table.DefaultRetryRatio,
 		},
 		Beat: DefaultBeat,
 		Limits: Limits{
--- a/table/account.go
+++ b/table/account.go
@@ -37,7 +37,7 @@
 
 // HasKeys reports whether requests come with keys of client accounts.
 func (t *Table) HasKeys() bool {
-	return t.Keyed || len(t.Accounts) > 0
+	return t.RequireKeys || len(t.Accounts) > 0
 }
 
 // NeedsKey reports whether a request by a route needs the key of a client account.
@@ -81,7 +81,7 @@
 func (c *checker) account(n *document.Node, a *Account) {
 	c.doc.Name(n, "name", a.Name)
 	if a.Name != "" {
-		c.once(c.accounts, n, "name", a.Name, "a name that no other account has")
+		c.checkUnique(c.accounts, n, "name", a.Name, "a name that no other account has")
 	}
 	if len(a.Keys) > MaxKeys {
 		c.doc.Refuse(n, "keys", fmt.Sprintf("%d keys", len(a.Keys)), fmt.Sprintf("at most %d", MaxKeys))
@@ -92,7 +92,7 @@
 			c.doc.Refuse(n, "keys", "an entry", "SHA-256 digests of 64 lower-case hexadecimal digits")
 			continue
 		}
-		c.once(c.keys, n, "keys", digest, "a key that no other account has")
+		c.checkUnique(c.keys, n, "keys", digest, "a key that no other account has")
 	}
 	document.Within(c.doc, n, "rate", a.Rate, 0, MaxRate)
 	document.Within(c.doc, n, "burst", a.Burst, 0, MaxRate)
--- a/table/check.go
+++ b/table/check.go
@@ -23,10 +23,10 @@
 	MaxDrain = 30 * clock.Second
 	// MaxQueue is hundreds of times what the slots of today serve at once.
 	MaxQueue = 10_000
-	// MaxExtra is more retries than any fleet has use for in one window.
-	MaxExtra = 1e6
-	// MaxWindow keeps the memory of a retry budget small.
-	MaxWindow = clock.Minute
+	// MaxExtraRetries is more retries than any fleet has use for in one window.
+	MaxExtraRetries = 1e6
+	// MaxRetryWindow keeps the memory of a retry budget small.
+	MaxRetryWindow = clock.Minute
 	// MaxRate is a hundred times the planned peak of the whole fleet.
 	MaxRate = 1e9
 	// MaxWeight leaves weight x slots of all upstreams far below overflow.
@@ -107,12 +107,12 @@
 	seen := make(map[string]int)
 	for _, name := range c.table.Domains {
 		c.doc.Name(n, "domains", name)
-		c.once(seen, n, "domains", name, "each failure domain once")
+		c.checkUnique(seen, n, "domains", name, "each failure domain once")
 	}
 }
 
-// once notes a fault if the value was seen before.
-func (c *checker) once(seen map[string]int, n *document.Node, key, value, allowed string) {
+// checkUnique notes a fault if the value was seen before.
+func (c *checker) checkUnique(seen map[string]int, n *document.Node, key, value, allowed string) {
 	if first, ok := seen[value]; ok {
 		problem := document.Quote(value) + " stands twice"
 		if first > 0 {
@@ -127,26 +127,26 @@
 func (c *checker) service(n *document.Node, s *Service) {
 	c.doc.Name(n, "name", s.Name)
 	if s.Name != "" {
-		c.once(c.services, n, "name", s.Name, "a name that no other service has")
+		c.checkUnique(c.services, n, "name", s.Name, "a name that no other service has")
 	}
 	switch s.Caution {
-	case Fast, Balanced, Cautious, Brief:
+	case Fast, Balanced, Cautious, ShortEpisodes:
 	default:
 		c.doc.Refuse(n, "caution", document.Quote(string(s.Caution)), "fast, balanced, cautious, brief")
 	}
 	document.Within(c.doc, n, "floor", s.Floor, 0, 1)
 	c.doc.Span(n, "deadline", s.Deadline, MinDeadline, MaxDeadline)
-	if s.Probe != "" && !strings.HasPrefix(s.Probe, "/") {
-		c.doc.Refuse(n, "probe", document.Quote(s.Probe), "a path that begins with /")
+	if s.ProbePath != "" && !strings.HasPrefix(s.ProbePath, "/") {
+		c.doc.Refuse(n, "probe", document.Quote(s.ProbePath), "a path that begins with /")
 	}
 	c.doc.Span(n, "drain", s.Drain, 0, MaxDrain)
 	document.Within(c.doc, n, "queue", s.Queue, 0, MaxQueue)
-	document.Within(c.doc, n, "retries", s.Retries, 0, 1)
-	document.Within(c.doc, n, "extra", s.Extra, 0, MaxExtra)
-	c.doc.Span(n, "window", s.Window, 0, MaxWindow)
+	document.Within(c.doc, n, "retries", s.RetryRatio, 0, 1)
+	document.Within(c.doc, n, "extra", s.ExtraRetries, 0, MaxExtraRetries)
+	c.doc.Span(n, "window", s.RetryWindow, 0, MaxRetryWindow)
 	document.Within(c.doc, n, "rate", s.Rate, 0, MaxRate)
 	document.Within(c.doc, n, "quota", s.CallerRate, 0, MaxRate)
-	CheckLift(c.doc, n, s.Lift)
+	CheckFingerprints(c.doc, n, s.LiftedFingerprints)
 	c.objective(n.Field("objective"), s)
 	if len(s.Upstreams) == 0 {
 		c.doc.Add(n, "upstream", "is missing", "one [[service.upstream]] or more")
@@ -163,8 +163,8 @@
 	}
 }
 
-// CheckLift checks a list of requests to be freed of a quarantine.
-func CheckLift(doc *document.Document, n *document.Node, lift []string) {
+// CheckFingerprints checks a list of requests to be freed of a quarantine.
+func CheckFingerprints(doc *document.Document, n *document.Node, lift []string) {
 	for _, text := range lift {
 		if _, ok := quarantine.ParseFingerprint(text); !ok {
 			doc.Refuse(n, "lift", document.Quote(text), "fingerprints of 32 hexadecimal digits, as the log has them")
@@ -174,7 +174,7 @@
 
 func (c *checker) objective(n *document.Node, s *Service) {
 	document.Between(c.doc, n, "availability", s.Objective.Availability, 0, 1)
-	document.Between(c.doc, n, "within", s.Objective.Within, 0, 1)
+	document.Between(c.doc, n, "within", s.Objective.LatencyRatio, 0, 1)
 	if s.Deadline >= MinDeadline {
 		c.doc.Span(n, "latency", s.Objective.Latency, 1, s.Deadline)
 	}
@@ -183,10 +183,10 @@
 func (c *checker) upstream(n *document.Node, u *Upstream) {
 	c.doc.Name(n, "name", u.Name)
 	if u.Name != "" {
-		c.once(c.upstreams, n, "name", u.Name, "a name that no other upstream of the table has")
+		c.checkUnique(c.upstreams, n, "name", u.Name, "a name that no other upstream of the table has")
 	}
 	if c.doc.Address(n, "address", u.Address) {
-		c.once(c.addresses, n, "address", u.Address, "an address that no other upstream has")
+		c.checkUnique(c.addresses, n, "address", u.Address, "an address that no other upstream has")
 	}
 	c.doc.Address(n, "node", u.Node)
 	c.doc.Name(n, "domain", u.Domain)
@@ -240,7 +240,7 @@
 			fmt.Sprintf("a host name or IP number without a port, at most %d bytes", MaxHost))
 	}
 	if isPrefix(r.Prefix) {
-		c.once(c.prefixes, n, "prefix", strings.ToLower(r.Host)+trimSlash(r.Prefix)+"/",
+		c.checkUnique(c.prefixes, n, "prefix", strings.ToLower(r.Host)+trimSlash(r.Prefix)+"/",
 			"a prefix that no other route has")
 	} else {
 		c.doc.Refuse(n, "prefix", document.Quote(r.Prefix),
@@ -248,8 +248,8 @@
 	}
 	c.shares(n, r)
 	c.doc.Span(n, "timeout", r.Timeout, 0, MaxDeadline)
-	c.doc.Span(n, "target", r.Target, 0, MaxDeadline)
-	document.Within(c.doc, n, "attempts", r.Attempts, 0, MaxAttempts)
+	c.doc.Span(n, "target", r.LatencyTarget, 0, MaxDeadline)
+	document.Within(c.doc, n, "attempts", r.MaxAttempts, 0, MaxAttempts)
 	document.Within(c.doc, n, "priority", r.Priority, 0, MaxPriority)
 	for _, m := range r.Repeatable {
 		if m != AnyMethod && !slices.Contains(methods, m) {
@@ -261,7 +261,7 @@
 // shares checks which services a route leads to.
 func (c *checker) shares(n *document.Node, r *Route) {
 	if len(r.Shares) == 0 {
-		c.known(n, r.Service)
+		c.checkServiceExists(n, r.Service)
 		return
 	}
 	if r.Service != "" {
@@ -270,7 +270,7 @@
 	weight := 0
 	for i := range r.Shares {
 		at := n.Field("share").Item(i)
-		c.known(at, r.Shares[i].Service)
+		c.checkServiceExists(at, r.Shares[i].Service)
 		document.Within(c.doc, at, "weight", r.Shares[i].Weight, 0, MaxWeight)
 		weight += max(r.Shares[i].Weight, 0)
 	}
@@ -279,7 +279,7 @@
 	}
 }
 
-func (c *checker) known(n *document.Node, service string) {
+func (c *checker) checkServiceExists(n *document.Node, service string) {
 	if _, ok := c.services[service]; !ok {
 		c.doc.Refuse(n, "service", document.Quote(service), "the name of a [[service]] of this table")
 	}
@@ -313,7 +313,7 @@
 
 func (c *checker) caller(n *document.Node, k *Caller) {
 	if isCallerName(k.Name) {
-		c.once(c.callers, n, "name", k.Name, "a name that no other caller has")
+		c.checkUnique(c.callers, n, "name", k.Name, "a name that no other caller has")
 	} else {
 		c.doc.Refuse(n, "name", document.Quote(k.Name),
 			fmt.Sprintf("1 to %d printable characters without spaces", MaxCallerName))
--- a/table/clone.go
+++ b/table/clone.go
@@ -6,14 +6,14 @@
 // Parse makes one for a table in force.
 func (t *Table) Clone() *Table {
 	c := &Table{
-		Format:   t.Format,
-		Version:  t.Version,
-		Services: slices.Clone(t.Services),
-		Routes:   slices.Clone(t.Routes),
-		Callers:  slices.Clone(t.Callers),
-		Domains:  slices.Clone(t.Domains),
-		Accounts: slices.Clone(t.Accounts),
-		Keyed:    t.Keyed,
+		Format:      t.Format,
+		Version:     t.Version,
+		Services:    slices.Clone(t.Services),
+		Routes:      slices.Clone(t.Routes),
+		Callers:     slices.Clone(t.Callers),
+		Domains:     slices.Clone(t.Domains),
+		Accounts:    slices.Clone(t.Accounts),
+		RequireKeys: t.RequireKeys,
 	}
 	for i := range c.Accounts {
 		c.Accounts[i].Keys = slices.Clone(t.Accounts[i].Keys)
--- a/table/defaults.go
+++ b/table/defaults.go
@@ -19,17 +19,17 @@
 	// DefaultQueuePerSlot lets a queue hold twice what is being served, so
 	// that a waiting request has at most two service times ahead of it.
 	DefaultQueuePerSlot = 2
-	// DefaultRetries bounds the extra load of retries to a tenth: enough for
+	// DefaultRetryRatio bounds the extra load of retries to a tenth: enough for
 	// single faults, too little to turn an overload into a collapse.
-	DefaultRetries = 0.1
+	DefaultRetryRatio = 0.1
 	// DefaultCaution stands between the two trades.
 	DefaultCaution = Balanced
 	// DefaultAvailability allows 43 minutes of full outage in 30 days.
 	DefaultAvailability = 0.999
 	// DefaultLatency is a quarter of DefaultDeadline.
 	DefaultLatency = 500 * clock.Millis(1)
-	// DefaultWithin leaves out the slowest 1 in 100.
-	DefaultWithin = 0.99
+	// DefaultLatencyRatio leaves out the slowest 1 in 100.
+	DefaultLatencyRatio = 0.99
 	// DefaultWeight leaves room to give an upstream more or less in whole
 	// numbers.
 	DefaultWeight = 100
@@ -69,7 +69,7 @@
 	setDefault(n, "floor", &s.Floor, DefaultFloor)
 	setDefault(n, "deadline", &s.Deadline, DefaultDeadline)
 	setDefault(n, "drain", &s.Drain, DefaultDrain)
-	setDefault(n, "retries", &s.Retries, DefaultRetries)
+	setDefault(n, "retries", &s.RetryRatio, DefaultRetryRatio)
 	slots := 0
 	for i := range s.Upstreams {
 		s.Upstreams[i].setDefaults(n.Field("upstream").Item(i))
@@ -85,7 +85,7 @@
 		latency = min(latency, s.Deadline)
 	}
 	setDefault(objective, "latency", &s.Objective.Latency, latency)
-	setDefault(objective, "within", &s.Objective.Within, DefaultWithin)
+	setDefault(objective, "within", &s.Objective.LatencyRatio, DefaultLatencyRatio)
 }
 
 func (u *Upstream) setDefaults(n *document.Node) {
--- a/table/diff.go
+++ b/table/diff.go
@@ -9,34 +9,34 @@
 
 // Change is one difference between two editions of a table.
 type Change struct {
-	// What is "added", "removed" or "changed".
-	What What
-	// Where names the part and its key, as faults do.
-	Where string
+	// Kind is "added", "removed" or "changed".
+	Kind ChangeKind
+	// Path names the part and its key, as faults do.
+	Path string
 	// From and To are the values before and after; From is empty for what was
 	// added, To for what was removed.
 	From, To string
 }
 
-// What says how a part differs between two editions.
-type What string
+// ChangeKind says how a part differs between two editions.
+type ChangeKind string
 
 // The values of What.
 const (
-	Added   What = "added"
-	Removed What = "removed"
-	Changed What = "changed"
+	Added   ChangeKind = "added"
+	Removed ChangeKind = "removed"
+	Changed ChangeKind = "changed"
 )
 
 // String writes the change on one line.
 func (c Change) String() string {
-	switch c.What {
+	switch c.Kind {
 	case Added:
-		return fmt.Sprintf("added %s: %s", c.Where, c.To)
+		return fmt.Sprintf("added %s: %s", c.Path, c.To)
 	case Removed:
-		return fmt.Sprintf("removed %s: %s", c.Where, c.From)
+		return fmt.Sprintf("removed %s: %s", c.Path, c.From)
 	default:
-		return fmt.Sprintf("changed %s: %s to %s", c.Where, c.From, c.To)
+		return fmt.Sprintf("changed %s: %s to %s", c.Path, c.From, c.To)
 	}
 }
 
@@ -51,11 +51,11 @@
 		newer = new(Table)
 	}
 	var d differ
-	d.values("", *older, *newer)
-	parts(&d, "", serviceParts, older.Services, newer.Services)
-	parts(&d, "", routeParts, older.Routes, newer.Routes)
-	parts(&d, "", callerParts, older.Callers, newer.Callers)
-	parts(&d, "", accountParts, older.Accounts, newer.Accounts)
+	d.diffValues("", *older, *newer)
+	diffParts(&d, "", serviceParts, older.Services, newer.Services)
+	diffParts(&d, "", routeParts, older.Routes, newer.Routes)
+	diffParts(&d, "", callerParts, older.Callers, newer.Callers)
+	diffParts(&d, "", accountParts, older.Accounts, newer.Accounts)
 	return d.changes
 }
 
@@ -64,9 +64,9 @@
 	label string
 	// name is unique in a list.
 	name func(*T) string
-	// same is a quick look that spares equal parts the comparison by key. It
+	// quickEqual is a quick look that spares equal parts the comparison by key. It
 	// may say false of equal parts.
-	same func(a, b *T) bool
+	quickEqual func(a, b *T) bool
 }
 
 var (
@@ -94,8 +94,8 @@
 )
 
 func sameRoute(a, b *Route) bool {
-	return a.Service == b.Service && a.Timeout == b.Timeout && a.Target == b.Target &&
-		a.Attempts == b.Attempts && a.Priority == b.Priority && a.Public == b.Public &&
+	return a.Service == b.Service && a.Timeout == b.Timeout && a.LatencyTarget == b.LatencyTarget &&
+		a.MaxAttempts == b.MaxAttempts && a.Priority == b.Priority && a.Public == b.Public &&
 		slices.Equal(a.Shares, b.Shares) && slices.Equal(a.Repeatable, b.Repeatable)
 }
 
@@ -107,9 +107,9 @@
 
 type differ struct{ changes []Change }
 
-// parts compares two lists. Mostly the same part stands at the same place in
+// diffParts compares two lists. Mostly the same part stands at the same place in
 // both, and only where it does not is a map of the older list made.
-func parts[T any](d *differ, where string, kind partKind[T], older, newer []T) {
+func diffParts[T any](d *differ, where string, kind partKind[T], older, newer []T) {
 	var places map[string]int
 	matched := 0
 	for i := range newer {
@@ -117,7 +117,7 @@
 		j, ok := i, i < len(older) && kind.name(&older[i]) == name
 		if !ok {
 			if places == nil {
-				places = kind.places(older)
+				places = kind.indexByName(older)
 			}
 			j, ok = places[name]
 		}
@@ -126,25 +126,25 @@
 			continue
 		}
 		matched++
-		if !kind.same(&older[j], &newer[i]) {
-			d.part(join(where, kind.label+" "+name), older[j], newer[i])
+		if !kind.quickEqual(&older[j], &newer[i]) {
+			d.diffPart(join(where, kind.label+" "+name), older[j], newer[i])
 		}
 	}
 	if matched == len(older) {
 		return
 	}
-	kept := kind.places(newer)
+	kept := kind.indexByName(newer)
 	for i := range older {
 		name := kind.name(&older[i])
 		if _, ok := kept[name]; !ok {
 			d.changes = append(d.changes, Change{
-				What: Removed, Where: join(where, kind.label+" "+name), From: summary(older[i]),
+				Kind: Removed, Path: join(where, kind.label+" "+name), From: summary(older[i]),
 			})
 		}
 	}
 }
 
-func (k partKind[T]) places(list []T) map[string]int {
+func (k partKind[T]) indexByName(list []T) map[string]int {
 	places := make(map[string]int, len(list))
 	for i := range list {
 		places[k.name(&list[i])] = i
@@ -154,26 +154,26 @@
 
 // added notes a new part, and each one that stands within it.
 func (d *differ) added(where string, part any) {
-	d.changes = append(d.changes, Change{What: Added, Where: where, To: summary(part)})
-	d.inner(where, nil, part)
+	d.changes = append(d.changes, Change{Kind: Added, Path: where, To: summary(part)})
+	d.diffChildren(where, nil, part)
 }
 
-func (d *differ) part(where string, older, newer any) {
-	d.values(where, older, newer)
-	d.inner(where, older, newer)
+func (d *differ) diffPart(where string, older, newer any) {
+	d.diffValues(where, older, newer)
+	d.diffChildren(where, older, newer)
 }
 
-// inner compares what stands within a part under names of its own.
-func (d *differ) inner(where string, older, newer any) {
+// diffChildren compares what stands within a part under names of its own.
+func (d *differ) diffChildren(where string, older, newer any) {
 	if s, ok := newer.(Service); ok {
 		before, _ := older.(Service)
-		parts(d, where, upstreamParts, before.Upstreams, s.Upstreams)
+		diffParts(d, where, upstreamParts, before.Upstreams, s.Upstreams)
 	}
 }
 
-// values compares the keys of one part, and of its objective. Lists of parts
+// diffValues compares the keys of one part, and of its objective. Lists of parts
 // are compared by name elsewhere.
-func (d *differ) values(where string, older, newer any) {
+func (d *differ) diffValues(where string, older, newer any) {
 	before, after := reflect.ValueOf(older), reflect.ValueOf(newer)
 	for i, f := range reflect.VisibleFields(after.Type()) {
 		if !f.IsExported() || isList(f.Type) {
@@ -182,11 +182,11 @@
 		place := join(where, keyOf(&f))
 		from, to := before.Field(i).Interface(), after.Field(i).Interface()
 		if f.Type.Kind() == reflect.Struct {
-			d.values(place, from, to)
+			d.diffValues(place, from, to)
 			continue
 		}
 		if a, b := fmt.Sprint(from), fmt.Sprint(to); a != b {
-			d.changes = append(d.changes, Change{What: Changed, Where: place, From: a, To: b})
+			d.changes = append(d.changes, Change{Kind: Changed, Path: place, From: a, To: b})
 		}
 	}
 }
--- a/table/diff_test.go
+++ b/table/diff_test.go
@@ -51,7 +51,7 @@
 	if got := table.Diff(older, newer); len(got) != 0 {
 		t.Errorf("got %v, want no change", got)
 	}
-	if got := table.Diff(nil, older); len(got) == 0 || got[0].Where != "format" {
+	if got := table.Diff(nil, older); len(got) == 0 || got[0].Path != "format" {
 		t.Errorf("got %v, want the whole table as new", got)
 	}
 }
@@ -68,11 +68,11 @@
 		b := table.Table{Callers: lists.Draw(t, "newer")}
 		want := make(map[table.Change]bool)
 		for _, c := range table.Diff(&b, &a) {
-			switch c.What {
+			switch c.Kind {
 			case table.Added:
-				c.What = table.Removed
+				c.Kind = table.Removed
 			case table.Removed:
-				c.What = table.Added
+				c.Kind = table.Added
 			default:
 			}
 			c.From, c.To = c.To, c.From
--- a/table/index.go
+++ b/table/index.go
@@ -10,9 +10,9 @@
 // only read afterwards, so that requests may share it without a lock.
 type index struct {
 	// routes holds the places of routes by host and prefix.
-	routes    map[address]int
+	routes    map[routeKey]int
 	services  map[string]int
-	upstreams map[string]place
+	upstreams map[string]upstreamIndex
 	// accounts holds the places of client accounts by the digests of their keys.
 	accounts     map[[sha256.Size]byte]int
 	accountNames map[string]int
@@ -22,27 +22,27 @@
 	depth int
 }
 
-// address is what a route is found by: its host in lower case and its prefix
+// routeKey is what a route is found by: its host in lower case and its prefix
 // without a slash at the end.
-type address struct{ host, prefix string }
+type routeKey struct{ host, prefix string }
 
-type place struct{ service, upstream int }
+type upstreamIndex struct{ service, upstream int }
 
 func (t *Table) buildIndex() {
 	x := index{
-		routes:    make(map[address]int, len(t.Routes)),
+		routes:    make(map[routeKey]int, len(t.Routes)),
 		services:  make(map[string]int, len(t.Services)),
-		upstreams: make(map[string]place),
+		upstreams: make(map[string]upstreamIndex),
 	}
 	for i := range t.Routes {
 		prefix := trimSlash(t.Routes[i].Prefix)
-		x.routes[address{strings.ToLower(t.Routes[i].Host), prefix}] = i
+		x.routes[routeKey{strings.ToLower(t.Routes[i].Host), prefix}] = i
 		x.depth = max(x.depth, strings.Count(prefix, "/"))
 	}
 	for i := range t.Services {
 		x.services[t.Services[i].Name] = i
 		for j := range t.Services[i].Upstreams {
-			x.upstreams[t.Services[i].Upstreams[j].Name] = place{i, j}
+			x.upstreams[t.Services[i].Upstreams[j].Name] = upstreamIndex{i, j}
 		}
 	}
 	x.indexAccounts(t.Accounts)
@@ -63,7 +63,7 @@
 
 func (t *Table) route(host, path string) (*Route, bool) {
 	for {
-		if i, ok := t.lookup.routes[address{host, path}]; ok {
+		if i, ok := t.lookup.routes[routeKey{host, path}]; ok {
 			return &t.Routes[i], true
 		}
 		cut := strings.LastIndexByte(path, '/')
--- a/table/parse_test.go
+++ b/table/parse_test.go
@@ -113,8 +113,8 @@
 	got := mustParse(t, strings.Replace(small, "floor = 0.4", "", 1)).Services[0]
 	want := table.Service{
 		Name: "bacheca", Caution: table.Balanced, Floor: 0.5, Deadline: 2 * clock.Second, Drain: 3 * clock.Second,
-		Queue: 10, Retries: 0.1,
-		Objective: table.Objective{Availability: 0.999, Latency: 500, Within: 0.99},
+		Queue: 10, RetryRatio: 0.1,
+		Objective: table.Objective{Availability: 0.999, Latency: 500, LatencyRatio: 0.99},
 	}
 	upstreams := got.Upstreams
 	got.Upstreams = nil
@@ -133,7 +133,7 @@
 	text := strings.Replace(small, "slots = 3", "slots = 3\nweight = 0", 1)
 	text = strings.Replace(text, "floor = 0.4", "floor = 0\nqueue = 0\nretries = 0\ndrain = \"0s\"", 1)
 	s := mustParse(t, text).Services[0]
-	if s.Upstreams[0].Weight != 0 || s.Floor != 0 || s.Queue != 0 || s.Retries != 0 || s.Drain != 0 {
+	if s.Upstreams[0].Weight != 0 || s.Floor != 0 || s.Queue != 0 || s.RetryRatio != 0 || s.Drain != 0 {
 		t.Errorf("got %+v, want the zeros of the text", s)
 	}
 }
--- a/table/types.go
+++ b/table/types.go
@@ -19,9 +19,9 @@
 	Fast     Caution = "fast"
 	Balanced Caution = "balanced"
 	Cautious Caution = "cautious"
-	// Brief is for upstreams that fail in episodes of seconds, many of a service
+	// ShortEpisodes is for upstreams that fail in episodes of seconds, many of a service
 	// at a time: two outcomes decide, and none of them needs the others' news.
-	Brief Caution = "brief"
+	ShortEpisodes Caution = "brief"
 )
 
 // A tag diff:"unless-zero" leaves a key out of the lines that say what an edit
@@ -44,9 +44,9 @@
 	// Accounts are the client accounts. Where there are any, a request needs a key of
 	// one, unless its route is public.
 	Accounts []Account `toml:"account"`
-	// Keyed asks for keys also where there are no accounts: no request by a route that
+	// RequireKeys asks for keys also where there are no accounts: no request by a route that
 	// isn't public is served then.
-	Keyed bool `toml:"keyed" diff:"unless-zero"`
+	RequireKeys bool `toml:"keyed" diff:"unless-zero"`
 
 	lookup index
 }
@@ -63,27 +63,27 @@
 	Deadline clock.Millis `toml:"deadline"`
 	// Drain is how long a leaving upstream may still get new work.
 	Drain clock.Millis `toml:"drain"`
-	// Probe is the path of the upstreams' health endpoint; empty means none.
+	// ProbePath is the path of the upstreams' health endpoint; empty means none.
 	// Probes may end a hold-off, never set aside or readmit by themselves.
-	Probe string `toml:"probe"`
+	ProbePath string `toml:"probe"`
 	// Queue is how many requests may wait at a gate for a slot of one upstream.
 	Queue int `toml:"queue"`
-	// Retries is the share of requests, from 0 to 1, that may be sent again.
-	Retries float64 `toml:"retries"`
-	// Extra is how many requests all nodes together may send again beyond
+	// RetryRatio is the share of requests, from 0 to 1, that may be sent again.
+	RetryRatio float64 `toml:"retries"`
+	// ExtraRetries is how many requests all nodes together may send again beyond
 	// Retries in each Window; 0 leaves the burst of each node to itself.
-	Extra  float64      `toml:"extra" diff:"unless-zero"`
-	Window clock.Millis `toml:"window" diff:"unless-zero"`
+	ExtraRetries float64      `toml:"extra" diff:"unless-zero"`
+	RetryWindow  clock.Millis `toml:"window" diff:"unless-zero"`
 	// Rate limits the requests a second that one entry admits for the
 	// service; 0 means no limit.
 	Rate float64 `toml:"rate"`
 	// CallerRate limits the requests a second that one entry admits from one
 	// caller; 0 means no limit.
 	CallerRate float64 `toml:"quota"`
-	// Lift frees requests of a quarantine, by their fingerprints.
-	Lift      []string   `toml:"lift" diff:"unless-zero"`
-	Objective Objective  `toml:"objective"`
-	Upstreams []Upstream `toml:"upstream"`
+	// LiftedFingerprints frees requests of a quarantine, by their fingerprints.
+	LiftedFingerprints []string   `toml:"lift" diff:"unless-zero"`
+	Objective          Objective  `toml:"objective"`
+	Upstreams          []Upstream `toml:"upstream"`
 }
 
 // Objective is a service's service-level objective.
@@ -92,8 +92,8 @@
 	Availability float64 `toml:"availability"`
 	// Latency is the time within which Within of the served requests end.
 	Latency clock.Millis `toml:"latency"`
-	// Within is the share, from 0 to 1, that Latency is promised to.
-	Within float64 `toml:"within"`
+	// LatencyRatio is the share, from 0 to 1, that Latency is promised to.
+	LatencyRatio float64 `toml:"within"`
 }
 
 // Upstream is one backend server.
@@ -134,11 +134,11 @@
 	// Timeout is the longest that a request may take in all; 0 leaves that to
 	// the service's deadline.
 	Timeout clock.Millis `toml:"timeout" diff:"unless-zero"`
-	// Target is the time within which an answer is worth most; 0 if none is.
-	Target clock.Millis `toml:"target" diff:"unless-zero"`
-	// Attempts bounds the upstreams on which one request may run; 0 leaves it
+	// LatencyTarget is the time within which an answer is worth most; 0 if none is.
+	LatencyTarget clock.Millis `toml:"target" diff:"unless-zero"`
+	// MaxAttempts bounds the upstreams on which one request may run; 0 leaves it
 	// to the retry budget.
-	Attempts int `toml:"attempts" diff:"unless-zero"`
+	MaxAttempts int `toml:"attempts" diff:"unless-zero"`
 	// Priority ranks routes where upstreams are short of room, 0 before 1.
 	Priority int `toml:"priority" diff:"unless-zero"`
 	// Repeatable lists the methods that may run more than once, AnyMethod for
--- a/wire/crash.go
+++ b/wire/crash.go
@@ -8,12 +8,12 @@
 	"fuchsiapick.example/fuchsiapick/quarantine"
 )
 
-// Crashes tells of backend servers that ended under their runs.
-type Crashes struct {
-	_    struct{} `cbor:",toarray"`
-	Ends []Crash
-	// Asks says that all is told and wanted in return, as the digests differ.
-	Asks bool
+// CrashReport tells of backend servers that ended under their runs.
+type CrashReport struct {
+	_       struct{} `cbor:",toarray"`
+	Crashes []Crash
+	// WantsReply says that all is told and wanted in return, as the digests differ.
+	WantsReply bool
 }
 
 // Crash is the end of one backend server's process.
@@ -44,23 +44,23 @@
 }
 
 // Kind names the frame.
-func (*Crashes) Kind() Kind { return KindCrashes }
+func (*CrashReport) Kind() Kind { return KindCrashReport }
 
-// mostCrashes bounds the ends in one frame: with as many runs as one may have they take
+// maxCrashes bounds the ends in one frame: with as many runs as one may have they take
 // less than half of what every node reads.
-const mostCrashes = 64
+const maxCrashes = 64
 
-// CrashesOf writes ends for peers, in one frame or several.
-func CrashesOf(now clock.Millis, ends []quarantine.Crash) []*Crashes {
-	var frames []*Crashes
-	for part := range slices.Chunk(ends, mostCrashes) {
-		frames = append(frames, crashesOf(now, part))
+// NewCrashReports writes ends for peers, in one frame or several.
+func NewCrashReports(now clock.Millis, ends []quarantine.Crash) []*CrashReport {
+	var frames []*CrashReport
+	for part := range slices.Chunk(ends, maxCrashes) {
+		frames = append(frames, newCrashReport(now, part))
 	}
 	return frames
 }
 
-func crashesOf(now clock.Millis, ends []quarantine.Crash) *Crashes {
-	m := &Crashes{Ends: make([]Crash, 0, len(ends))}
+func newCrashReport(now clock.Millis, ends []quarantine.Crash) *CrashReport {
+	m := &CrashReport{Crashes: make([]Crash, 0, len(ends))}
 	for i := range ends {
 		e := &ends[i]
 		c := Crash{
@@ -73,16 +73,16 @@
 				Fingerprint: s.Fingerprint[:], Hint: s.Hint, Request: s.Request, Ran: s.Elapsed, IsTrial: s.IsTrial,
 			})
 		}
-		m.Ends = append(m.Ends, c)
+		m.Crashes = append(m.Crashes, c)
 	}
 	return m
 }
 
-// Plain reads ends that a peer has told. What no node writes is left out.
-func (m *Crashes) Plain(now clock.Millis) []quarantine.Crash {
-	ends := make([]quarantine.Crash, 0, len(m.Ends))
-	for i := range m.Ends {
-		c := &m.Ends[i]
+// ToQuarantine reads ends that a peer has told. What no node writes is left out.
+func (m *CrashReport) ToQuarantine(now clock.Millis) []quarantine.Crash {
+	ends := make([]quarantine.Crash, 0, len(m.Crashes))
+	for i := range m.Crashes {
+		c := &m.Crashes[i]
 		e := quarantine.Crash{
 			ID: c.ID, Service: c.Service, Upstream: c.Upstream, Version: c.Version, Upstreams: c.Upstreams,
 			Cleared: c.Cleared, IsInconclusive: c.IsMiss, At: now - max(c.Age, 0),
@@ -102,8 +102,8 @@
 	return ends
 }
 
-// Subject is what makes the request of a dispatch the same as another.
-func (d *Dispatch) Subject() quarantine.Request {
+// QuarantineRequest is what makes the request of a dispatch the same as another.
+func (d *Dispatch) QuarantineRequest() quarantine.Request {
 	r := quarantine.Request{Caller: d.Caller, Method: d.Method, URI: d.URI, Body: d.Body}
 	if !d.AnyHost {
 		r.Host = d.Headers.Host()
--- a/wire/enquiry.go
+++ b/wire/enquiry.go
@@ -2,8 +2,8 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// Enquiry asks a gate for a slot, for a request that is sent once a slot is kept.
-type Enquiry struct {
+// CapacityProbe asks a gate for a slot, for a request that is sent once a slot is kept.
+type CapacityProbe struct {
 	_ struct{} `cbor:",toarray"`
 	// ID and Attempt are those of the dispatch that follows.
 	ID         RequestID
@@ -16,26 +16,26 @@
 	Priority int
 	// Budget is what is left of the request's deadline.
 	Budget clock.Millis
-	// Patience is how long it may wait for a slot; 0 asks for a free one.
-	Patience clock.Millis
+	// WaitBudget is how long it may wait for a slot; 0 asks for a free one.
+	WaitBudget clock.Millis
 }
 
-// Hold answers an Enquiry, at once or when its turn has come.
-type Hold struct {
+// Reservation answers an Enquiry, at once or when its turn has come.
+type Reservation struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
-	// Held says that a slot is kept for the dispatch for a moment; without it
+	// Reserved says that a slot is kept for the dispatch for a moment; without it
 	// Reason says why the gate would refuse.
-	Held       bool
+	Reserved   bool
 	Reason     Reason
 	RetryAfter clock.Millis
 	Time       clock.Millis
 	Upstream   Upstream
 }
 
-// Waive says that a slot which was asked for isn't wanted any more.
-type Waive struct {
+// ReleaseReservation says that a slot which was asked for isn't wanted any more.
+type ReleaseReservation struct {
 	_        struct{} `cbor:",toarray"`
 	ID       RequestID
 	Attempt  uint8
@@ -43,10 +43,10 @@
 }
 
 // Kind names the frame.
-func (*Enquiry) Kind() Kind { return KindEnquiry }
+func (*CapacityProbe) Kind() Kind { return KindCapacityProbe }
 
 // Kind names the frame.
-func (*Hold) Kind() Kind { return KindHold }
+func (*Reservation) Kind() Kind { return KindReservation }
 
 // Kind names the frame.
-func (*Waive) Kind() Kind { return KindWaive }
+func (*ReleaseReservation) Kind() Kind { return KindReleaseReservation }
--- a/wire/headers.go
+++ b/wire/headers.go
@@ -31,15 +31,15 @@
 	}
 }
 
-var ofConnection = [][]byte{
+var hopByHopHeaders = [][]byte{
 	[]byte("Connection"), []byte("Keep-Alive"), []byte("Transfer-Encoding"), []byte("Content-Length"),
 	[]byte("Upgrade"), []byte("TE"), []byte("Trailer"), []byte("Proxy-Connection"),
 }
 
-// OfConnection reports fields that are about one connection only and are not
+// IsHopByHop reports fields that are about one connection only and are not
 // handed on, and those that the whole body's length replaces.
-func OfConnection(name []byte) bool {
-	for _, one := range ofConnection {
+func IsHopByHop(name []byte) bool {
+	for _, one := range hopByHopHeaders {
 		if bytes.EqualFold(one, name) {
 			return true
 		}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -7,9 +7,9 @@
 	"fuchsiapick.example/fuchsiapick/lease"
 )
 
-// NameOf is the name by which logs and backend servers know a request: the one
+// RequestName is the name by which logs and backend servers know a request: the one
 // that its caller gave it, else its id.
-func NameOf(label string, id RequestID) string {
+func RequestName(label string, id RequestID) string {
 	if label != "" {
 		return label
 	}
@@ -41,9 +41,9 @@
 
 // Baseline is what is usual for a service: the median over its gates.
 type Baseline struct {
-	_      struct{} `cbor:",toarray"`
-	Known  bool
-	Failed float64
+	_           struct{} `cbor:",toarray"`
+	Known       bool
+	FailureRate float64
 	// Latency is the median time of an answer.
 	Latency clock.Millis
 	// Tail is the time that one answer in ten exceeds.
@@ -66,8 +66,8 @@
 	Until   clock.Millis
 	Leaving bool
 	// Down says that nothing listens at the backend server's address.
-	Down bool
-	Own  Baseline
+	Down  bool
+	Local Baseline
 }
 
 // Challenge is the first frame on a link, from the node that accepted it.
@@ -102,8 +102,8 @@
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
-	// Label is the id that the caller gave the request, empty without one.
-	Label string
+	// CallerRequestID is the id that the caller gave the request, empty without one.
+	CallerRequestID string
 	// Incarnation is the gate's, as the entry knows it.
 	Incarnation uint64
 	// Lease is the latest instant of the gate's clock at which the gate may
@@ -128,14 +128,14 @@
 	Verdict uint8
 	// Priority ranks it among those that wait for a slot, 0 first.
 	Priority int
-	// Usual and Spread are the median time of the route's runs and the standard
+	// MedianTime and Spread are the median time of the route's runs and the standard
 	// deviation of its logarithm; 0 where the entry doesn't know.
-	Usual  clock.Millis
-	Spread float64
+	MedianTime clock.Millis
+	LogStdDev  float64
 	// Hanging is how the service's upstreams fail, a grade.Hanging.
 	Hanging uint8
-	// Bounded asks for a free slot: the dispatch doesn't wait for one.
-	Bounded bool
+	// NoQueue asks for a free slot: the dispatch doesn't wait for one.
+	NoQueue bool
 	// Forced asks the gate to serve in spite of its verdict, for the floor.
 	Forced   bool
 	Baseline Baseline
@@ -145,9 +145,9 @@
 	Digest []byte
 	// Resend is the number that the caller gave a marked resend; 0 without.
 	Resend uint32
-	// Span is the time from the entry's receipt of the request to the end of
+	// LeaseSpan is the time from the entry's receipt of the request to the end of
 	// the lease.
-	Span clock.Millis
+	LeaseSpan clock.Millis
 }
 
 // Outcome says what became of a dispatch at its gate.
@@ -168,41 +168,41 @@
 
 // The reasons. They stand in headers, logs, metrics and reports.
 const (
-	ReasonAside   Reason = "set-aside"
-	ReasonLeaving Reason = "leaving"
-	ReasonFull    Reason = "full"
-	ReasonLate    Reason = "deadline-too-short"
-	ReasonStale   Reason = "stale-lease"
-	ReasonVoided  Reason = "voided"
-	ReasonNobody  Reason = "no-such-upstream"
-	ReasonRefused Reason = "connection-refused"
-	ReasonShed    Reason = "upstream-shed"
-	ReasonBudget  Reason = "retry-budget"
-	ReasonTimeout Reason = "timeout"
-	ReasonTorn    Reason = "torn-answer"
-	// ReasonStalled means that the entry gave the run up for a place at another upstream:
+	ReasonEjected           Reason = "set-aside"
+	ReasonLeaving           Reason = "leaving"
+	ReasonFull              Reason = "full"
+	ReasonDeadlineTooShort  Reason = "deadline-too-short"
+	ReasonStaleLease        Reason = "stale-lease"
+	ReasonRevoked           Reason = "voided"
+	ReasonNoUpstream        Reason = "no-such-upstream"
+	ReasonConnectionRefused Reason = "connection-refused"
+	ReasonShed              Reason = "upstream-shed"
+	ReasonRetryBudget       Reason = "retry-budget"
+	ReasonTimeout           Reason = "timeout"
+	ReasonTruncated         Reason = "torn-answer"
+	// ReasonHung means that the entry gave the run up for a place at another upstream:
 	// most likely it would have come to no end.
-	ReasonStalled Reason = "stalled"
+	ReasonHung Reason = "stalled"
 	// ReasonCrashed means that the backend server's process ended under the run.
 	ReasonCrashed Reason = "backend-crashed"
 	// ReasonQuarantined means that the request crashes the backend servers that run it.
-	ReasonQuarantined Reason = "quarantined"
-	ReasonTooLarge    Reason = "answer-too-large"
-	// ReasonForeign means an answer that isn't the request's own.
-	ReasonForeign Reason = "foreign-answer"
-	// ReasonLeft means that the caller has left.
-	ReasonLeft Reason = "caller-left"
-	// ReasonKeyVoided means that a resend has voided the key of this send.
-	ReasonKeyVoided Reason = "key-voided"
+	ReasonQuarantined   Reason = "quarantined"
+	ReasonReplyTooLarge Reason = "answer-too-large"
+	// ReasonMismatchedReply means an answer that isn't the request's own.
+	ReasonMismatchedReply Reason = "foreign-answer"
+	// ReasonCallerLeft means that the caller has left.
+	ReasonCallerLeft Reason = "caller-left"
+	// ReasonKeyRevoked means that a resend has voided the key of this send.
+	ReasonKeyRevoked Reason = "key-voided"
 	// ReasonKeyReused means that the key was used for another request.
 	ReasonKeyReused Reason = "key-reused"
 	// ReasonKeyRunning means that an earlier send of the key runs.
 	ReasonKeyRunning Reason = "key-running"
-	// ReasonKeyLost means that an earlier send ran without a kept answer.
-	ReasonKeyLost Reason = "answer-not-kept"
-	// ReasonKeyForgotten means that the node can't tell whether the key was
+	// ReasonReplyNotKept means that an earlier send ran without a kept answer.
+	ReasonReplyNotKept Reason = "answer-not-kept"
+	// ReasonKeyPredatesNode means that the node can't tell whether the key was
 	// voided, for it started since.
-	ReasonKeyForgotten Reason = "key-older-than-node"
+	ReasonKeyPredatesNode Reason = "key-older-than-node"
 )
 
 // Reply is a gate's answer to a dispatch. A body longer than ChunkSize goes on
@@ -237,9 +237,9 @@
 	Data    []byte
 }
 
-// Settle asks a gate what became of a dispatch and forbids it to begin one
+// Resolve asks a gate what became of a dispatch and forbids it to begin one
 // that it has not begun.
-type Settle struct {
+type Resolve struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
@@ -252,50 +252,50 @@
 	Abandon bool
 }
 
-// Settled answers Settle for a dispatch without a reply yet.
-type Settled struct {
+// Resolution answers Settle for a dispatch without a reply yet.
+type Resolution struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
-	// Voided is true for a dispatch that was not run and never will be; false
+	// Revoked is true for a dispatch that was not run and never will be; false
 	// for one that has begun or that the gate can't vouch for.
-	Voided bool
-	// Forgotten is true for one that the gate can't vouch for: no reply will
+	Revoked bool
+	// Unknown is true for one that the gate can't vouch for: no reply will
 	// follow.
-	Forgotten bool
-	Time      clock.Millis
+	Unknown bool
+	Time    clock.Millis
 }
 
-// Beat is the heartbeat of a link, both ways.
-type Beat struct {
+// Heartbeat is the heartbeat of a link, both ways.
+type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
 	// Time is the sender's clock.
 	Time clock.Millis
-	// Heard echoes the Time of the last beat that the sender heard from the
+	// Echo echoes the Time of the last beat that the sender heard from the
 	// receiver; 0 means none yet.
-	Heard clock.Millis
+	Echo clock.Millis
 	// Version and Digest name the table edition that the sender has in force.
 	Version uint64
 	Digest  string
 	Leaving bool
-	// Crashes sums up what the sender knows of backend servers that ended under their
+	// CrashDigest sums up what the sender knows of backend servers that ended under their
 	// runs; 0 for nothing.
-	Crashes uint64
+	CrashDigest uint64
 	// Upstreams holds all those beside the sender: their figures age at the
 	// receiver, so that unchanged ones are said again.
 	Upstreams []Upstream
 }
 
-// Ask asks a peer for the table edition that it has in force, if that goes
+// TableRequest asks a peer for the table edition that it has in force, if that goes
 // before the asker's own, which Version and Digest name.
-type Ask struct {
+type TableRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Digest  string
 }
 
-// Edition carries a whole table as it was published.
-type Edition struct {
+// TableVersion carries a whole table as it was published.
+type TableVersion struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Text    []byte
@@ -320,16 +320,16 @@
 func (*Chunk) Kind() Kind { return KindChunk }
 
 // Kind names the frame.
-func (*Settle) Kind() Kind { return KindSettle }
+func (*Resolve) Kind() Kind { return KindResolve }
 
 // Kind names the frame.
-func (*Settled) Kind() Kind { return KindSettled }
+func (*Resolution) Kind() Kind { return KindResolution }
 
 // Kind names the frame.
-func (*Beat) Kind() Kind { return KindBeat }
+func (*Heartbeat) Kind() Kind { return KindHeartbeat }
 
 // Kind names the frame.
-func (*Ask) Kind() Kind { return KindAsk }
+func (*TableRequest) Kind() Kind { return KindTableRequest }
 
 // Kind names the frame.
-func (*Edition) Kind() Kind { return KindEdition }
+func (*TableVersion) Kind() Kind { return KindTableVersion }
--- a/wire/news.go
+++ b/wire/news.go
@@ -2,21 +2,21 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// News is what a node has learned from the platform, for a node that needs not ask
+// StoreUpdate is what a node has learned from the platform, for a node that needs not ask
 // it then.
-type News struct {
+type StoreUpdate struct {
 	_ struct{} `cbor:",toarray"`
 	// Since is the platform's revision from which Changes are complete, up to
 	// Revision.
 	Since, Revision uint64
 	// Changes are packed, and empty without any.
 	Changes []byte
-	// More says that there are changes too large to be told.
-	More bool
-	// IsList says that Changes are the difference between two lists.
-	IsList bool
-	// IsAway says that the platform didn't answer; nothing else is told then.
-	IsAway bool
+	// IsTruncated says that there are changes too large to be told.
+	IsTruncated bool
+	// IsListDiff says that Changes are the difference between two lists.
+	IsListDiff bool
+	// IsUnavailable says that the platform didn't answer; nothing else is told then.
+	IsUnavailable bool
 	// Age is how long ago Revision was the platform's, at Time of the sender's
 	// clock.
 	Age, Time clock.Millis
@@ -27,4 +27,4 @@
 }
 
 // Kind names the frame.
-func (*News) Kind() Kind { return KindNews }
+func (*StoreUpdate) Kind() Kind { return KindStoreUpdate }
--- a/wire/pack.go
+++ b/wire/pack.go
@@ -8,9 +8,9 @@
 	"github.com/juju/errors"
 )
 
-// packLimit bounds, in bytes, what packed values may grow to: a peer must not be able
+// maxUnpackedSize bounds, in bytes, what packed values may grow to: a peer must not be able
 // to take the node's memory with a small frame.
-const packLimit = 4 << 20
+const maxUnpackedSize = 4 << 20
 
 // Pack writes a value compressed: what one node tells all others is text with many
 // repetitions, to a fifth of its size.
@@ -38,12 +38,12 @@
 func Unpack(packed []byte, into any) error {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	defer func() { _ = reader.Close() }() // it holds nothing but memory
-	text, err := io.ReadAll(io.LimitReader(reader, packLimit+1))
+	text, err := io.ReadAll(io.LimitReader(reader, maxUnpackedSize+1))
 	switch {
 	case err != nil:
 		return errors.Annotatef(ErrFrame, "unpacking: %v", err)
-	case len(text) > packLimit:
-		return errors.Annotatef(ErrLarge, "over %d bytes unpacked", packLimit)
+	case len(text) > maxUnpackedSize:
+		return errors.Annotatef(ErrTooLarge, "over %d bytes unpacked", maxUnpackedSize)
 	}
 	if err := decoder.Unmarshal(text, into); err != nil {
 		return errors.Annotatef(ErrFrame, "unpacking: %v", err)
--- a/wire/proof.go
+++ b/wire/proof.go
@@ -27,9 +27,9 @@
 	return nonce
 }
 
-// Prove returns the proof that a side holds the secret, bound to both nonces
+// ComputeMAC returns the proof that a side holds the secret, bound to both nonces
 // and to the identity that the side claims.
-func Prove(secret string, side Side, node string, incarnation uint64, own, peer []byte) []byte {
+func ComputeMAC(secret string, side Side, node string, incarnation uint64, own, peer []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(secret))
 	for _, part := range [][]byte{[]byte(side), []byte(node), binary.BigEndian.AppendUint64(nil, incarnation), own, peer} {
 		mac.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
@@ -38,7 +38,7 @@
 	return mac.Sum(nil)
 }
 
-// Proved compares a proof in constant time.
-func Proved(got, want []byte) bool {
+// EqualMAC compares a proof in constant time.
+func EqualMAC(got, want []byte) bool {
 	return hmac.Equal(got, want)
 }
--- a/wire/quota.go
+++ b/wire/quota.go
@@ -5,8 +5,8 @@
 	"fuchsiapick.example/fuchsiapick/quota"
 )
 
-// Draw asks the home of a client account for leave to send requests.
-type Draw struct {
+// QuotaRequest asks the home of a client account for leave to send requests.
+type QuotaRequest struct {
 	_ struct{} `cbor:",toarray"`
 	// Seq is the asking node's own number of it.
 	Seq     uint64
@@ -16,18 +16,18 @@
 	Count, Returned int
 	// Left is what the home asked before, known by its mark Told, had left, Age ago; where
 	// IsTold.
-	IsTold bool
-	Left   float64
-	Age    clock.Millis
-	Told   uint32
-	// Passed is how many homes that go before this one were out of reach.
-	Passed int
+	HasHint  bool
+	Left     float64
+	Age      clock.Millis
+	HintHome uint32
+	// SkippedHomes is how many homes that go before this one were out of reach.
+	SkippedHomes int
 	// IsRelayed says that another home asks for a node that can't reach this one.
 	IsRelayed bool
 }
 
-// Drawn answers a Draw.
-type Drawn struct {
+// QuotaGrant answers a Draw.
+type QuotaGrant struct {
 	_       struct{} `cbor:",toarray"`
 	Seq     uint64
 	Granted int
@@ -38,34 +38,34 @@
 	Home uint32
 }
 
-// DrawOf is the frame of a draw.
-func DrawOf(seq uint64, d quota.Request) *Draw {
-	return &Draw{
+// NewQuotaRequest is the frame of a draw.
+func NewQuotaRequest(seq uint64, d quota.Request) *QuotaRequest {
+	return &QuotaRequest{
 		Seq: seq, Account: d.Account, Rate: d.Limit.Rate, Burst: d.Limit.Burst, Count: d.Count, Returned: d.Returned,
-		IsTold: d.Hint.Known, Left: Short(d.Hint.Left), Age: d.Hint.Age, Told: d.HintHome,
+		HasHint: d.Hint.Known, Left: RoundFloat(d.Hint.Left), Age: d.Hint.Age, HintHome: d.HintHome,
 	}
 }
 
-// Plain is the draw without its frame.
-func (d *Draw) Plain() quota.Request {
+// ToQuota is the draw without its frame.
+func (d *QuotaRequest) ToQuota() quota.Request {
 	return quota.Request{
 		Account: d.Account, Limit: quota.Limit{Rate: d.Rate, Burst: d.Burst}, Count: d.Count, Returned: d.Returned,
-		Hint: quota.Hint{Known: d.IsTold, Left: d.Left, Age: d.Age}, HintHome: d.Told,
+		Hint: quota.Hint{Known: d.HasHint, Left: d.Left, Age: d.Age}, HintHome: d.HintHome,
 	}
 }
 
-// DrawnOf is the frame of a grant.
-func DrawnOf(seq uint64, g quota.Grant) *Drawn {
-	return &Drawn{Seq: seq, Granted: g.Granted, RetryAfter: g.RetryAfter, Left: Short(g.Left), Home: g.Home}
+// NewQuotaGrant is the frame of a grant.
+func NewQuotaGrant(seq uint64, g quota.Grant) *QuotaGrant {
+	return &QuotaGrant{Seq: seq, Granted: g.Granted, RetryAfter: g.RetryAfter, Left: RoundFloat(g.Left), Home: g.Home}
 }
 
-// Plain is the grant without its frame.
-func (d *Drawn) Plain() quota.Grant {
+// ToQuota is the grant without its frame.
+func (d *QuotaGrant) ToQuota() quota.Grant {
 	return quota.Grant{Granted: d.Granted, RetryAfter: d.RetryAfter, Left: d.Left, Home: d.Home}
 }
 
 // Kind names the frame.
-func (*Draw) Kind() Kind { return KindDraw }
+func (*QuotaRequest) Kind() Kind { return KindQuotaRequest }
 
 // Kind names the frame.
-func (*Drawn) Kind() Kind { return KindDrawn }
+func (*QuotaGrant) Kind() Kind { return KindQuotaGrant }
--- a/wire/resend.go
+++ b/wire/resend.go
@@ -2,9 +2,9 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// Void asks a node what it knows of an idempotency key and forbids its gates
+// KeyRevocation asks a node what it knows of an idempotency key and forbids its gates
 // to begin any send of the key that goes before this resend.
-type Void struct {
+type KeyRevocation struct {
 	_ struct{} `cbor:",toarray"`
 	// ID is that of the resend.
 	ID      RequestID
@@ -16,12 +16,12 @@
 	Number uint32
 }
 
-// Voided answers Void.
-type Voided struct {
+// KeyRevocationReply answers Void.
+type KeyRevocationReply struct {
 	_  struct{} `cbor:",toarray"`
 	ID RequestID
-	// Standing is one of package resend's.
-	Standing uint8
+	// KeyStatus is one of package resend's.
+	KeyStatus uint8
 	// Covers is how far back the node's memory of keys reaches.
 	Covers clock.Millis
 	// Version is that of the table in force at the node.
@@ -35,7 +35,7 @@
 }
 
 // Kind names the frame.
-func (*Void) Kind() Kind { return KindVoid }
+func (*KeyRevocation) Kind() Kind { return KindKeyRevocation }
 
 // Kind names the frame.
-func (*Voided) Kind() Kind { return KindVoided }
+func (*KeyRevocationReply) Kind() Kind { return KindKeyRevocationReply }
--- a/wire/stalled.go
+++ b/wire/stalled.go
@@ -1,12 +1,12 @@
 package wire
 
-// Stalled tells an entry that the run of one of its dispatches most likely comes to no end.
+// HungRun tells an entry that the run of one of its dispatches most likely comes to no end.
 // The run goes on until it is abandoned.
-type Stalled struct {
+type HungRun struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
 }
 
 // Kind names the frame.
-func (*Stalled) Kind() Kind { return KindStalled }
+func (*HungRun) Kind() Kind { return KindHungRun }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -19,21 +19,21 @@
 
 // Bounds on what a peer may send.
 const (
-	// Overhead is the most that a frame may take beside the body it carries.
-	Overhead = 64 << 10
+	// MaxOverhead is the most that a frame may take beside the body it carries.
+	MaxOverhead = 64 << 10
 	// ChunkSize is the most body bytes in one frame of an answer, so that a
 	// large answer doesn't hold up small ones on the same link.
 	ChunkSize = 64 << 10
-	// MostItems bounds the entries of one array: what has more can't be read.
-	MostItems = 4096
-	maxDepth  = 8
+	// MaxItems bounds the entries of one array: what has more can't be read.
+	MaxItems = 4096
+	maxDepth = 8
 )
 
 // Faults of a frame that a peer sent.
 const (
-	ErrFrame = errors.ConstError("malformed frame")
-	ErrKind  = errors.ConstError("unknown kind of frame")
-	ErrLarge = errors.ConstError("frame over the bound")
+	ErrFrame    = errors.ConstError("malformed frame")
+	ErrKind     = errors.ConstError("unknown kind of frame")
+	ErrTooLarge = errors.ConstError("frame over the bound")
 )
 
 // Kind says which message a frame carries.
@@ -47,22 +47,22 @@
 	KindDispatch
 	KindReply
 	KindChunk
-	KindSettle
-	KindSettled
-	KindBeat
-	KindAsk
-	KindEdition
-	KindVoid
-	KindVoided
-	KindEnquiry
-	KindHold
-	KindInvitation
-	KindWaive
-	KindNews
-	KindCrashes
-	KindDraw
-	KindDrawn
-	KindStalled
+	KindResolve
+	KindResolution
+	KindHeartbeat
+	KindTableRequest
+	KindTableVersion
+	KindKeyRevocation
+	KindKeyRevocationReply
+	KindCapacityProbe
+	KindReservation
+	KindWorkRequest
+	KindReleaseReservation
+	KindStoreUpdate
+	KindCrashReport
+	KindQuotaRequest
+	KindQuotaGrant
+	KindHungRun
 )
 
 // Message is one of the message types of this package, by pointer.
@@ -83,10 +83,10 @@
 	return mode
 }
 
-// Short rounds a figure to some three digits, with which it takes 3 bytes in place of
+// RoundFloat rounds a figure to some three digits, with which it takes 3 bytes in place of
 // 9. Heartbeats are most of what crosses between failure domains at rest, and hold
 // two such figures for each upstream.
-func Short(x float64) float64 {
+func RoundFloat(x float64) float64 {
 	const bits = 1 << 10
 	fraction, exponent := math.Frexp(x)
 	return math.Ldexp(math.Round(fraction*bits)/bits, exponent)
@@ -97,8 +97,8 @@
 func mustDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:   maxDepth,
-		MaxArrayElements:  MostItems,
-		MaxMapPairs:       MostItems,
+		MaxArrayElements:  MaxItems,
+		MaxMapPairs:       MaxItems,
 		IndefLength:       cbor.IndefLengthForbidden,
 		TagsMd:            cbor.TagsForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
@@ -127,12 +127,12 @@
 // that no node of this format sends.
 func Decode(frame []byte, limit int) (Message, error) {
 	if len(frame) > limit {
-		return nil, errors.Annotatef(ErrLarge, "%d bytes, at most %d", len(frame), limit)
+		return nil, errors.Annotatef(ErrTooLarge, "%d bytes, at most %d", len(frame), limit)
 	}
 	if len(frame) == 0 {
 		return nil, errors.Annotate(ErrFrame, "empty")
 	}
-	m := blank(Kind(frame[0]))
+	m := newMessage(Kind(frame[0]))
 	if m == nil {
 		return nil, errors.Annotatef(ErrKind, "kind %d", frame[0])
 	}
@@ -142,36 +142,36 @@
 	return m, nil
 }
 
-// blanks make an empty message of each kind.
-var blanks = [...]func() Message{
-	KindChallenge: func() Message { return new(Challenge) },
-	KindProof:     func() Message { return new(Proof) },
-	KindWelcome:   func() Message { return new(Welcome) },
-	KindDispatch:  func() Message { return new(Dispatch) },
-	KindReply:     func() Message { return new(Reply) },
-	KindChunk:     func() Message { return new(Chunk) },
-	KindSettle:    func() Message { return new(Settle) },
-	KindSettled:   func() Message { return new(Settled) },
-	KindBeat:      func() Message { return new(Beat) },
-	KindAsk:       func() Message { return new(Ask) },
-	KindEdition:   func() Message { return new(Edition) },
-	KindVoid:      func() Message { return new(Void) },
-	KindVoided:    func() Message { return new(Voided) },
-	KindEnquiry:   func() Message { return new(Enquiry) },
-	KindHold:      func() Message { return new(Hold) },
-
-	KindInvitation: func() Message { return new(Invitation) },
-	KindWaive:      func() Message { return new(Waive) },
-	KindNews:       func() Message { return new(News) },
-	KindCrashes:    func() Message { return new(Crashes) },
-	KindDraw:       func() Message { return new(Draw) },
-	KindDrawn:      func() Message { return new(Drawn) },
-	KindStalled:    func() Message { return new(Stalled) },
+// constructors make an empty message of each kind.
+var constructors = [...]func() Message{
+	KindChallenge:          func() Message { return new(Challenge) },
+	KindProof:              func() Message { return new(Proof) },
+	KindWelcome:            func() Message { return new(Welcome) },
+	KindDispatch:           func() Message { return new(Dispatch) },
+	KindReply:              func() Message { return new(Reply) },
+	KindChunk:              func() Message { return new(Chunk) },
+	KindResolve:            func() Message { return new(Resolve) },
+	KindResolution:         func() Message { return new(Resolution) },
+	KindHeartbeat:          func() Message { return new(Heartbeat) },
+	KindTableRequest:       func() Message { return new(TableRequest) },
+	KindTableVersion:       func() Message { return new(TableVersion) },
+	KindKeyRevocation:      func() Message { return new(KeyRevocation) },
+	KindKeyRevocationReply: func() Message { return new(KeyRevocationReply) },
+	KindCapacityProbe:      func() Message { return new(CapacityProbe) },
+	KindReservation:        func() Message { return new(Reservation) },
+
+	KindWorkRequest:        func() Message { return new(WorkRequest) },
+	KindReleaseReservation: func() Message { return new(ReleaseReservation) },
+	KindStoreUpdate:        func() Message { return new(StoreUpdate) },
+	KindCrashReport:        func() Message { return new(CrashReport) },
+	KindQuotaRequest:       func() Message { return new(QuotaRequest) },
+	KindQuotaGrant:         func() Message { return new(QuotaGrant) },
+	KindHungRun:            func() Message { return new(HungRun) },
 }
 
-func blank(k Kind) Message {
-	if int(k) >= len(blanks) || blanks[k] == nil {
+func newMessage(k Kind) Message {
+	if int(k) >= len(constructors) || constructors[k] == nil {
 		return nil
 	}
-	return blanks[k]()
+	return constructors[k]()
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -25,19 +25,19 @@
 		&wire.Dispatch{ID: id, Attempt: 1, Upstream: "conferme-1", Method: "POST", URI: "/x", Body: []byte("turno")},
 		&wire.Reply{ID: id, Attempt: 1, Outcome: wire.Answered, Status: 200, Length: 2, Body: []byte("ok")},
 		&wire.Chunk{ID: id, Attempt: 1, Offset: 2, Data: []byte("more")},
-		&wire.Settle{ID: id, Attempt: 1, Upstream: "conferme-1", Lease: 100},
-		&wire.Settled{ID: id, Attempt: 1, Voided: true},
-		&wire.Crashes{Asks: true, Ends: []wire.Crash{{ID: 1, Service: "conferme", Suspects: []wire.Suspect{{Fingerprint: make([]byte, 16), Ran: 3}}}}},
-		&wire.Beat{Time: 1, Version: 2, Digest: "d", Upstreams: []wire.Upstream{{Name: "conferme-1", Share: 1}}},
-		&wire.Ask{Version: 1},
-		&wire.Edition{Version: 2, Text: []byte("format = 1")},
-		&wire.Void{ID: id, Caller: "palermo", Service: "conferme", Key: "turno-7", Digest: []byte("0123456789abcdef"), Number: 2},
-		&wire.Enquiry{ID: id, Attempt: 2, Upstream: "conferme-1", Priority: 1},
-		&wire.Hold{ID: id, Attempt: 2, Reason: wire.ReasonFull, RetryAfter: 40, Time: 8},
-		&wire.Waive{ID: id, Attempt: 2, Upstream: "conferme-1"},
-		&wire.News{Since: 4, Revision: 9, Changes: []byte("[]"), Age: 3, Time: 8},
-		&wire.Invitation{Upstream: "conferme-1", For: 500},
-		&wire.Voided{ID: id, Standing: 3, Covers: 900, Version: 2, Status: 201, Body: []byte("ok")},
+		&wire.Resolve{ID: id, Attempt: 1, Upstream: "conferme-1", Lease: 100},
+		&wire.Resolution{ID: id, Attempt: 1, Revoked: true},
+		&wire.CrashReport{WantsReply: true, Crashes: []wire.Crash{{ID: 1, Service: "conferme", Suspects: []wire.Suspect{{Fingerprint: make([]byte, 16), Ran: 3}}}}},
+		&wire.Heartbeat{Time: 1, Version: 2, Digest: "d", Upstreams: []wire.Upstream{{Name: "conferme-1", Share: 1}}},
+		&wire.TableRequest{Version: 1},
+		&wire.TableVersion{Version: 2, Text: []byte("format = 1")},
+		&wire.KeyRevocation{ID: id, Caller: "palermo", Service: "conferme", Key: "turno-7", Digest: []byte("0123456789abcdef"), Number: 2},
+		&wire.CapacityProbe{ID: id, Attempt: 2, Upstream: "conferme-1", Priority: 1},
+		&wire.Reservation{ID: id, Attempt: 2, Reason: wire.ReasonFull, RetryAfter: 40, Time: 8},
+		&wire.ReleaseReservation{ID: id, Attempt: 2, Upstream: "conferme-1"},
+		&wire.StoreUpdate{Since: 4, Revision: 9, Changes: []byte("[]"), Age: 3, Time: 8},
+		&wire.WorkRequest{Upstream: "conferme-1", TTL: 500},
+		&wire.KeyRevocationReply{ID: id, KeyStatus: 3, Covers: 900, Version: 2, Status: 201, Body: []byte("ok")},
 	}
 }
 
@@ -62,7 +62,7 @@
 // without bound. Decoded as they claim, they would take the node's stack or
 // memory, and every request of its callers with it.
 func TestDecodeRefuses(t *testing.T) {
-	nested := append([]byte{byte(wire.KindAsk)}, bytes.Repeat([]byte{0x81}, 10000)...)
+	nested := append([]byte{byte(wire.KindTableRequest)}, bytes.Repeat([]byte{0x81}, 10000)...)
 	tests := []struct {
 		name  string
 		frame []byte
@@ -72,12 +72,12 @@
 		{"kind zero", []byte{0, 0x80}, wire.ErrKind},
 		{"kind of a later release", []byte{200, 0x80}, wire.ErrKind},
 		{"nested without bound", nested, wire.ErrFrame},
-		{"array that claims 4 billion elements", []byte{byte(wire.KindBeat), 0x9a, 0xff, 0xff, 0xff, 0xff}, wire.ErrFrame},
-		{"byte string that claims 2 GB", []byte{byte(wire.KindEdition), 0x82, 0x01, 0x5a, 0x7f, 0xff, 0xff, 0xff}, wire.ErrFrame},
-		{"indefinite length", []byte{byte(wire.KindAsk), 0x9f, 0x01, 0xff}, wire.ErrFrame},
-		{"too few fields", []byte{byte(wire.KindSettled), 0x81, 0x01}, wire.ErrFrame},
-		{"trailing bytes", []byte{byte(wire.KindAsk), 0x82, 0x01, 0x61, 0x61, 0x01}, wire.ErrFrame},
-		{"over the bound", make([]byte, limit+1), wire.ErrLarge},
+		{"array that claims 4 billion elements", []byte{byte(wire.KindHeartbeat), 0x9a, 0xff, 0xff, 0xff, 0xff}, wire.ErrFrame},
+		{"byte string that claims 2 GB", []byte{byte(wire.KindTableVersion), 0x82, 0x01, 0x5a, 0x7f, 0xff, 0xff, 0xff}, wire.ErrFrame},
+		{"indefinite length", []byte{byte(wire.KindTableRequest), 0x9f, 0x01, 0xff}, wire.ErrFrame},
+		{"too few fields", []byte{byte(wire.KindResolution), 0x81, 0x01}, wire.ErrFrame},
+		{"trailing bytes", []byte{byte(wire.KindTableRequest), 0x82, 0x01, 0x61, 0x61, 0x01}, wire.ErrFrame},
+		{"over the bound", make([]byte, limit+1), wire.ErrTooLarge},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -142,24 +142,24 @@
 		t.Fatal(err)
 	}
 	var body []byte
-	if err := wire.Unpack(bomb, &body); !errors.Is(err, wire.ErrLarge) {
-		t.Errorf("%d bytes that grow to 8 MiB: got %v, want %v", len(bomb), err, wire.ErrLarge)
+	if err := wire.Unpack(bomb, &body); !errors.Is(err, wire.ErrTooLarge) {
+		t.Errorf("%d bytes that grow to 8 MiB: got %v, want %v", len(bomb), err, wire.ErrTooLarge)
 	}
 }
 
 // Heartbeats go over each link of a fleet every two seconds: 6,480 links of 81 nodes.
 // Figures to sixteen digits took 27 bytes of each.
 func TestBeatIsSmall(t *testing.T) {
-	beat := &wire.Beat{
-		Time: 60_000, Heard: 59_000, Version: 4000,
-		Upstreams: []wire.Upstream{{Name: "i-7f3a91c2d4", Share: wire.Short(1), Severity: wire.Short(0.0123456789), InFlight: 3}},
+	beat := &wire.Heartbeat{
+		Time: 60_000, Echo: 59_000, Version: 4000,
+		Upstreams: []wire.Upstream{{Name: "i-7f3a91c2d4", Share: wire.RoundFloat(1), Severity: wire.RoundFloat(0.0123456789), InFlight: 3}},
 	}
 	frame, err := wire.Encode(beat)
 	if err != nil || len(frame) > 50 {
 		t.Errorf("got %d bytes and %v, want at most 50", len(frame), err)
 	}
 	for _, x := range []float64{0, 0.002, 0.0123456789, 0.5, 0.998, 1} {
-		if got := wire.Short(x); got < x*0.999 || got > x*1.001 {
+		if got := wire.RoundFloat(x); got < x*0.999 || got > x*1.001 {
 			t.Errorf("got %v for %v, want it within a thousandth", got, x)
 		}
 	}
@@ -179,7 +179,7 @@
 		}
 	}
 	got := make([]quarantine.Crash, 0, len(ends))
-	for _, c := range wire.CrashesOf(clock.Hour, ends) {
+	for _, c := range wire.NewCrashReports(clock.Hour, ends) {
 		frame, err := wire.Encode(c)
 		if err != nil {
 			t.Fatal(err)
@@ -188,7 +188,7 @@
 		if err != nil {
 			t.Fatalf("got error %v for a frame of %d bytes, want it read", err, len(frame))
 		}
-		got = append(got, m.(*wire.Crashes).Plain(clock.Hour)...)
+		got = append(got, m.(*wire.CrashReport).ToQuarantine(clock.Hour)...)
 	}
 	want := slices.Clone(ends)
 	for i := range want {
