--- a/admin/admin.go
+++ b/admin/admin.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Scraped returns the HTTP server of an address for metrics alone.
-func (s *Server) Scraped() *fasthttp.Server {
+// MetricsHTTP returns the HTTP server of an address for metrics alone.
+func (s *Server) MetricsHTTP() *fasthttp.Server {
 	server := s.HTTP()
 	server.Handler = func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) != "/metrics" {
@@ -76,7 +76,7 @@
 	case "/report":
 		s.report(ctx)
 	case "/quarantine":
-		s.write(ctx, s.config.Node.Quarantine())
+		s.writeJSON(ctx, s.config.Node.Quarantine())
 	default:
 		ctx.Error("not found; there are /healthz, /readyz, /metrics, /report and /quarantine\n", fasthttp.StatusNotFound)
 	}
@@ -96,10 +96,10 @@
 		ctx.Error(err.Error()+"\n", fasthttp.StatusBadRequest)
 		return
 	}
-	s.write(ctx, s.config.Node.Snapshot(filter))
+	s.writeJSON(ctx, s.config.Node.Snapshot(filter))
 }
 
-func (s *Server) write(ctx *fasthttp.RequestCtx, value any) {
+func (s *Server) writeJSON(ctx *fasthttp.RequestCtx, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		s.config.Log.WithError(err).WithField("path", string(ctx.Path())).Error("answer not written")
--- a/capacity/admins.go
+++ b/capacity/admins.go
@@ -81,12 +81,12 @@
 // Version returns a version.
 func (fakeState) Version() uint64 { return 1 }
 
-// Busy returns no requests.
-func (fakeState) Busy() int { return 0 }
+// InFlight returns no requests.
+func (fakeState) InFlight() int { return 0 }
 
 // scrape returns what serves the metrics of a node with so many upstreams.
 func scrape(upstreams int) func() []byte {
-	set := metrics.New(metrics.Config{Book: access.New(access.Config{Records: 1}), State: fakeState(upstreams)})
+	set := metrics.New(metrics.Config{Recorder: access.New(access.Config{Records: 1}), State: fakeState(upstreams)})
 	handler := set.Handler()
 	return func() []byte {
 		var ctx fasthttp.RequestCtx
@@ -101,7 +101,7 @@
 // countersHeld is the memory of counters once each upstream has served.
 func countersHeld(upstreams int) (float64, error) {
 	return retainedBytes(func() (any, error) {
-		set := metrics.New(metrics.Config{Book: discardJournal{}, State: fakeState(0)})
+		set := metrics.New(metrics.Config{Recorder: discardJournal{}, State: fakeState(0)})
 		for i := range upstreams {
 			set.RequestFinished(hour, access.Record{
 				Service: fmt.Sprintf("service-%d", i/perService), Upstream: fmt.Sprintf("upstream-%d", i),
--- a/cmd/accountcmd.go
+++ b/cmd/accountcmd.go
@@ -43,20 +43,20 @@
 type accountDigestCmd struct{}
 
 func (*accountDigestCmd) run(stdout, stderr io.Writer) int {
-	return digestOf(os.Stdin, stdout, stderr)
+	return printDigest(os.Stdin, stdout, stderr)
 }
 
-// digestOf leaves out the end of the line: an editor or echo adds it.
-func digestOf(in io.Reader, stdout, stderr io.Writer) int {
+// printDigest leaves out the end of the line: an editor or echo adds it.
+func printDigest(in io.Reader, stdout, stderr io.Writer) int {
 	key, err := io.ReadAll(io.LimitReader(in, maxKeyBytes+1))
 	key = bytes.TrimRight(key, "\r\n")
 	switch {
 	case err != nil:
 		fmt.Fprintf(stderr, "fuchsiapick: account digest: %v\n", err)
-		return ExitFault
+		return ExitFailure
 	case len(key) == 0 || len(key) > maxKeyBytes || len(bytes.Fields(key)) != 1:
 		fmt.Fprintf(stderr, "fuchsiapick: account digest: want one key without spaces, at most %d bytes\n", maxKeyBytes)
-		return ExitFault
+		return ExitFailure
 	}
 	fmt.Fprintln(stdout, table.DigestOf(key))
 	return ExitOK
--- a/cmd/checkcmd.go
+++ b/cmd/checkcmd.go
@@ -38,7 +38,7 @@
 	code := ExitOK
 	for _, file := range c.Files {
 		if !c.check(file, stdout, stderr) {
-			code = ExitFault
+			code = ExitFailure
 		}
 	}
 	return code
@@ -153,7 +153,7 @@
 func (c *checkCmd) compare(stdout, stderr io.Writer) int {
 	older, newer := readTable(c.Against, stdout, stderr), readTable(c.Files[0], stdout, stderr)
 	if older == nil || newer == nil {
-		return ExitFault
+		return ExitFailure
 	}
 	for _, change := range table.Diff(older, newer) {
 		fmt.Fprintln(stdout, change)
@@ -163,7 +163,7 @@
 		// the operator sees no more of it than a line in their logs.
 		fmt.Fprintf(stdout, "%s: version: %d is not above that in force; allowed: %d or more\n",
 			c.Files[0], newer.Version, older.Version+1)
-		return ExitFault
+		return ExitFailure
 	}
 	return ExitOK
 }
--- a/cmd/checkcmd_test.go
+++ b/cmd/checkcmd_test.go
@@ -19,11 +19,11 @@
 		want int
 	}{
 		"good":              {[]string{good}, cmd.ExitOK},
-		"good and bad":      {[]string{bad, good}, cmd.ExitFault},
-		"missing file":      {[]string{"none.toml"}, cmd.ExitFault},
-		"directory":         {[]string{"."}, cmd.ExitFault},
-		"wrong kind":        {[]string{"--kind", "settings", good}, cmd.ExitFault},
-		"against itself":    {[]string{"--against", good, good}, cmd.ExitFault},
+		"good and bad":      {[]string{bad, good}, cmd.ExitFailure},
+		"missing file":      {[]string{"none.toml"}, cmd.ExitFailure},
+		"directory":         {[]string{"."}, cmd.ExitFailure},
+		"wrong kind":        {[]string{"--kind", "settings", good}, cmd.ExitFailure},
+		"against itself":    {[]string{"--against", good, good}, cmd.ExitFailure},
 		"no file":           {nil, cmd.ExitUsage},
 		"unknown kind":      {[]string{"--kind", "x", good}, cmd.ExitUsage},
 		"unknown flag":      {[]string{"--strict", good}, cmd.ExitUsage},
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -12,9 +12,9 @@
 
 // Exit codes of the program.
 const (
-	ExitOK    = 0
-	ExitFault = 1
-	ExitUsage = 2
+	ExitOK      = 0
+	ExitFailure = 1
+	ExitUsage   = 2
 )
 
 // command is a subcommand with its arguments filled in.
@@ -75,7 +75,7 @@
 // help writes the help of the subcommand that was named, or of the program.
 func help(parser *arg.Parser, out io.Writer) int {
 	if err := parser.WriteHelpForSubcommand(out, parser.SubcommandNames()...); err != nil {
-		return ExitFault
+		return ExitFailure
 	}
 	return ExitOK
 }
--- a/cmd/democmd.go
+++ b/cmd/democmd.go
@@ -21,7 +21,7 @@
 	}
 	if err := demo.Run(context.Background(), config); err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick demo: %v\n", err)
-		return ExitFault
+		return ExitFailure
 	}
 	return ExitOK
 }
--- a/cmd/nodecmd.go
+++ b/cmd/nodecmd.go
@@ -28,31 +28,31 @@
 	s, err := settings.Load(c.Settings)
 	if err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick: %v\n", err)
-		return ExitFault
+		return ExitFailure
 	}
 	log, losses, closeLog, err := newLog(stdout, s.Log)
 	if err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick: %v\n", err)
-		return ExitFault
+		return ExitFailure
 	}
 	defer closeLog()
 	config, tables, err := nodeConfig(s, log)
 	if err != nil {
 		log.WithError(err).Error("node not built")
-		return ExitFault
+		return ExitFailure
 	}
-	config.Lines = losses
+	config.LogDrops = losses
 	n, err := node.New(config)
 	if err != nil {
 		log.WithError(err).Error("node not built")
-		return ExitFault
+		return ExitFailure
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	r := &reloader{path: c.Settings, inForce: s, log: log, tables: tables}
+	r := &reloader{path: c.Settings, inForce: s, log: log, tableBuilder: tables}
 	go r.run(ctx)
 	go func() {
 		<-signals
@@ -63,20 +63,20 @@
 	}()
 	if err := n.Run(ctx); err != nil {
 		log.WithError(err).WithField("node", s.Node).Error("node failed")
-		return ExitFault
+		return ExitFailure
 	}
 	return ExitOK
 }
 
-// logClose bounds how long the end of the process waits for the log's output.
-const logClose = time.Second
+// logCloseTimeout bounds how long the end of the process waits for the log's output.
+const logCloseTimeout = time.Second
 
 // newLog returns a log in JSON lines that never blocks, what it leaves out, and what
 // ends it.
-func newLog(out io.Writer, level string) (*logrus.Logger, lines.Losses, func(), error) {
+func newLog(out io.Writer, level string) (*logrus.Logger, lines.DropCounts, func(), error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, lines.Losses{}, nil, err
+		return nil, lines.DropCounts{}, nil, err
 	}
 	writer := lines.NewWriter(out)
 	limiter := lines.NewLimiter(
@@ -89,10 +89,10 @@
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	group.Go(func() { lines.Report(done, log, writer, limiter) })
-	return log, lines.Losses{Writer: writer, Limiter: limiter}, func() {
+	return log, lines.DropCounts{Writer: writer, Limiter: limiter}, func() {
 		close(done)
 		group.Wait()
 		log.SetOutput(io.Discard) // what still logs comes too late
-		writer.Close(logClose)
+		writer.Close(logCloseTimeout)
 	}, nil
 }
--- a/cmd/reload.go
+++ b/cmd/reload.go
@@ -14,20 +14,20 @@
 	"fuchsiapick.example/fuchsiapick/settings"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal, and an edit is to be in force within seconds.
-const settingsEvery = time.Second
+const settingsPollInterval = time.Second
 
 // reloader puts edits of the settings file in force while the node runs: the log
 // level and the policy. Other edits need a restart, and it says so. A file that
 // is not accepted changes nothing.
 type reloader struct {
-	path    string
-	inForce *settings.Settings
-	log     *logrus.Logger
-	tables  *platform.Fleet // nil without one
-	// seen is the file's time of change when it was read last.
-	seen time.Time
+	path         string
+	inForce      *settings.Settings
+	log          *logrus.Logger
+	tableBuilder *platform.TableBuilder // nil without one
+	// modTime is the file's time of change when it was read last.
+	modTime time.Time
 }
 
 // run watches signals and the file until the context ends. Without a handler of
@@ -36,34 +36,34 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	r.changed()
-	ticker := time.NewTicker(settingsEvery)
+	r.fileChanged()
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			r.changed()
+			r.fileChanged()
 			r.reload("signal")
 		case <-ticker.C:
-			if r.changed() {
+			if r.fileChanged() {
 				r.reload("file changed")
 			}
 		}
 	}
 }
 
-// changed reports whether the file was written since it was looked at last.
-func (r *reloader) changed() bool {
+// fileChanged reports whether the file was written since it was looked at last.
+func (r *reloader) fileChanged() bool {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		r.log.WithError(err).Debug("settings not looked at")
 		return false
 	}
-	before := r.seen
-	r.seen = info.ModTime()
-	return !before.Equal(r.seen)
+	before := r.modTime
+	r.modTime = info.ModTime()
+	return !before.Equal(r.modTime)
 }
 
 func (r *reloader) reload(cause string) {
@@ -88,7 +88,7 @@
 	if level, err := logrus.ParseLevel(next.Log); err == nil { // the check allows known levels only
 		r.log.SetLevel(level)
 	}
-	if r.tables != nil {
-		r.tables.SetPolicy(policyOf(&next.Policy))
+	if r.tableBuilder != nil {
+		r.tableBuilder.SetPolicy(policyOf(&next.Policy))
 	}
 }
--- a/cmd/reportcmd.go
+++ b/cmd/reportcmd.go
@@ -49,12 +49,12 @@
 	merged.AsOf = time.Now()
 	if err := c.write(&merged, stdout); err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick report: %v\n", err)
-		return ExitFault
+		return ExitFailure
 	}
 	switch {
 	case merged.Answered() == 0:
 		fmt.Fprintln(stderr, "fuchsiapick report: no node answered")
-		return ExitFault
+		return ExitFailure
 	case merged.Partial:
 		return ExitPartial
 	default:
--- a/cmd/sourcecmd.go
+++ b/cmd/sourcecmd.go
@@ -14,7 +14,7 @@
 
 // nodeConfig is what a node is made from, with the platform's adapter. The fleet is
 // nil unless the settings say that the platform publishes in its own form.
-func nodeConfig(s *settings.Settings, log *logrus.Logger) (node.Config, *platform.Fleet, error) {
+func nodeConfig(s *settings.Settings, log *logrus.Logger) (node.Config, *platform.TableBuilder, error) {
 	c := node.Config{Settings: s, Log: log}
 	if s.Platform.Address != "" {
 		c.Store = &platform.Store{Address: s.Platform.Address}
@@ -26,14 +26,14 @@
 	if err != nil {
 		return c, nil, errors.Annotate(err, "reading the link address")
 	}
-	fleet := platform.NewFleet(platform.FleetConfig{
+	fleet := platform.NewTableBuilder(platform.TableBuilderConfig{
 		Policy:   policyOf(&s.Policy),
 		LinkPort: link.Port(),
 		Log:      log,
 	})
 	c.CallerHeaders = platform.CallerHeaders()
 	c.UpstreamHeaders = platform.UpstreamHeaders()
-	c.Tables = fleet
+	c.TableBuilder = fleet
 	return c, fleet, nil
 }
 
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -22,8 +22,8 @@
 // Faults of a demo.
 const (
 	ErrDeployment = errors.ConstError("unknown deployment; there are sicily and kingston")
-	// ErrUnseen means that the gray upstream was not set aside in time.
-	ErrUnseen = errors.ConstError("the gray upstream was not set aside")
+	// ErrNotEjected means that the gray upstream was not set aside in time.
+	ErrNotEjected = errors.ConstError("the gray upstream was not set aside")
 )
 
 // Config configures a Demo.
@@ -38,16 +38,16 @@
 const (
 	// serviceTime is what a healthy backend server takes.
 	serviceTime = clock.Millis(5)
-	// calm is how long callers come before anything fails.
-	calm = 2 * time.Second
-	// patience bounds the wait for the gray upstream to be set aside.
-	patience = 10 * time.Second
+	// warmupDelay is how long callers come before anything fails.
+	warmupDelay = 2 * time.Second
+	// ejectionTimeout bounds the wait for the gray upstream to be set aside.
+	ejectionTimeout = 10 * time.Second
 	// grayShare is the share of requests that the gray upstream fails, while
 	// its probes go on to say that it is well.
-	grayShare  = 0.4
-	reportWait = 3 * clock.Second
-	// after is how long callers go on afterwards.
-	after = time.Second
+	grayShare     = 0.4
+	reportTimeout = 3 * clock.Second
+	// cooldownDelay is how long callers go on afterwards.
+	cooldownDelay = time.Second
 )
 
 // Run shows the deployment and writes the report.
@@ -56,12 +56,12 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	f, err := fleet.Start(ctx, fleet.Config{Table: t, Service: serviceTime, Log: c.Log})
+	f, err := fleet.Start(ctx, fleet.Config{Table: t, ServiceTime: serviceTime, Log: c.Log})
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer f.Close()
-	d := &show{config: c, fleet: f}
+	d := &session{config: c, fleet: f}
 	return errors.Trace(d.run(ctx))
 }
 
@@ -75,62 +75,62 @@
 	return t, errors.Annotatef(err, "reading the table of %s", name)
 }
 
-// show is one run of the demo.
-type show struct {
-	config Config
-	fleet  *fleet.Fleet
-	gone   []report.NodeResult // the account of the node that left
+// session is one run of the demo.
+type session struct {
+	config          Config
+	fleet           *fleet.Fleet
+	departedResults []report.NodeResult // the account of the node that left
 }
 
-func (d *show) say(format string, args ...any) {
+func (d *session) printf(format string, args ...any) {
 	fmt.Fprintf(d.config.Out, format+"\n", args...)
 }
 
-func (d *show) run(ctx context.Context) error {
+func (d *session) run(ctx context.Context) error {
 	nodes := d.fleet.Members
-	d.say("%s: %d services, %d upstreams, a node beside each; callers come in through all of them.",
+	d.printf("%s: %d services, %d upstreams, a node beside each; callers come in through all of them.",
 		d.config.Deployment, len(d.fleet.Table.Services), len(nodes))
 	traffic := startTraffic(ctx, d.fleet)
 	defer traffic.stop()
-	if err := sleep(ctx, calm); err != nil {
+	if err := sleep(ctx, warmupDelay); err != nil {
 		return errors.Trace(err)
 	}
 	gray := d.grayUpstream()
-	if err := d.sicken(ctx, gray); err != nil {
+	if err := d.injectFault(ctx, gray); err != nil {
 		return errors.Trace(err)
 	}
 	if err := d.leave(ctx, traffic); err != nil {
 		return errors.Trace(err)
 	}
-	if err := sleep(ctx, after); err != nil {
+	if err := sleep(ctx, cooldownDelay); err != nil {
 		return errors.Trace(err)
 	}
 	traffic.stop()
-	d.say("%s\n", traffic.summary())
+	d.printf("%s\n", traffic.summary())
 	return errors.Trace(d.report())
 }
 
 // grayUpstream names the upstream in the middle of the second service, whose
 // requests may not be repeated.
-func (d *show) grayUpstream() string {
+func (d *session) grayUpstream() string {
 	upstreams := d.fleet.Table.Services[1].Upstreams
 	return upstreams[len(upstreams)/2].Name
 }
 
-func (d *show) sicken(ctx context.Context, gray string) error {
-	d.say("%s turns gray: it fails %.0f%% of its requests, yet answers every probe.", gray, grayShare*100)
+func (d *session) injectFault(ctx context.Context, gray string) error {
+	d.printf("%s turns gray: it fails %.0f%% of its requests, yet answers every probe.", gray, grayShare*100)
 	began := time.Now()
 	d.fleet.Backends[gray].SetFault(standin.Fault{Kind: standin.Fails, Share: grayShare})
-	if err := d.await(ctx, gray, access.StateEjected); err != nil {
+	if err := d.awaitState(ctx, gray, access.StateEjected); err != nil {
 		return errors.Trace(err)
 	}
-	d.say("%s was set aside by its gate %s later.", gray, time.Since(began).Round(time.Millisecond))
+	d.printf("%s was set aside by its gate %s later.", gray, time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-// await waits until the node beside an upstream sees it in a state.
-func (d *show) await(ctx context.Context, upstream, state string) error {
-	bound, cancel := context.WithTimeout(ctx, patience)
+// awaitState waits until the node beside an upstream sees it in a state.
+func (d *session) awaitState(ctx context.Context, upstream, state string) error {
+	bound, cancel := context.WithTimeout(ctx, ejectionTimeout)
 	defer cancel()
 	m, ok := d.member(upstream)
 	if !ok {
@@ -143,12 +143,12 @@
 			}
 		}
 		if err := sleep(bound, 10*time.Millisecond); err != nil {
-			return errors.Annotatef(ErrUnseen, "waiting %s for %s", patience, upstream)
+			return errors.Annotatef(ErrNotEjected, "waiting %s for %s", ejectionTimeout, upstream)
 		}
 	}
 }
 
-func (d *show) member(name string) (*fleet.Member, bool) {
+func (d *session) member(name string) (*fleet.Member, bool) {
 	for _, m := range d.fleet.Members {
 		if m.Name == name {
 			return m, true
@@ -159,22 +159,22 @@
 
 // leave shuts one node of the third service down while callers go on.
 // Its account goes with it, so it is asked for it first.
-func (d *show) leave(ctx context.Context, t *traffic) error {
+func (d *session) leave(ctx context.Context, t *traffic) error {
 	name := d.fleet.Table.Services[2].Upstreams[0].Name
 	m, ok := d.member(name)
 	if !ok {
 		return errors.NotFoundf("node beside %s", name)
 	}
-	d.say("%s leaves: no new work for it, what it has begun is finished.", name)
-	t.without(m)
+	d.printf("%s leaves: no new work for it, what it has begun is finished.", name)
+	t.removeNode(m)
 	var err error
-	if d.gone, err = report.Fetch(report.Query{Nodes: []string{m.Admin}, Timeout: reportWait}); err != nil {
+	if d.departedResults, err = report.Fetch(report.Query{Nodes: []string{m.Admin}, Timeout: reportTimeout}); err != nil {
 		return errors.Annotate(err, "asking the leaving node")
 	}
 	m.Node.Leave()
 	select {
 	case <-m.Done():
-		d.say("%s has left.", name)
+		d.printf("%s has left.", name)
 		return nil
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
@@ -182,7 +182,7 @@
 }
 
 // report asks the nodes that are still there, as the report command does.
-func (d *show) report() error {
+func (d *session) report() error {
 	addresses := make([]string, 0, len(d.fleet.Members))
 	for _, m := range d.fleet.Members {
 		select {
@@ -191,11 +191,11 @@
 			addresses = append(addresses, m.Admin)
 		}
 	}
-	results, err := report.Fetch(report.Query{Nodes: addresses, Timeout: reportWait})
+	results, err := report.Fetch(report.Query{Nodes: addresses, Timeout: reportTimeout})
 	if err != nil {
 		return errors.Annotate(err, "asking the nodes")
 	}
-	merged := report.Merge(append(results, d.gone...))
+	merged := report.Merge(append(results, d.departedResults...))
 	merged.AsOf = time.Now()
 	return errors.Annotate(merged.Text(d.config.Out), "writing the report")
 }
--- a/demo/traffic.go
+++ b/demo/traffic.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// callers come at once, each on its own.
-	callers = 12
-	// pause between two requests of one caller.
-	pause = 4 * time.Millisecond
+	// callerCount come at once, each on its own.
+	callerCount = 12
+	// requestInterval between two requests of one caller.
+	requestInterval = 4 * time.Millisecond
 	// writeShare is the share of requests that may not be repeated.
-	writeShare = 0.3
-	callerWait = 5 * time.Second
+	writeShare    = 0.3
+	callerTimeout = 5 * time.Second
 )
 
 // traffic is callers at work.
 type traffic struct {
-	cancel context.CancelFunc
-	group  sync.WaitGroup
-	once   sync.Once
+	cancel   context.CancelFunc
+	group    sync.WaitGroup
+	stopOnce sync.Once
 
 	mu       sync.Mutex
 	outcomes map[string]int
@@ -38,7 +38,7 @@
 func startTraffic(ctx context.Context, f *fleet.Fleet) *traffic {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &traffic{cancel: cancel, outcomes: map[string]int{}, nodes: slices.Clone(f.Members)}
-	for i := range callers {
+	for i := range callerCount {
 		c := &caller{
 			name:   fmt.Sprintf("caller-%d", i+1),
 			fleet:  f,
@@ -51,7 +51,7 @@
 }
 
 func (t *traffic) stop() {
-	t.once.Do(func() {
+	t.stopOnce.Do(func() {
 		t.cancel()
 		t.group.Wait()
 	})
@@ -63,15 +63,15 @@
 	t.outcomes[outcome]++
 }
 
-// node draws one of the nodes that callers use.
-func (t *traffic) node(random *rand.Rand) *fleet.Member {
+// randomNode draws one of the nodes that callers use.
+func (t *traffic) randomNode(random *rand.Rand) *fleet.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.nodes[random.IntN(len(t.nodes))]
 }
 
-// without takes a node out, as callers do that follow the instance list.
-func (t *traffic) without(m *fleet.Member) {
+// removeNode takes a node out, as callers do that follow the instance list.
+func (t *traffic) removeNode(m *fleet.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.nodes = slices.DeleteFunc(slices.Clone(t.nodes), func(other *fleet.Member) bool { return other == m })
@@ -93,8 +93,8 @@
 }
 
 func (c *caller) run(ctx context.Context, t *traffic) {
-	for sleep(ctx, pause) == nil {
-		t.count(c.send(t.node(c.random)))
+	for sleep(ctx, requestInterval) == nil {
+		t.count(c.send(t.randomNode(c.random)))
 	}
 }
 
@@ -110,7 +110,7 @@
 		request.Header.SetMethod(fasthttp.MethodPost)
 		request.SetBodyString("entry")
 	}
-	if err := c.client.DoTimeout(request, response, callerWait); err != nil {
+	if err := c.client.DoTimeout(request, response, callerTimeout); err != nil {
 		return ""
 	}
 	return string(response.Header.Peek(entry.HeaderOutcome))
--- a/document/check.go
+++ b/document/check.go
@@ -9,9 +9,9 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// longestName bounds a name to what a label of a metric and a column of a
+// maxNameLength bounds a name to what a label of a metric and a column of a
 // report bear.
-const longestName = 63
+const maxNameLength = 63
 
 // Refuse notes that a key is missing, or that its value is not allowed.
 func (d *Document) Refuse(n *Node, key, value, allowed string) {
@@ -24,19 +24,19 @@
 
 // Quote writes a text that was read for use in a fault, cut if it is long.
 func Quote(text string) string {
-	return strconv.Quote(text[:min(len(text), longestLabel)])
+	return strconv.Quote(text[:min(len(text), maxLabelLength)])
 }
 
-// Name notes a fault unless the value is fit for logs, labels and reports.
-func (d *Document) Name(n *Node, key, value string) {
+// CheckName notes a fault unless the value is fit for logs, labels and reports.
+func (d *Document) CheckName(n *Node, key, value string) {
 	if !isName(value) {
 		d.Refuse(n, key, Quote(value),
-			fmt.Sprintf("1 to %d letters, digits, '-', '_' and '.', a letter or digit first", longestName))
+			fmt.Sprintf("1 to %d letters, digits, '-', '_' and '.', a letter or digit first", maxNameLength))
 	}
 }
 
 func isName(s string) bool {
-	if s == "" || len(s) > longestName || !isLetterOrDigit(s[0]) {
+	if s == "" || len(s) > maxNameLength || !isLetterOrDigit(s[0]) {
 		return false
 	}
 	for i := range len(s) {
@@ -51,9 +51,9 @@
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
 
-// Address notes a fault unless the value is an IP number and a port that can
+// CheckAddress notes a fault unless the value is an IP number and a port that can
 // be dialled. It reports whether it is.
-func (d *Document) Address(n *Node, key, value string) bool {
+func (d *Document) CheckAddress(n *Node, key, value string) bool {
 	address, err := netip.ParseAddrPort(value)
 	ip := address.Addr()
 	if err == nil && address.Port() > 0 && !ip.IsUnspecified() && ip.Zone() == "" {
@@ -64,9 +64,9 @@
 	return false
 }
 
-// Listener notes a fault unless the value is an IP number and a port that can
+// CheckListener notes a fault unless the value is an IP number and a port that can
 // be listened at. Port 0 takes any free port. It reports whether it is.
-func (d *Document) Listener(n *Node, key, value string) bool {
+func (d *Document) CheckListener(n *Node, key, value string) bool {
 	address, err := netip.ParseAddrPort(value)
 	if err == nil && address.Addr().Zone() == "" {
 		return true
@@ -75,23 +75,23 @@
 	return false
 }
 
-// Span notes a fault unless the value is within the bounds, both included.
-func (d *Document) Span(n *Node, key string, value, least, most clock.Millis) {
+// CheckDuration notes a fault unless the value is within the bounds, both included.
+func (d *Document) CheckDuration(n *Node, key string, value, least, most clock.Millis) {
 	if value < least || value > most {
 		d.Refuse(n, key, value.String(), least.String()+" to "+most.String())
 	}
 }
 
-// Within notes a fault unless the value is within the bounds, both included.
-func Within[T cmp.Ordered](d *Document, n *Node, key string, value, least, most T) {
+// CheckRange notes a fault unless the value is within the bounds, both included.
+func CheckRange[T cmp.Ordered](d *Document, n *Node, key string, value, least, most T) {
 	if value >= least && value <= most {
 		return
 	}
 	d.Refuse(n, key, fmt.Sprint(value), fmt.Sprintf("%v to %v", least, most))
 }
 
-// Between notes a fault unless the value is within the bounds, both excluded.
-func Between[T cmp.Ordered](d *Document, n *Node, key string, value, least, most T) {
+// CheckOpenRange notes a fault unless the value is within the bounds, both excluded.
+func CheckOpenRange[T cmp.Ordered](d *Document, n *Node, key string, value, least, most T) {
 	if value > least && value < most {
 		return
 	}
--- a/document/fault.go
+++ b/document/fault.go
@@ -43,15 +43,15 @@
 // Faults lists all that is wrong with one text. As an error it is ErrInvalid.
 type Faults []Fault //nolint:errname // a list of faults is data first, and an error where one is returned
 
-// mostLines keeps a text that is wrong in each of its lines, such as one of
+// maxErrorLines keeps a text that is wrong in each of its lines, such as one of
 // another kind, from filling the log of every node. All faults are still in
 // the list.
-const mostLines = 100
+const maxErrorLines = 100
 
 // Error writes one line for each fault. Of very many it writes the first, and
 // how many more there are.
 func (fs Faults) Error() string {
-	shown := fs[:min(len(fs), mostLines)]
+	shown := fs[:min(len(fs), maxErrorLines)]
 	lines := make([]string, len(shown), len(shown)+1)
 	for i, f := range shown {
 		lines[i] = f.String()
--- a/document/node.go
+++ b/document/node.go
@@ -19,16 +19,16 @@
 	scalar []byte
 	parent *Node
 	key    string
-	// item counts from 1 within an array, 0 elsewhere.
-	item   int
-	fields []*Node
+	// position counts from 1 within an array, 0 elsewhere.
+	position int
+	fields   []*Node
 	// byKey finds fields once there are more than a person writes: a text
 	// with a hundred thousand keys in one table must not take minutes.
 	byKey map[string]*Node
 	items []*Node
-	// from and to bound the bytes of the expression that gave the value: the
+	// start and to bound the bytes of the expression that gave the value: the
 	// key and value of a line, or the line of a table header.
-	from, to int
+	start, end int
 	// expression is the outermost value of the same expression, which can
 	// only be passed over as a whole.
 	expression *Node
@@ -51,12 +51,12 @@
 	return nil
 }
 
-// fieldsWithoutMap is how many fields are quicker to compare than to hash.
-const fieldsWithoutMap = 24
+// maxLinearFields is how many fields are quicker to compare than to hash.
+const maxLinearFields = 24
 
 func (n *Node) addField(f *Node) {
 	n.fields = append(n.fields, f)
-	if n.byKey == nil && len(n.fields) > fieldsWithoutMap {
+	if n.byKey == nil && len(n.fields) > maxLinearFields {
 		n.byKey = make(map[string]*Node, 2*len(n.fields))
 		for _, known := range n.fields {
 			n.byKey[known.key] = known
@@ -123,7 +123,7 @@
 	if n.parent == nil {
 		return ""
 	}
-	if n.item == 0 {
+	if n.position == 0 {
 		return n.parent.Where(n.key)
 	}
 	array := n.parent
@@ -132,7 +132,7 @@
 			return array.label() + " " + printable(string(f.scalar))
 		}
 	}
-	return array.label() + " " + strconv.Itoa(n.item)
+	return array.label() + " " + strconv.Itoa(n.position)
 }
 
 // isRefused reports whether a fault of shape already covers the value.
@@ -145,13 +145,13 @@
 	return false
 }
 
-// longestLabel keeps a hostile name from filling a log line.
-const longestLabel = 80
+// maxLabelLength keeps a hostile name from filling a log line.
+const maxLabelLength = 80
 
 // printable quotes a text that would garble a line, and cuts a long one.
 func printable(text string) string {
-	if len(text) > longestLabel {
-		text = text[:longestLabel]
+	if len(text) > maxLabelLength {
+		text = text[:maxLabelLength]
 	}
 	quoted := strconv.Quote(text)
 	if quoted == `"`+text+`"` {
--- a/document/read.go
+++ b/document/read.go
@@ -47,10 +47,10 @@
 // wrong kind become faults and are passed over, so that the rest can still be
 // checked. It reports false if the rest can't be decoded either.
 func (d *Document) Decode(into any) bool {
-	s := shape{known: make(map[reflect.Type]keySet)}
+	s := schemaChecker{keySets: make(map[reflect.Type]keySet)}
 	s.check(d.Root, reflect.TypeOf(into).Elem())
 	d.faults = append(d.faults, s.faults...)
-	text := blank(d.tree.text, append(s.refused, d.tree.twice...))
+	text := blankNodes(d.tree.text, append(s.refused, d.tree.duplicates...))
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		d.faults = append(d.faults, decodeFault(err))
@@ -79,9 +79,9 @@
 	return d.faults
 }
 
-// blank returns a copy of the text with the expressions of the nodes, and of
+// blankNodes returns a copy of the text with the expressions of the nodes, and of
 // all that is in them, written over by spaces. Lines keep their numbers.
-func blank(text []byte, nodes []*Node) []byte {
+func blankNodes(text []byte, nodes []*Node) []byte {
 	if len(nodes) == 0 {
 		return text
 	}
@@ -93,7 +93,7 @@
 }
 
 func blankNode(text []byte, n *Node) {
-	for i := n.from; i < n.to; i++ {
+	for i := n.start; i < n.end; i++ {
 		if text[i] != '\n' {
 			text[i] = ' '
 		}
--- a/document/shape.go
+++ b/document/shape.go
@@ -13,15 +13,15 @@
 
 var millisType = reflect.TypeFor[clock.Millis]()
 
-// shape compares a tree with the struct that it is to fill and collects every
+// schemaChecker compares a tree with the struct that it is to fill and collects every
 // unknown key and every value of a wrong kind. The decoder would stop at the
 // first, and it would take a key in other letter case for a known one.
-type shape struct {
+type schemaChecker struct {
 	faults  Faults
 	refused []*Node
-	// known keeps the keys of each struct, for a table holds thousands of one
+	// keySets keeps the keys of each struct, for a table holds thousands of one
 	// type.
-	known map[reflect.Type]keySet
+	keySets map[reflect.Type]keySet
 }
 
 // keySet is the keys of a struct and, on one line, what a fault says of them.
@@ -30,22 +30,22 @@
 	allowed string
 }
 
-func (s *shape) check(n *Node, t reflect.Type) {
+func (s *schemaChecker) check(n *Node, t reflect.Type) {
 	switch {
 	case t == millisType:
-		s.span(n)
+		s.checkDuration(n)
 	case t.Kind() == reflect.Struct:
-		s.table(n, t)
+		s.checkTable(n, t)
 	case t.Kind() == reflect.Slice:
-		s.array(n, t.Elem())
+		s.checkArray(n, t.Elem())
 	default:
-		s.scalar(n, t)
+		s.checkScalar(n, t)
 	}
 }
 
-func (s *shape) table(n *Node, t reflect.Type) {
+func (s *schemaChecker) checkTable(n *Node, t reflect.Type) {
 	if n.kind != unstable.Table {
-		s.refuse(n, "is "+kindName(n), "a table")
+		s.refuse(n, "is "+describeKind(n), "a table")
 		return
 	}
 	known := s.keysOf(t)
@@ -58,21 +58,21 @@
 	}
 }
 
-// notRead is the tag of a field that no text fills.
-const notRead = "-"
+// ignoredTag is the tag of a field that no text fills.
+const ignoredTag = "-"
 
-func (s *shape) keysOf(t reflect.Type) keySet {
-	if known, ok := s.known[t]; ok {
+func (s *schemaChecker) keysOf(t reflect.Type) keySet {
+	if known, ok := s.keySets[t]; ok {
 		return known
 	}
 	types := make(map[string]reflect.Type, t.NumField())
 	for f := range t.Fields() {
-		if key := f.Tag.Get("toml"); f.IsExported() && key != notRead {
+		if key := f.Tag.Get("toml"); f.IsExported() && key != ignoredTag {
 			types[key] = f.Type
 		}
 	}
 	known := keySet{types: types, allowed: keyList(types)}
-	s.known[t] = known
+	s.keySets[t] = known
 	return known
 }
 
@@ -85,9 +85,9 @@
 	return strings.Join(keys, ", ")
 }
 
-func (s *shape) array(n *Node, elem reflect.Type) {
+func (s *schemaChecker) checkArray(n *Node, elem reflect.Type) {
 	if n.kind != unstable.Array {
-		s.refuse(n, "is "+kindName(n), arrayName(n, elem))
+		s.refuse(n, "is "+describeKind(n), arrayName(n, elem))
 		return
 	}
 	for _, item := range n.items {
@@ -107,7 +107,7 @@
 	if n.parent == nil {
 		return ""
 	}
-	if n.item > 0 {
+	if n.position > 0 {
 		return n.parent.path()
 	}
 	if outer := n.parent.path(); outer != "" {
@@ -116,10 +116,10 @@
 	return n.key
 }
 
-func (s *shape) span(n *Node) {
+func (s *schemaChecker) checkDuration(n *Node) {
 	const allowed = `a span in whole milliseconds, such as "250ms" or "5s"`
 	if n.kind != unstable.String {
-		s.refuse(n, "is "+kindName(n), allowed)
+		s.refuse(n, "is "+describeKind(n), allowed)
 		return
 	}
 	var m clock.Millis
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *shape) scalar(n *Node, t reflect.Type) {
+func (s *schemaChecker) checkScalar(n *Node, t reflect.Type) {
 	var ok bool
 	var allowed string
 	switch t.Kind() {
@@ -147,7 +147,7 @@
 		allowed = "nothing: this release can't read the key"
 	}
 	if !ok {
-		s.refuse(n, "is "+kindName(n), allowed)
+		s.refuse(n, "is "+describeKind(n), allowed)
 	}
 }
 
@@ -162,7 +162,7 @@
 	return ok
 }
 
-func (s *shape) refuse(n *Node, problem, allowed string) {
+func (s *schemaChecker) refuse(n *Node, problem, allowed string) {
 	s.faults = append(s.faults, Fault{Line: n.Line, Where: n.label(), Problem: problem, Allowed: allowed})
 	n.refused = true
 	if n.expression != nil {
@@ -172,8 +172,8 @@
 	s.refused = append(s.refused, n)
 }
 
-// kindName says what a value is, with the value where it is short.
-func kindName(n *Node) string {
+// describeKind says what a value is, with the value where it is short.
+func describeKind(n *Node) string {
 	switch n.kind {
 	case unstable.Table:
 		return "a table"
--- a/document/tree.go
+++ b/document/tree.go
@@ -12,25 +12,25 @@
 // what TOML forbids across expressions, such as defining a table twice: the
 // decoder that runs after it refuses that.
 type builder struct {
-	text   []byte
-	lines  []int
-	root   *Node
-	faults Faults
-	// twice lists repeated keys, which must be passed over for the decoder
+	text        []byte
+	lineOffsets []int
+	root        *Node
+	faults      Faults
+	// duplicates lists repeated keys, which must be passed over for the decoder
 	// to go on.
-	twice []*Node
+	duplicates []*Node
 	// keys holds one string for each key, and spare nodes not yet taken:
 	// a table repeats a dozen keys thousands of times.
 	keys  map[string]string
 	spare []Node
 }
 
-// nodesAtOnce is how many nodes are allocated together.
-const nodesAtOnce = 128
+// nodeBatchSize is how many nodes are allocated together.
+const nodeBatchSize = 128
 
-func (b *builder) takeNode() *Node {
+func (b *builder) allocNode() *Node {
 	if len(b.spare) == 0 {
-		b.spare = make([]Node, nodesAtOnce)
+		b.spare = make([]Node, nodeBatchSize)
 	}
 	n := &b.spare[0]
 	b.spare = b.spare[1:]
@@ -49,7 +49,7 @@
 // parseTree returns the tree of a text, and the faults of its grammar. Only a
 // text without those has a whole tree.
 func parseTree(text []byte) (*builder, error) {
-	b := &builder{text: text, lines: lineStarts(text), keys: make(map[string]string)}
+	b := &builder{text: text, lineOffsets: lineStarts(text), keys: make(map[string]string)}
 	b.root = &Node{Line: 1, kind: unstable.Table}
 	var parser unstable.Parser
 	parser.Reset(text)
@@ -87,7 +87,7 @@
 	for keys := e.Key(); keys.Next(); {
 		at = b.enter(at, keys.Node(), nil)
 	}
-	b.takeLine(at, e)
+	b.setHeaderLine(at, e)
 	return at
 }
 
@@ -103,11 +103,11 @@
 		array := at.Field(string(key.Data))
 		if array == nil {
 			array = b.add(at, key, unstable.Array)
-			b.takeLine(array, e)
+			b.setHeaderLine(array, e)
 		}
 		at = b.addItem(array, unstable.Table)
 	}
-	b.takeLine(at, e)
+	b.setHeaderLine(at, e)
 	return at
 }
 
@@ -135,10 +135,10 @@
 			continue
 		}
 		n := b.newNode(at, key, unstable.Invalid)
-		n.from, n.to = int(e.Raw.Offset), int(e.Raw.Offset+e.Raw.Length)
+		n.start, n.end = int(e.Raw.Offset), int(e.Raw.Offset+e.Raw.Length)
 		n.expression = expression
 		if at.Has(n.key) {
-			b.refuseTwice(n)
+			b.refuseDuplicate(n)
 		} else {
 			at.addField(n)
 		}
@@ -146,12 +146,12 @@
 	}
 }
 
-func (b *builder) refuseTwice(n *Node) {
+func (b *builder) refuseDuplicate(n *Node) {
 	passed := n
 	if n.expression != nil {
 		passed = n.expression
 	}
-	b.twice = append(b.twice, passed)
+	b.duplicates = append(b.duplicates, passed)
 	b.faults = append(b.faults, Fault{
 		Line: n.Line, Where: n.label(), Problem: "given twice", Allowed: "once",
 	})
@@ -187,29 +187,29 @@
 }
 
 func (b *builder) newNode(parent *Node, key *unstable.Node, kind unstable.Kind) *Node {
-	n := b.takeNode()
+	n := b.allocNode()
 	n.Line = b.lineAt(int(key.Raw.Offset))
 	n.kind, n.parent, n.key = kind, parent, b.internKey(key.Data)
 	return n
 }
 
 func (b *builder) addItem(array *Node, kind unstable.Kind) *Node {
-	n := b.takeNode()
-	n.Line, n.kind, n.parent, n.item = array.Line, kind, array, len(array.items)+1
+	n := b.allocNode()
+	n.Line, n.kind, n.parent, n.position = array.Line, kind, array, len(array.items)+1
 	array.items = append(array.items, n)
 	return n
 }
 
-// takeLine gives a table the line of its header.
-func (b *builder) takeLine(n *Node, header *unstable.Node) {
+// setHeaderLine gives a table the line of its header.
+func (b *builder) setHeaderLine(n *Node, header *unstable.Node) {
 	keys := header.Key()
 	keys.Next()
 	offset := int(keys.Node().Raw.Offset)
 	n.Line = b.lineAt(offset)
-	n.from = b.lines[n.Line-1]
-	n.to = len(b.text)
-	if n.Line < len(b.lines) {
-		n.to = b.lines[n.Line]
+	n.start = b.lineOffsets[n.Line-1]
+	n.end = len(b.text)
+	if n.Line < len(b.lineOffsets) {
+		n.end = b.lineOffsets[n.Line]
 	}
 }
 
@@ -225,5 +225,5 @@
 }
 
 func (b *builder) lineAt(offset int) int {
-	return sort.SearchInts(b.lines, offset+1)
+	return sort.SearchInts(b.lineOffsets, offset+1)
 }
--- a/fleet/answer_test.go
+++ b/fleet/answer_test.go
@@ -48,12 +48,12 @@
 		for send(t, "GET", far.Caller, "/conferme/turno", "").outcome != "served" {
 			continue // until the path is back
 		}
-		passed := beside.Relay.Stats().Passed
+		passed := beside.LinkRelay.Stats().Passed
 		done := make(chan answer, 1)
 		go func() { done <- send(t, "GET", far.Caller, fmt.Sprintf("/conferme/turno?size=%d", size), "") }()
-		until(t, "part of the answer", func() bool { return beside.Relay.Stats().Passed > passed+200_000 })
-		beside.Relay.SetMode(standin.Refuse)
-		beside.Relay.SetMode(standin.Pass)
+		until(t, "part of the answer", func() bool { return beside.LinkRelay.Stats().Passed > passed+200_000 })
+		beside.LinkRelay.SetMode(standin.Refuse)
+		beside.LinkRelay.SetMode(standin.Pass)
 		got := <-done
 		if got.status == http.StatusOK && got.body != string(standin.AnswerBody(got.id, size)) {
 			t.Errorf("try %d: got 200 with %d bytes, want the whole answer or a failure", i, len(got.body))
@@ -64,7 +64,7 @@
 // A caller hangs up while its confirmation runs, and another reads a byte at a
 // time. Neither may hold up others, and each request keeps its one account.
 func TestCallersThatHangUpOrReadSlowly(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(1), Service: 50})
+	f := start(t, fleet.Config{Table: deployment(1), ServiceTime: 50})
 	m := f.Members[0]
 	conn, err := net.Dial("tcp", m.Caller)
 	if err != nil {
@@ -112,7 +112,7 @@
 // to leave time for another.
 func TestSlowServiceIsServed(t *testing.T) {
 	c := deployment(3)
-	f := start(t, fleet.Config{Table: c, Service: 700, Adjust: func(s *settings.Settings) { s.Limits.Requests = 10 }})
+	f := start(t, fleet.Config{Table: c, ServiceTime: 700, Adjust: func(s *settings.Settings) { s.Limits.Requests = 10 }})
 	for i := range 6 {
 		if got := send(t, "GET", f.Members[i%3].Caller, "/conferme/turno", ""); got.outcome != string(access.Served) {
 			t.Errorf("request %d: got %s %s, want served", i, got.outcome, got.reason)
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -12,9 +12,9 @@
 // link of it is open. An operator's edit must be in force there as well, by way
 // of its neighbours.
 func TestEditReachesNodeCutFromThePlatform(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(4), Gateways: true})
+	f := start(t, fleet.Config{Table: deployment(4), PlatformRelays: true})
 	cut := f.Members[2]
-	cut.Gateway.SetMode(standin.Refuse)
+	cut.PlatformRelay.SetMode(standin.Refuse)
 	if err := f.Publish(func(tt *table.Table) { tt.Services[0].Queue++ }); err != nil {
 		t.Fatal(err)
 	}
--- a/fleet/crash_bench_test.go
+++ b/fleet/crash_bench_test.go
@@ -35,7 +35,7 @@
 	s := &c.Services[0]
 	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow = table.ShortEpisodes, 0.7, 62, 10*clock.Second
 	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
-	f, err := fleet.Start(b.Context(), fleet.Config{Table: c, Service: 5})
+	f, err := fleet.Start(b.Context(), fleet.Config{Table: c, ServiceTime: 5})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -22,7 +22,7 @@
 	s := &c.Services[0]
 	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow = caution, 0.7, 62, 10*clock.Second
 	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
-	f := start(t, fleet.Config{Table: c, Service: 2})
+	f := start(t, fleet.Config{Table: c, ServiceTime: 2})
 	for _, b := range f.Backends {
 		b.SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly})
 	}
--- a/fleet/episodes_bench_test.go
+++ b/fleet/episodes_bench_test.go
@@ -34,7 +34,7 @@
 	}
 	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
 	c.Routes[0].Timeout, c.Routes[0].LatencyTarget = 8*clock.Second, 5*clock.Second
-	f, err := fleet.Start(b.Context(), fleet.Config{Table: c, Service: 500})
+	f, err := fleet.Start(b.Context(), fleet.Config{Table: c, ServiceTime: 500})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/fleet/explain_test.go
+++ b/fleet/explain_test.go
@@ -88,7 +88,7 @@
 			d.Services[0].Deadline = 700
 			d.Services[0].Objective.Latency = 400
 			d.Routes = []table.Route{{Prefix: "/conferme/", Service: "conferme", LatencyTarget: 5}}
-			f := start(t, fleet.Config{Table: d, Service: 20, Log: &log})
+			f := start(t, fleet.Config{Table: d, ServiceTime: 20, Log: &log})
 			f.Backends["conferme-1"].SetFault(tt.fault)
 			got := send(t, "POST", f.Members[0].Caller, "/conferme/turno", "")
 			// The gate replies before it writes its line, so the entry's may stand first.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -26,12 +26,12 @@
 	// Table is the deployment. Its addresses are replaced by open ports of
 	// this machine; upstreams that name one node get one node.
 	Table *table.Table
-	// Service is the time that a backend server takes for a request.
-	Service clock.Millis
-	// Gateways puts a relay between each node and the platform, to cut it.
-	Gateways bool
-	// Relays puts a relay before each node's link address, to cut it.
-	Relays bool
+	// ServiceTime is the time that a backend server takes for a request.
+	ServiceTime clock.Millis
+	// PlatformRelays puts a relay between each node and the platform, to cut it.
+	PlatformRelays bool
+	// LinkRelays puts a relay before each node's link address, to cut it.
+	LinkRelays bool
 	// Adjust may change a node's settings before it starts.
 	Adjust func(s *settings.Settings)
 	// KeyMargin is that of the nodes; 0 means the usual one.
@@ -42,14 +42,14 @@
 
 // Member is one running node.
 type Member struct {
-	Name   string
-	Node   *node.Node
-	Caller string
-	Admin  string
-	Link   string
-	Relay  *standin.Relay // nil without relays
-	// Gateway is the way to the platform; nil without gateways.
-	Gateway *standin.Relay
+	Name      string
+	Node      *node.Node
+	Caller    string
+	Admin     string
+	Link      string
+	LinkRelay *standin.Relay // nil without relays
+	// PlatformRelay is the way to the platform; nil without gateways.
+	PlatformRelay *standin.Relay
 
 	domain string
 	ports  settings.Listen
@@ -121,7 +121,7 @@
 				Name:    u.Name,
 				Address: loopback,
 				Slots:   u.Slots,
-				Service: f.config.Service,
+				Service: f.config.ServiceTime,
 				Seed:    uint64(i*len(s.Upstreams) + j),
 			})
 			if err != nil {
@@ -172,15 +172,15 @@
 		done:   make(chan struct{}),
 	}
 	m.ports = settings.Listen{Caller: m.Caller, Link: m.Link, Admin: m.Admin}
-	if f.config.Relays {
-		m.Relay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopback, Target: m.Link})
+	if f.config.LinkRelays {
+		m.LinkRelay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopback, Target: m.Link})
 		if err != nil {
 			listeners.Close()
 			return nil, errors.Trace(err)
 		}
-		m.Link = m.Relay.Address()
+		m.Link = m.LinkRelay.Address()
 	}
-	if err := f.run(ctx, m, domain, listeners); err != nil {
+	if err := f.startNode(ctx, m, domain, listeners); err != nil {
 		listeners.Close()
 		return nil, errors.Trace(err)
 	}
@@ -188,26 +188,26 @@
 	return m, nil
 }
 
-func (f *Fleet) run(ctx context.Context, m *Member, domain string, listeners *node.Listeners) error {
+func (f *Fleet) startNode(ctx context.Context, m *Member, domain string, listeners *node.Listeners) error {
 	s, err := settings.Parse([]byte(baseSettings))
 	if err != nil {
 		return errors.Trace(err)
 	}
 	s.Node, s.Domain, s.Listen.Announce = m.Name, domain, m.Link
 	s.Platform.Address = f.Platform.Address()
-	if f.config.Gateways {
-		m.Gateway, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopback, Target: f.Platform.Address()})
+	if f.config.PlatformRelays {
+		m.PlatformRelay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopback, Target: f.Platform.Address()})
 		if err != nil {
 			return errors.Trace(err)
 		}
-		s.Platform.Address = m.Gateway.Address()
+		s.Platform.Address = m.PlatformRelay.Address()
 	}
 	if f.config.Adjust != nil {
 		f.config.Adjust(s)
 	}
 	m.Node, err = node.New(node.Config{
 		Settings: s, Log: f.log, Listeners: listeners, KeyMargin: f.config.KeyMargin,
-		Store: &platform.Store{Address: s.Platform.Address}, Lines: lines.Losses{},
+		Store: &platform.Store{Address: s.Platform.Address}, LogDrops: lines.DropCounts{},
 	})
 	if err != nil {
 		return errors.Trace(err)
@@ -283,7 +283,7 @@
 	}
 	for _, m := range f.Members {
 		<-m.done
-		for _, r := range []*standin.Relay{m.Relay, m.Gateway} {
+		for _, r := range []*standin.Relay{m.LinkRelay, m.PlatformRelay} {
 			if r != nil {
 				r.Close()
 			}
--- a/fleet/hang_test.go
+++ b/fleet/hang_test.go
@@ -17,7 +17,7 @@
 	s.Caution, s.RetryRatio, s.ExtraRetries, s.RetryWindow = table.ShortEpisodes, 0.2, 200, 10*clock.Second
 	deployed.Routes[0].Timeout, deployed.Routes[0].LatencyTarget, deployed.Routes[0].MaxAttempts = 5*clock.Second, 600, 2
 	deployed.Routes[0].Repeatable = []string{"GET"}
-	f := start(t, fleet.Config{Table: deployed, Service: 20})
+	f := start(t, fleet.Config{Table: deployed, ServiceTime: 20})
 	for i := range 80 {
 		if got := send(t, "GET", f.Members[i%4].Caller, "/conferme/lista", ""); got.outcome != "served" {
 			t.Fatalf("request %d before: got %d %q, want it served", i, got.status, got.reason)
--- a/fleet/leave_test.go
+++ b/fleet/leave_test.go
@@ -94,7 +94,7 @@
 // A release replaces all nodes one by one under load. A request cut in flight
 // would be a lost confirmation, found at dawn.
 func TestRollingReplacementCutsNothing(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(3), Service: 600})
+	f := start(t, fleet.Config{Table: deployment(3), ServiceTime: 600})
 	s := startSteady(5, callers(f))
 	for i := range 3 {
 		old := f.Members[0]
@@ -160,7 +160,7 @@
 			// trial gets requests that may be repeated, and else after half a minute.
 			d := deployment(3)
 			d.Routes[0].Repeatable = []string{"GET"}
-			f := start(t, fleet.Config{Table: d, Service: 10})
+			f := start(t, fleet.Config{Table: d, ServiceTime: 10})
 			s := startSteady(4, callers(f))
 			leaving := f.Backends["conferme-1"]
 			await(t, leaving, ran(5))
@@ -220,17 +220,17 @@
 	if got := send(t, "POST", far.Caller, "/conferme/turno", ""); got.outcome != "served" {
 		t.Fatalf("got %s, want a request served first", got.outcome)
 	}
-	beside.Relay.SetMode(standin.Freeze)
+	beside.LinkRelay.SetMode(standin.Freeze)
 	done := make(chan answer, 1)
 	go func() { done <- send(t, "POST", far.Caller, "/conferme/turno", "") }()
-	until(t, "the request on its way", func() bool { return beside.Relay.Stats().Held > 0 })
+	until(t, "the request on its way", func() bool { return beside.LinkRelay.Stats().Held > 0 })
 	beside.Node.Leave()
 	select {
 	case <-beside.Done():
 		t.Error("got a node that ended, want it to wait for what was sent to it")
 	case <-time.After(time.Second):
 	}
-	beside.Relay.SetMode(standin.Pass)
+	beside.LinkRelay.SetMode(standin.Pass)
 	if got := <-done; got.outcome != string(access.NotRun) {
 		t.Errorf("got outcome %q (%s), want it not run", got.outcome, got.reason)
 	}
@@ -241,7 +241,7 @@
 // the process would end with confirmations in flight.
 func TestLeavingTakesNothingThatItCouldNotFinish(t *testing.T) {
 	var log lines
-	f := start(t, fleet.Config{Table: deployment(2), Service: 300, Log: &log, Adjust: func(s *settings.Settings) {
+	f := start(t, fleet.Config{Table: deployment(2), ServiceTime: 300, Log: &log, Adjust: func(s *settings.Settings) {
 		s.Grace, s.Linger = 4*clock.Second, 500
 	}})
 	leaving := f.Members[0]
@@ -259,12 +259,12 @@
 			}
 		})
 	}
-	until(t, "requests in flight", func() bool { return leaving.Node.Busy() > 0 })
+	until(t, "requests in flight", func() bool { return leaving.Node.InFlight() > 0 })
 	leaving.Node.Leave()
 	<-leaving.Done()
 	close(stop)
 	group.Wait()
-	if got := log.String(); strings.Contains(got, node.ErrCut.Error()) {
+	if got := log.String(); strings.Contains(got, node.ErrRequestsCut.Error()) {
 		t.Error("got a node that cut requests in flight, want none cut")
 	}
 }
--- a/fleet/majority_test.go
+++ b/fleet/majority_test.go
@@ -11,7 +11,7 @@
 // are errors. That is the service's usual state then, and none is set aside. The
 // two healthy ones must get most of the work all the same.
 func TestMajorityOfGrayUpstreamsGetsLittleWork(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(6), Service: 5})
+	f := start(t, fleet.Config{Table: deployment(6), ServiceTime: 5})
 	s := startSteady(6, callers(f))
 	for _, name := range []string{"conferme-1", "conferme-2", "conferme-3", "conferme-4"} {
 		f.Backends[name].SetFault(standin.Fault{Kind: standin.Fails, Share: 0.8})
--- a/fleet/once_test.go
+++ b/fleet/once_test.go
@@ -71,7 +71,7 @@
 // request through the first crosses the link.
 func two(t *testing.T, service clock.Millis) (f *fleet.Fleet, far, beside *fleet.Member, backend *standin.Backend) {
 	t.Helper()
-	f = start(t, fleet.Config{Table: deployment(1), Service: service, Relays: true})
+	f = start(t, fleet.Config{Table: deployment(1), ServiceTime: service, LinkRelays: true})
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	far, err := f.AddMember(ctx, "far", "catania")
@@ -106,7 +106,7 @@
 	done := make(chan answer)
 	go func() { done <- w.post(t, far.Caller) }()
 	await(t, backend, ran(2))
-	beside.Relay.SetMode(standin.BlackholeOpen)
+	beside.LinkRelay.SetMode(standin.BlackholeOpen)
 	if got := <-done; got.outcome != "served" {
 		t.Errorf("got %d %s %s, want served", got.status, got.outcome, got.reason)
 	}
@@ -141,7 +141,7 @@
 			f, far, beside, backend := two(t, 50)
 			w := newWitness()
 			w.post(t, far.Caller)
-			beside.Relay.SetMode(mode)
+			beside.LinkRelay.SetMode(mode)
 			if got := w.post(t, far.Caller); got.outcome == "served" {
 				t.Error("got served over a path that loses one way")
 			}
@@ -160,12 +160,12 @@
 	f, far, beside, backend := two(t, 5)
 	w := newWitness()
 	w.post(t, far.Caller)
-	beside.Relay.SetMode(standin.Freeze)
+	beside.LinkRelay.SetMode(standin.Freeze)
 	got := w.post(t, far.Caller)
 	if got.outcome == "served" {
 		t.Fatalf("got served over a frozen path")
 	}
-	beside.Relay.SetMode(standin.Pass)
+	beside.LinkRelay.SetMode(standin.Pass)
 	for w.post(t, far.Caller).outcome != "served" {
 		continue // until the path is back
 	}
--- a/fleet/operation_test.go
+++ b/fleet/operation_test.go
@@ -102,7 +102,7 @@
 
 func keyedTable(t *testing.T, c *table.Table) (f *fleet.Fleet, far *fleet.Member) {
 	t.Helper()
-	f = start(t, fleet.Config{Table: c, Service: 5, Relays: true, KeyMargin: 1})
+	f = start(t, fleet.Config{Table: c, ServiceTime: 5, LinkRelays: true, KeyMargin: 1})
 	far, err := f.AddMember(t.Context(), "far", "catania")
 	if err != nil {
 		t.Fatal(err)
--- a/fleet/replace.go
+++ b/fleet/replace.go
@@ -17,7 +17,7 @@
 		return errors.Annotatef(err, "replacing node %s", m.Name)
 	}
 	m.done = make(chan struct{})
-	if err := f.run(ctx, m, m.domain, listeners); err != nil {
+	if err := f.startNode(ctx, m, m.domain, listeners); err != nil {
 		listeners.Close()
 		return errors.Trace(err)
 	}
--- a/fleet/resend_test.go
+++ b/fleet/resend_test.go
@@ -20,13 +20,13 @@
 	f, far := keyed(t, 2)
 	o := newOperation("turno-7")
 	for _, m := range f.Members[:2] {
-		m.Relay.SetMode(standin.DropFromTarget)
+		m.LinkRelay.SetMode(standin.DropFromTarget)
 	}
 	if got := o.send(t, far.Caller); got.outcome == "served" {
 		t.Fatalf("got %v over paths that lose answers", got)
 	}
 	for _, m := range f.Members[:2] {
-		m.Relay.SetMode(standin.Pass)
+		m.LinkRelay.SetMode(standin.Pass)
 	}
 	first := o.settle(t, far.Caller)
 	for _, m := range f.Members {
@@ -195,7 +195,7 @@
 			o := newOperation("turno-12")
 			first := o.send(t, far.Caller)
 			_, ranAt := runsOf(f)
-			cut := memberOf(t, f, ranAt).Relay
+			cut := memberOf(t, f, ranAt).LinkRelay
 			cut.SetMode(mode)
 			got := o.resend(t, far.Caller)
 			if got.status != 502 || got.outcome != "unknown" || got.reason != "key-node-unreachable" || got.after == "" {
@@ -219,7 +219,7 @@
 	f, far := keyedTable(t, c)
 	o := newOperation("turno-14")
 	first := o.send(t, far.Caller)
-	f.Members[0].Relay.SetMode(standin.BlackholeOpen)
+	f.Members[0].LinkRelay.SetMode(standin.BlackholeOpen)
 	if got := o.resend(t, far.Caller); got.replay != "true" || got.body != first.body {
 		t.Errorf("got %v, replay %q; want the first answer", got, got.replay)
 	}
--- a/fleet/return_test.go
+++ b/fleet/return_test.go
@@ -17,7 +17,7 @@
 	d := deployment(3)
 	d.Routes[0].Repeatable = []string{"GET"}
 	d.Services[0].Deadline = 20 * clock.Second // a starved machine is no sick upstream
-	f := start(t, fleet.Config{Table: d, Service: 10})
+	f := start(t, fleet.Config{Table: d, ServiceTime: 10})
 	s := startSteady(4, callers(f))
 	sick := f.Backends["conferme-2"]
 	await(t, sick, ran(30))
--- a/lines/lines.go
+++ b/lines/lines.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// queued bounds the lines that wait for the output: some megabytes, and
+	// queueSize bounds the lines that wait for the output: some megabytes, and
 	// seconds of a busy node's lines while the output is stuck.
-	queued = 4096
+	queueSize = 4096
 	// DefaultRate is how many lines with one message are written in a second. A
 	// node of today's deployments has some ten requests a second; one at the size
 	// to design for has 1,400, and a fault that refuses all of them must not turn
 	// into a load of its own.
 	DefaultRate = 200
-	// reportEvery is how often left out lines are said.
-	reportEvery = 5 * time.Second
+	// reportInterval is how often left out lines are said.
+	reportInterval = 5 * time.Second
 )
 
 // Writer hands lines to an output from a goroutine of its own. Writes never block:
 // a line that finds the queue full is left out. It is safe for concurrent use.
 type Writer struct {
-	out     io.Writer
-	queue   chan []byte
-	done    chan struct{}
-	once    sync.Once
-	dropped atomic.Uint64
+	out       io.Writer
+	queue     chan []byte
+	done      chan struct{}
+	closeOnce sync.Once
+	dropped   atomic.Uint64
 }
 
 // NewWriter starts a writer. Close ends it.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, queue: make(chan []byte, queued), done: make(chan struct{})}
+	w := &Writer{out: out, queue: make(chan []byte, queueSize), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -72,7 +72,7 @@
 // an output that is stuck must not hold up the end of the process. Nothing may be
 // written after it.
 func (w *Writer) Close(within time.Duration) {
-	w.once.Do(func() { close(w.queue) })
+	w.closeOnce.Do(func() { close(w.queue) })
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	select {
@@ -88,7 +88,7 @@
 	rate      int
 	now       func() time.Time
 
-	lost    atomic.Uint64
+	dropped atomic.Uint64
 	mu      sync.Mutex
 	second  int64
 	counts  map[string]int
@@ -121,24 +121,24 @@
 		return true
 	}
 	l.skipped[message]++
-	l.lost.Add(1)
+	l.dropped.Add(1)
 	return false
 }
 
-// Losses counts the lines that a writer and its limiter have left out. One without
+// DropCounts counts the lines that a writer and its limiter have left out. One without
 // them counts none.
-type Losses struct {
+type DropCounts struct {
 	Writer  *Writer
 	Limiter *Limiter
 }
 
-// Lost counts those that found the output busy, and those over the rate.
-func (l Losses) Lost() (busy, rate uint64) {
+// Dropped counts those that found the output busy, and those over the rate.
+func (l DropCounts) Dropped() (busy, rate uint64) {
 	if l.Writer != nil {
 		busy = l.Writer.Dropped()
 	}
 	if l.Limiter != nil {
-		rate = l.Limiter.lost.Load()
+		rate = l.Limiter.dropped.Load()
 	}
 	return busy, rate
 }
@@ -155,7 +155,7 @@
 
 // Report logs what was left out, every few seconds, until done is closed.
 func Report(done <-chan struct{}, log logrus.FieldLogger, w *Writer, l *Limiter) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	said := uint64(0)
 	for {
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -19,8 +19,8 @@
 
 const namespace = "fuchsiapick"
 
-// Book is the account of requests that is counted along.
-type Book interface {
+// Recorder is the account of requests that is counted along.
+type Recorder interface {
 	RequestReceived()
 	RequestFinished(now clock.Millis, r access.Record)
 	RecordEvent(e access.Event)
@@ -30,37 +30,37 @@
 type State interface {
 	States() []access.UpstreamState
 	Version() uint64
-	Busy() int
+	InFlight() int
 }
 
 // Config configures a Set. Book and State are required; what else is left out
 // is not exposed.
 type Config struct {
-	Book      Book
+	Recorder  Recorder
 	State     State
 	Readiness Readiness
 	Platform  Platform
 	Links     Links
 	Gates     Gates
 	Quotas    Quotas
-	Lines     Lines
+	LogDrops  LogDrops
 	// Requests bounds callers' concurrent requests, as the settings have it.
 	Requests int
 }
 
 // Set wraps a Book and counts what passes. It is safe for concurrent use.
 type Set struct {
-	config   Config
-	registry *prometheus.Registry
-	received prometheus.Counter
-	requests *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	took     *prometheus.HistogramVec
-	waited   *prometheus.HistogramVec
-	kept     *prometheus.CounterVec // not sent again
-	events   *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	services *services
+	config      Config
+	registry    *prometheus.Registry
+	received    prometheus.Counter
+	requests    *prometheus.CounterVec
+	attempts    *prometheus.CounterVec
+	requestTime *prometheus.HistogramVec
+	waitTime    *prometheus.HistogramVec
+	notRetried  *prometheus.CounterVec // not sent again
+	events      *prometheus.CounterVec
+	refusals    *prometheus.CounterVec
+	services    *serviceCounters
 }
 
 // New returns a set with its registry.
@@ -80,17 +80,17 @@
 			Namespace: namespace, Name: "attempts_total",
 			Help: "Tries at requests, retries included.",
 		}, []string{"service"}),
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds",
 			Help:    "Time from a request's arrival to the end of its answer.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
 		}, []string{"service", "outcome"}),
-		waited: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		waitTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "wait_seconds",
 			Help:    "Time from a request's arrival until its last try was sent.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
 		}, []string{"service"}),
-		kept: prometheus.NewCounterVec(prometheus.CounterOpts{
+		notRetried: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "not_retried_total",
 			Help: "Requests that failed and were not sent again, by the reason.",
 		}, []string{"service", "reason"}),
@@ -102,13 +102,13 @@
 			Namespace: namespace, Name: "gate_refusals_total",
 			Help: "Dispatches that a gate of this node refused to run.",
 		}, []string{"service", "upstream", "reason"}),
-		services: newServices(),
+		services: newServiceCounters(),
 	}
-	s.registry.MustRegister(s.received, s.requests, s.attempts, s.took, s.waited, s.kept, s.events, s.refusals,
-		&states{source: c.State}, &sources{config: c},
+	s.registry.MustRegister(s.received, s.requests, s.attempts, s.requestTime, s.waitTime, s.notRetried, s.events, s.refusals,
+		&stateCollector{source: c.State}, &nodeCollector{config: c},
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	s.registry.MustRegister(s.services.collectors()...)
-	for _, kind := range kinds {
+	for _, kind := range eventKinds {
 		s.events.WithLabelValues(string(kind))
 	}
 	// A full node refuses before it knows the service.
@@ -116,9 +116,9 @@
 	return s
 }
 
-// kinds of events are counted from 0 on: an alert on the first table that is
+// eventKinds of events are counted from 0 on: an alert on the first table that is
 // rejected needs a series that was there before.
-var kinds = []access.EventKind{
+var eventKinds = []access.EventKind{
 	access.Ejected, access.Trial, access.Ramp, access.Restored, access.ForcedUnderFloor,
 	access.PathLost, access.PathRestored, access.Crashed, access.Quarantined, access.Released, access.Leaving,
 	access.TableAccepted, access.TableRejected, access.TableOlder,
@@ -133,28 +133,28 @@
 // RequestReceived counts a request that reached the entry.
 func (s *Set) RequestReceived() {
 	s.received.Inc()
-	s.config.Book.RequestReceived()
+	s.config.Recorder.RequestReceived()
 }
 
 // RequestFinished counts a request that was answered.
 func (s *Set) RequestFinished(now clock.Millis, r access.Record) {
 	s.requests.WithLabelValues(r.Service, r.Upstream, string(r.Outcome), r.Reason).Inc()
 	s.attempts.WithLabelValues(r.Service).Add(float64(r.Attempts))
-	s.took.WithLabelValues(r.Service, string(r.Outcome)).Observe(r.Took.Seconds())
+	s.requestTime.WithLabelValues(r.Service, string(r.Outcome)).Observe(r.Took.Seconds())
 	if r.Attempts > 0 {
-		s.waited.WithLabelValues(r.Service).Observe(r.Waited.Seconds())
+		s.waitTime.WithLabelValues(r.Service).Observe(r.Waited.Seconds())
 	}
 	if r.NoRetry != "" {
-		s.kept.WithLabelValues(r.Service, r.NoRetry).Inc()
+		s.notRetried.WithLabelValues(r.Service, r.NoRetry).Inc()
 	}
 	s.services.count(&r)
-	s.config.Book.RequestFinished(now, r)
+	s.config.Recorder.RequestFinished(now, r)
 }
 
 // RecordEvent counts an event.
 func (s *Set) RecordEvent(e access.Event) {
 	s.events.WithLabelValues(string(e.Kind)).Inc()
-	s.config.Book.RecordEvent(e)
+	s.config.Recorder.RecordEvent(e)
 }
 
 // RecordRefusal counts a dispatch that a gate beside this node refused to run.
@@ -167,15 +167,15 @@
 func (s *Set) SetServices(services []table.Service) {
 	for i := range services {
 		// An alert on a spent budget needs a series that was there before.
-		s.kept.WithLabelValues(services[i].Name, string(retry.NoBudget))
+		s.notRetried.WithLabelValues(services[i].Name, string(retry.NoBudget))
 	}
 	for _, gone := range s.services.set(services) {
 		labels := prometheus.Labels{"service": gone}
 		s.requests.DeletePartialMatch(labels)
 		s.attempts.DeletePartialMatch(labels)
-		s.took.DeletePartialMatch(labels)
-		s.waited.DeletePartialMatch(labels)
-		s.kept.DeletePartialMatch(labels)
+		s.requestTime.DeletePartialMatch(labels)
+		s.waitTime.DeletePartialMatch(labels)
+		s.notRetried.DeletePartialMatch(labels)
 		s.refusals.DeletePartialMatch(labels)
 	}
 }
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -48,10 +48,10 @@
 	return append(all, metrics.GateState{Service: "conferme", Upstream: "gone", Verdict: health.Ejected, Leaving: true})
 }
 
-func (fake) Reading() metrics.Reading {
-	return metrics.Reading{
-		Answered: metrics.Calls{Count: 7, Bytes: 900, Took: 70}, Failed: metrics.Calls{Count: 2, Bytes: 80, Took: 1400},
-		Heard: 30, Revision: 7, Known: true, Age: 400, Lag: 900, Late: 1,
+func (fake) PlatformStats() metrics.PlatformStats {
+	return metrics.PlatformStats{
+		Answered: metrics.CallStats{Count: 7, Bytes: 900, Took: 70}, Failed: metrics.CallStats{Count: 2, Bytes: 80, Took: 1400},
+		UpdatesReceived: 30, Revision: 7, IsKnown: true, Age: 400, Lag: 900, LateChanges: 1,
 	}
 }
 
@@ -59,23 +59,23 @@
 	return metrics.QuotaCounts{Granted: 9, Refused: 3, Alone: 2, Unknown: 1}
 }
 
-func (fake) Lost() (busy, rate uint64) { return 1, 2 }
+func (fake) Dropped() (busy, rate uint64) { return 1, 2 }
 
 func (fake) Version() uint64          { return 7 }
-func (fake) Busy() int                { return 2 }
+func (fake) InFlight() int            { return 2 }
 func (fake) Ready() bool              { return true }
 func (fake) Links() metrics.LinkCount { return metrics.LinkCount{Peers: 8, Dialled: 5, Accepted: 4} }
 
-var services = []table.Service{{
+var serviceCounters = []table.Service{{
 	Name: "conferme", Objective: table.Objective{Availability: 0.999, Latency: 500, LatencyRatio: 0.99},
 }}
 
 // newSet returns a set with every source.
-func newSet(book metrics.Book) *metrics.Set {
+func newSet(book metrics.Recorder) *metrics.Set {
 	s := metrics.New(metrics.Config{
-		Book: book, State: fake{}, Readiness: fake{}, Platform: fake{}, Links: fake{}, Gates: fake{}, Quotas: fake{}, Lines: fake{}, Requests: 4096,
+		Recorder: book, State: fake{}, Readiness: fake{}, Platform: fake{}, Links: fake{}, Gates: fake{}, Quotas: fake{}, LogDrops: fake{}, Requests: 4096,
 	})
-	s.SetServices(services)
+	s.SetServices(serviceCounters)
 	return s
 }
 
@@ -208,7 +208,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		book := access.New(access.Config{})
 		s := newSet(book)
-		book.SetServices(services)
+		book.SetServices(serviceCounters)
 		for range rapid.IntRange(1, 50).Draw(t, "requests") {
 			s.RequestReceived()
 			s.RequestFinished(clock.Second, access.Record{
--- a/metrics/services.go
+++ b/metrics/services.go
@@ -11,89 +11,89 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// services counts for each service how requests ended, and what its objective
+// serviceCounters counts for each service how requests ended, and what its objective
 // is judged by, as the report's burn does.
 //
 // The counters of a service begin at 0 as soon as the table names it. A series
 // that appeared with its first failure would hide it: the store sees no
 // increase in a series' first value.
-type services struct {
-	outcomes *prometheus.CounterVec
-	requests *prometheus.CounterVec
-	bad      *prometheus.CounterVec
-	promised *prometheus.GaugeVec
-	named    atomic.Pointer[map[string]table.Objective]
+type serviceCounters struct {
+	outcomes          *prometheus.CounterVec
+	objectiveRequests *prometheus.CounterVec
+	objectiveBad      *prometheus.CounterVec
+	objectiveRatio    *prometheus.GaugeVec
+	objectives        atomic.Pointer[map[string]table.Objective]
 }
 
-func newServices() *services {
-	s := &services{
+func newServiceCounters() *serviceCounters {
+	s := &serviceCounters{
 		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "outcomes_total",
 			Help: "Requests answered by this node's entry, by service and outcome alone.",
 		}, []string{"service", "outcome"}),
-		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
+		objectiveRequests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "objective_requests_total",
 			Help: "Requests that a promise of a service's objective is judged by.",
 		}, []string{"service", "promise"}),
-		bad: prometheus.NewCounterVec(prometheus.CounterOpts{
+		objectiveBad: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "objective_bad_total",
 			Help: "Requests that broke a promise of a service's objective.",
 		}, []string{"service", "promise"}),
-		promised: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		objectiveRatio: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "objective_ratio",
 			Help: "Share of requests, from 0 to 1, that a service's objective promises.",
 		}, []string{"service", "promise"}),
 	}
-	s.named.Store(&map[string]table.Objective{})
+	s.objectives.Store(&map[string]table.Objective{})
 	return s
 }
 
-func (s *services) collectors() []prometheus.Collector {
-	return []prometheus.Collector{s.outcomes, s.requests, s.bad, s.promised}
+func (s *serviceCounters) collectors() []prometheus.Collector {
+	return []prometheus.Collector{s.outcomes, s.objectiveRequests, s.objectiveBad, s.objectiveRatio}
 }
 
 // set takes the services of the table in force and returns the names of those
 // that are gone.
-func (s *services) set(all []table.Service) []string {
+func (s *serviceCounters) set(all []table.Service) []string {
 	next := make(map[string]table.Objective, len(all))
 	for i := range all {
 		next[all[i].Name] = all[i].Objective
-		s.begin(all[i].Name, all[i].Objective)
+		s.initSeries(all[i].Name, all[i].Objective)
 	}
 	var gone []string
-	for name := range *s.named.Swap(&next) {
+	for name := range *s.objectives.Swap(&next) {
 		if _, ok := next[name]; !ok {
-			s.forget(name)
+			s.deleteSeries(name)
 			gone = append(gone, name)
 		}
 	}
 	return gone
 }
 
-// begin makes the series of a service unless they are there.
-func (s *services) begin(service string, o table.Objective) {
+// initSeries makes the series of a service unless they are there.
+func (s *serviceCounters) initSeries(service string, o table.Objective) {
 	for _, outcome := range []access.Outcome{access.Served, access.NotRun, access.Unknown} {
 		s.outcomes.WithLabelValues(service, string(outcome))
 	}
 	for promise, ratio := range map[burn.Kind]float64{burn.Availability: o.Availability, burn.Latency: o.LatencyRatio} {
-		s.requests.WithLabelValues(service, string(promise))
-		s.bad.WithLabelValues(service, string(promise))
-		s.promised.WithLabelValues(service, string(promise)).Set(ratio)
+		s.objectiveRequests.WithLabelValues(service, string(promise))
+		s.objectiveBad.WithLabelValues(service, string(promise))
+		s.objectiveRatio.WithLabelValues(service, string(promise)).Set(ratio)
 	}
 }
 
-func (s *services) forget(service string) {
+func (s *serviceCounters) deleteSeries(service string) {
 	labels := prometheus.Labels{"service": service}
 	s.outcomes.DeletePartialMatch(labels)
-	s.requests.DeletePartialMatch(labels)
-	s.bad.DeletePartialMatch(labels)
-	s.promised.DeletePartialMatch(labels)
+	s.objectiveRequests.DeletePartialMatch(labels)
+	s.objectiveBad.DeletePartialMatch(labels)
+	s.objectiveRatio.DeletePartialMatch(labels)
 }
 
 // count counts one request. It must judge as package access does, or alerts
 // and report contradict each other; a test holds the two together.
-func (s *services) count(r *access.Record) {
-	objective, ok := (*s.named.Load())[r.Service]
+func (s *serviceCounters) count(r *access.Record) {
+	objective, ok := (*s.objectives.Load())[r.Service]
 	if !ok {
 		return
 	}
@@ -101,13 +101,13 @@
 	if r.Outcome != access.Served && access.IsCallerFault(r.Reason) {
 		return
 	}
-	s.requests.WithLabelValues(r.Service, string(burn.Availability)).Inc()
+	s.objectiveRequests.WithLabelValues(r.Service, string(burn.Availability)).Inc()
 	if r.Outcome != access.Served || r.Status >= http.StatusInternalServerError {
-		s.bad.WithLabelValues(r.Service, string(burn.Availability)).Inc()
+		s.objectiveBad.WithLabelValues(r.Service, string(burn.Availability)).Inc()
 		return
 	}
-	s.requests.WithLabelValues(r.Service, string(burn.Latency)).Inc()
+	s.objectiveRequests.WithLabelValues(r.Service, string(burn.Latency)).Inc()
 	if objective.Latency > 0 && r.Took > objective.Latency {
-		s.bad.WithLabelValues(r.Service, string(burn.Latency)).Inc()
+		s.objectiveBad.WithLabelValues(r.Service, string(burn.Latency)).Inc()
 	}
 }
--- a/metrics/sources.go
+++ b/metrics/sources.go
@@ -15,41 +15,41 @@
 
 // Platform tells how reading the platform's values goes.
 type Platform interface {
-	Reading() Reading
+	PlatformStats() PlatformStats
 }
 
-// Reading counts the calls to the platform since the node started.
-type Reading struct {
+// PlatformStats counts the calls to the platform since the node started.
+type PlatformStats struct {
 	// Answered and Failed sum up the calls with a whole answer, and those without.
-	Answered, Failed Calls
-	// Heard counts what other nodes told in place of a call.
-	Heard uint64
-	// Wrong counts lists of all values that showed the copy here to be wrong.
-	Wrong uint64
+	Answered, Failed CallStats
+	// UpdatesReceived counts what other nodes told in place of a call.
+	UpdatesReceived uint64
+	// CopyErrors counts lists of all values that showed the copy here to be wrong.
+	CopyErrors uint64
 	// Revision is the platform's at the last change that is known.
 	Revision uint64
 	// Age is how long ago what is known was the platform's, once Known.
-	Known bool
-	Age   clock.Millis
+	IsKnown bool
+	Age     clock.Millis
 	// Lag is for how long the oldest change that a peer knows has not been read; Late
 	// counts when that was longer than an edit may take.
-	Lag  clock.Millis
-	Late uint64
+	Lag         clock.Millis
+	LateChanges uint64
 }
 
-// Calls sums up calls to the platform.
-type Calls struct {
+// CallStats sums up calls to the platform.
+type CallStats struct {
 	Count uint64
 	// Bytes are those that came from it, Took the time of all calls.
 	Bytes uint64
 	Took  clock.Millis
 }
 
-// Lines tells how many log lines were left out.
-type Lines interface {
-	// Lost counts those that found the output busy, and those over the rate of
+// LogDrops tells how many log lines were left out.
+type LogDrops interface {
+	// Dropped counts those that found the output busy, and those over the rate of
 	// their message.
-	Lost() (busy, rate uint64)
+	Dropped() (busy, rate uint64)
 }
 
 // Links tells how many links this node has to and from other nodes.
@@ -102,25 +102,25 @@
 var (
 	readyDesc = prometheus.NewDesc(namespace+"_ready",
 		"1 with a table in force, 0 before that and when leaving.", nil, nil)
-	boundDesc = prometheus.NewDesc(namespace+"_requests_bound",
+	requestsBoundDesc = prometheus.NewDesc(namespace+"_requests_bound",
 		"Concurrent requests of callers that the settings allow.", nil, nil)
-	readDesc = prometheus.NewDesc(namespace+"_platform_calls_total",
+	platformCallsDesc = prometheus.NewDesc(namespace+"_platform_calls_total",
 		"Calls to the platform by what came of them.", []string{"result"}, nil)
-	bytesDesc = prometheus.NewDesc(namespace+"_platform_bytes_total",
+	platformBytesDesc = prometheus.NewDesc(namespace+"_platform_bytes_total",
 		"Bytes that came from the platform, by what became of the call.", []string{"result"}, nil)
-	tookDesc = prometheus.NewDesc(namespace+"_platform_call_seconds_total",
+	platformCallTimeDesc = prometheus.NewDesc(namespace+"_platform_call_seconds_total",
 		"Time that calls to the platform took, by what came of them.", []string{"result"}, nil)
-	lagDesc = prometheus.NewDesc(namespace+"_platform_lag_seconds",
+	platformLagDesc = prometheus.NewDesc(namespace+"_platform_lag_seconds",
 		"For how long the oldest change that another node knows has not been read; 0 without one.", nil, nil)
-	lateDesc = prometheus.NewDesc(namespace+"_platform_late_total",
+	platformLateDesc = prometheus.NewDesc(namespace+"_platform_late_total",
 		"Times when a change that another node knows was not read within the span for an edit.", nil, nil)
-	heardDesc = prometheus.NewDesc(namespace+"_platform_news_total",
+	platformUpdatesDesc = prometheus.NewDesc(namespace+"_platform_news_total",
 		"News of the platform that other nodes told in place of a call.", nil, nil)
-	wrongDesc = prometheus.NewDesc(namespace+"_platform_copy_wrong_total",
+	copyErrorsDesc = prometheus.NewDesc(namespace+"_platform_copy_wrong_total",
 		"Times when the copy of the platform's values was found wrong, and all were listed again.", nil, nil)
-	revisionDesc = prometheus.NewDesc(namespace+"_platform_revision",
+	platformRevisionDesc = prometheus.NewDesc(namespace+"_platform_revision",
 		"The platform's revision at the last change that is known.", nil, nil)
-	ageDesc = prometheus.NewDesc(namespace+"_platform_age_seconds",
+	platformAgeDesc = prometheus.NewDesc(namespace+"_platform_age_seconds",
 		"How long ago what is known was the platform's.", nil, nil)
 	linesDesc = prometheus.NewDesc(namespace+"_log_lines_lost_total",
 		"Log lines left out: the output was busy, or over the rate of their message.", []string{"cause"}, nil)
@@ -130,9 +130,9 @@
 		"Open links by who opened them.", []string{"direction"}, nil)
 	verdictDesc = prometheus.NewDesc(namespace+"_gate_verdict",
 		"1 for the verdict of the gate itself on its upstream, or leaving.", []string{"service", "upstream", "verdict"}, nil)
-	slotsDesc = prometheus.NewDesc(namespace+"_gate_requests",
+	gateRequestsDesc = prometheus.NewDesc(namespace+"_gate_requests",
 		"Requests at a gate that run or wait.", []string{"service", "upstream", "place"}, nil)
-	roomDesc = prometheus.NewDesc(namespace+"_gate_bound",
+	gateBoundDesc = prometheus.NewDesc(namespace+"_gate_bound",
 		"Requests that may run or wait at a gate.", []string{"service", "upstream", "place"}, nil)
 	retriesDesc = prometheus.NewDesc(namespace+"_gate_retries",
 		"Retries that arrived at an upstream in the last window of the service's retry budget.", []string{"service", "upstream"}, nil)
@@ -155,35 +155,35 @@
 	placeQueue = "queue"
 )
 
-// sources reads the node's parts at each scrape. A part that isn't given is
+// nodeCollector reads the node's parts at each scrape. A part that isn't given is
 // not exposed.
-type sources struct {
+type nodeCollector struct {
 	config Config
 }
 
 // Describe sends the descriptions.
-func (*sources) Describe(out chan<- *prometheus.Desc) {
+func (*nodeCollector) Describe(out chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		readyDesc, boundDesc, readDesc, bytesDesc, tookDesc, lagDesc, lateDesc, heardDesc, wrongDesc, revisionDesc, ageDesc, linesDesc, peersDesc, linksDesc, verdictDesc, slotsDesc, roomDesc, retriesDesc, retryBoundDesc, quotaDesc,
+		readyDesc, requestsBoundDesc, platformCallsDesc, platformBytesDesc, platformCallTimeDesc, platformLagDesc, platformLateDesc, platformUpdatesDesc, copyErrorsDesc, platformRevisionDesc, platformAgeDesc, linesDesc, peersDesc, linksDesc, verdictDesc, gateRequestsDesc, gateBoundDesc, retriesDesc, retryBoundDesc, quotaDesc,
 	} {
 		out <- d
 	}
 }
 
 // Collect sends what the parts say now.
-func (s *sources) Collect(out chan<- prometheus.Metric) {
+func (s *nodeCollector) Collect(out chan<- prometheus.Metric) {
 	c := s.config
 	if c.Readiness != nil {
 		out <- gauge(readyDesc, boolean(c.Readiness.Ready()))
 	}
 	if c.Requests > 0 {
-		out <- gauge(boundDesc, float64(c.Requests))
+		out <- gauge(requestsBoundDesc, float64(c.Requests))
 	}
 	if c.Platform != nil {
-		collectReading(out, c.Platform.Reading())
+		collectPlatform(out, c.Platform.PlatformStats())
 	}
-	if c.Lines != nil {
-		busy, rate := c.Lines.Lost()
+	if c.LogDrops != nil {
+		busy, rate := c.LogDrops.Dropped()
 		out <- counter(linesDesc, busy, "busy")
 		out <- counter(linesDesc, rate, "rate")
 	}
@@ -203,23 +203,23 @@
 	}
 }
 
-func collectReading(out chan<- prometheus.Metric, r Reading) {
+func collectPlatform(out chan<- prometheus.Metric, r PlatformStats) {
 	collectCalls(out, r.Answered, resultAnswered)
 	collectCalls(out, r.Failed, resultError)
-	out <- gauge(lagDesc, r.Lag.Seconds())
-	out <- counter(lateDesc, r.Late)
-	out <- counter(heardDesc, r.Heard)
-	out <- counter(wrongDesc, r.Wrong)
-	out <- gauge(revisionDesc, float64(r.Revision))
-	if r.Known {
-		out <- gauge(ageDesc, r.Age.Seconds())
+	out <- gauge(platformLagDesc, r.Lag.Seconds())
+	out <- counter(platformLateDesc, r.LateChanges)
+	out <- counter(platformUpdatesDesc, r.UpdatesReceived)
+	out <- counter(copyErrorsDesc, r.CopyErrors)
+	out <- gauge(platformRevisionDesc, float64(r.Revision))
+	if r.IsKnown {
+		out <- gauge(platformAgeDesc, r.Age.Seconds())
 	}
 }
 
-func collectCalls(out chan<- prometheus.Metric, c Calls, result string) {
-	out <- counter(readDesc, c.Count, result)
-	out <- counter(bytesDesc, c.Bytes, result)
-	out <- prometheus.MustNewConstMetric(tookDesc, prometheus.CounterValue, c.Took.Seconds(), result)
+func collectCalls(out chan<- prometheus.Metric, c CallStats, result string) {
+	out <- counter(platformCallsDesc, c.Count, result)
+	out <- counter(platformBytesDesc, c.Bytes, result)
+	out <- prometheus.MustNewConstMetric(platformCallTimeDesc, prometheus.CounterValue, c.Took.Seconds(), result)
 }
 
 func collectQuotas(out chan<- prometheus.Metric, q QuotaCounts) {
@@ -231,10 +231,10 @@
 
 func collectGate(out chan<- prometheus.Metric, g *GateState) {
 	out <- gauge(verdictDesc, 1, g.Service, g.Upstream, g.verdict())
-	out <- gauge(slotsDesc, float64(g.Running), g.Service, g.Upstream, placeSlot)
-	out <- gauge(slotsDesc, float64(g.Waiting), g.Service, g.Upstream, placeQueue)
-	out <- gauge(roomDesc, float64(g.Slots), g.Service, g.Upstream, placeSlot)
-	out <- gauge(roomDesc, float64(g.Queue), g.Service, g.Upstream, placeQueue)
+	out <- gauge(gateRequestsDesc, float64(g.Running), g.Service, g.Upstream, placeSlot)
+	out <- gauge(gateRequestsDesc, float64(g.Waiting), g.Service, g.Upstream, placeQueue)
+	out <- gauge(gateBoundDesc, float64(g.Slots), g.Service, g.Upstream, placeSlot)
+	out <- gauge(gateBoundDesc, float64(g.Queue), g.Service, g.Upstream, placeQueue)
 	out <- gauge(retriesDesc, g.Retries, g.Service, g.Upstream)
 	out <- gauge(retryBoundDesc, g.RetryBound, g.Service, g.Upstream)
 }
--- a/metrics/states.go
+++ b/metrics/states.go
@@ -7,29 +7,29 @@
 		"1 for the state that this node sees an upstream in.", []string{"service", "upstream", "state"}, nil)
 	severityDesc = prometheus.NewDesc(namespace+"_upstream_severity",
 		"How bad the gate's verdict on an upstream is; 0 is good.", []string{"service", "upstream"}, nil)
-	versionDesc = prometheus.NewDesc(namespace+"_table_version", "Version of the table in force.", nil, nil)
-	busyDesc    = prometheus.NewDesc(namespace+"_in_flight", "Requests in flight, as entry and as gate.", nil, nil)
+	versionDesc  = prometheus.NewDesc(namespace+"_table_version", "Version of the table in force.", nil, nil)
+	inFlightDesc = prometheus.NewDesc(namespace+"_in_flight", "Requests in flight, as entry and as gate.", nil, nil)
 )
 
-// states reads gauges from the node at each scrape, so that upstreams which
+// stateCollector reads gauges from the node at each scrape, so that upstreams which
 // the table no longer names vanish.
-type states struct {
+type stateCollector struct {
 	source State
 }
 
 // Describe sends the descriptions.
-func (*states) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{stateDesc, severityDesc, versionDesc, busyDesc} {
+func (*stateCollector) Describe(out chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{stateDesc, severityDesc, versionDesc, inFlightDesc} {
 		out <- d
 	}
 }
 
 // Collect sends the gauges.
-func (s *states) Collect(out chan<- prometheus.Metric) {
+func (s *stateCollector) Collect(out chan<- prometheus.Metric) {
 	for _, u := range s.source.States() {
 		out <- prometheus.MustNewConstMetric(stateDesc, prometheus.GaugeValue, 1, u.Service, u.Name, u.State)
 		out <- prometheus.MustNewConstMetric(severityDesc, prometheus.GaugeValue, u.Severity, u.Service, u.Name)
 	}
 	out <- prometheus.MustNewConstMetric(versionDesc, prometheus.GaugeValue, float64(s.source.Version()))
-	out <- prometheus.MustNewConstMetric(busyDesc, prometheus.GaugeValue, float64(s.source.Busy()))
+	out <- prometheus.MustNewConstMetric(inFlightDesc, prometheus.GaugeValue, float64(s.source.InFlight()))
 }
--- a/node/crashes.go
+++ b/node/crashes.go
@@ -10,13 +10,13 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// crashes is what this node knows of requests that crash backend servers. It is safe for
+// crashTracker is what this node knows of requests that crash backend servers. It is safe for
 // concurrent use. Its lock is taken under those of gates and of the node, and none of these is
 // taken under it.
-type crashes struct {
+type crashTracker struct {
 	now func() clock.Millis
-	// tell tells entries of other nodes at once.
-	tell func(c *wire.CrashReport)
+	// announce tells entries of other nodes at once.
+	announce func(c *wire.CrashReport)
 	// isEmpty and digest are the register's, for readers that can't wait.
 	isEmpty atomic.Bool
 	digest  atomic.Uint64
@@ -25,56 +25,56 @@
 
 	mu       sync.Mutex
 	register *quarantine.Registry
-	// told is up to where others were told, and untold what the readers are still to hear.
-	told   uint64
-	untold []quarantine.Crash
+	// announcedRevision is up to where others were told, and untold what the readers are still to hear.
+	announcedRevision uint64
+	pending           []quarantine.Crash
 }
 
-func newCrashes(now func() clock.Millis, tell func(c *wire.CrashReport)) *crashes {
-	c := &crashes{now: now, tell: tell, register: quarantine.NewRegistry(), changed: make(chan struct{}, 1)}
+func newCrashes(now func() clock.Millis, tell func(c *wire.CrashReport)) *crashTracker {
+	c := &crashTracker{now: now, announce: tell, register: quarantine.NewRegistry(), changed: make(chan struct{}, 1)}
 	c.isEmpty.Store(true)
 	return c
 }
 
 // IsEmpty reports whether nothing is suspected.
-func (c *crashes) IsEmpty() bool {
+func (c *crashTracker) IsEmpty() bool {
 	return c.isEmpty.Load()
 }
 
 // MayMatch reports whether a request with the hint may be a suspect.
-func (c *crashes) MayMatch(hint uint64) bool {
+func (c *crashTracker) MayMatch(hint uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.register.MayMatch(hint)
 }
 
 // Status says how a request may be sent.
-func (c *crashes) Status(f quarantine.Fingerprint) quarantine.Status {
+func (c *crashTracker) Status(f quarantine.Fingerprint) quarantine.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.register.Status(c.now(), f)
 }
 
 // RecordCrash takes in the end of a backend server beside this node.
-func (c *crashes) RecordCrash(e quarantine.Crash) {
+func (c *crashTracker) RecordCrash(e quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if isNews, _ := c.register.Merge(c.now(), []quarantine.Crash{e}); isNews {
-		c.share(true)
+		c.publish(true)
 	}
 }
 
 // RecordInconclusive takes in a trial beside this node that showed nothing.
-func (c *crashes) RecordInconclusive(e quarantine.Crash) {
+func (c *crashTracker) RecordInconclusive(e quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.register.AddInconclusive(c.now(), e) {
-		c.share(true)
+		c.publish(true)
 	}
 }
 
 // RecordSuccess takes in that a run beside this node came to its end and didn't fail.
-func (c *crashes) RecordSuccess(d *wire.Dispatch) {
+func (c *crashTracker) RecordSuccess(d *wire.Dispatch) {
 	if c.IsEmpty() {
 		return
 	}
@@ -86,37 +86,37 @@
 }
 
 // Clear takes in that a request succeeded.
-func (c *crashes) Clear(f quarantine.Fingerprint) {
+func (c *crashTracker) Clear(f quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.register.Clear(c.now(), f) {
-		c.share(true)
+		c.publish(true)
 	}
 }
 
 // merge takes in what a peer tells and returns what that peer lacks. A node that others
 // keep links to passes on what is new.
-func (c *crashes) merge(told *wire.CrashReport, passesOn bool) (behind []quarantine.Crash) {
+func (c *crashTracker) merge(told *wire.CrashReport, passesOn bool) (behind []quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	isNews, behind := c.register.Merge(c.now(), told.ToQuarantine(c.now()))
 	if isNews {
-		c.share(passesOn)
+		c.publish(passesOn)
 	}
 	return behind
 }
 
-// share brings what is read without the lock up to date, tells entries with a link what has
+// publish brings what is read without the lock up to date, tells entries with a link what has
 // changed if that is wanted, and wakes the loop. The lock is held.
-func (c *crashes) share(tells bool) {
+func (c *crashTracker) publish(tells bool) {
 	c.isEmpty.Store(c.register.IsEmpty())
 	c.digest.Store(c.register.Digest())
-	ends, told := c.register.ChangedSince(c.told)
-	c.told = told
+	ends, told := c.register.ChangedSince(c.announcedRevision)
+	c.announcedRevision = told
 	if tells && len(ends) > 0 {
-		c.untold = append(c.untold, ends...)
+		c.pending = append(c.pending, ends...)
 		for _, frame := range wire.NewCrashReports(c.now(), ends) {
-			c.tell(frame)
+			c.announce(frame)
 		}
 	}
 	select {
@@ -125,17 +125,17 @@
 	}
 }
 
-// takeUntold returns what the readers are still to hear.
-func (c *crashes) takeUntold() []quarantine.Crash {
+// takePending returns what the readers are still to hear.
+func (c *crashTracker) takePending() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends := c.untold
-	c.untold = nil
+	ends := c.pending
+	c.pending = nil
 	return ends
 }
 
 // all returns everything that is to be known elsewhere, with the digest of it.
-func (c *crashes) all() []quarantine.Crash {
+func (c *crashTracker) all() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ends, _ := c.register.ChangedSince(0)
@@ -143,22 +143,22 @@
 }
 
 // cases returns the requests that are suspected or quarantined.
-func (c *crashes) cases() []quarantine.Case {
+func (c *crashTracker) cases() []quarantine.Case {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.register.Cases()
 }
 
 // expire forgets what is too old.
-func (c *crashes) expire() {
+func (c *crashTracker) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.register.Expire(c.now())
-	c.share(false)
+	c.publish(false)
 }
 
 // lift frees the requests that a table names.
-func (c *crashes) lift(t *table.Table) {
+func (c *crashTracker) lift(t *table.Table) {
 	var all []quarantine.Fingerprint
 	for i := range t.Services {
 		for _, text := range t.Services[i].LiftedFingerprints {
@@ -170,14 +170,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.register.Lift(all)
-	c.share(false)
+	c.publish(false)
 }
 
-// byDispatch is what gates ask.
-type byDispatch struct{ *crashes }
+// gateCrashes is what gates ask.
+type gateCrashes struct{ *crashTracker }
 
 // Status says how a dispatch's request may be sent.
-func (b byDispatch) Status(d *wire.Dispatch) quarantine.Status {
+func (b gateCrashes) Status(d *wire.Dispatch) quarantine.Status {
 	if b.IsEmpty() {
 		return quarantine.Status{}
 	}
@@ -185,5 +185,5 @@
 	if d.Verdict == uint8(quarantine.Free) && !b.MayMatch(subject.Hint()) {
 		return quarantine.Status{}
 	}
-	return b.crashes.Status(subject.Fingerprint())
+	return b.crashTracker.Status(subject.Fingerprint())
 }
--- a/node/edition.go
+++ b/node/edition.go
@@ -23,13 +23,13 @@
 func (n *Node) version() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fence.Current().Version
+	return n.versionGuard.Current().Version
 }
 
-// offer checks a table's text whole and puts it in force if the fence accepts
+// offerTable checks a table's text whole and puts it in force if the fence accepts
 // it. Only a checked table reaches the fence: a version number alone, in a bad
 // frame, could otherwise freeze the configuration for good.
-func (n *Node) offer(text []byte, source edition.Source) {
+func (n *Node) offerTable(text []byte, source edition.Source) {
 	log := n.log.WithField("source", string(source))
 	t, err := table.Parse(text)
 	if err != nil {
@@ -40,21 +40,21 @@
 	version := t.Version
 	log = log.WithField("version", version)
 	n.mu.Lock()
-	verdict := n.fence.Propose(edition.Candidate{Version: version, Digest: table.Digest(text), Source: source})
-	rival, contested := n.fence.Conflicting()
+	verdict := n.versionGuard.Propose(edition.Candidate{Version: version, Digest: table.Digest(text), Source: source})
+	rival, contested := n.versionGuard.Conflicting()
 	var changes []table.Change
 	if verdict == edition.Accept {
 		changes = table.Diff(n.table, t)
-		n.table, n.text = t, text
+		n.table, n.tableText = t, text
 		n.apply(t)
 	}
 	n.mu.Unlock()
 	if verdict == edition.Accept {
 		n.links.BroadcastHeartbeat() // a weight given back must not wait for a heartbeat
 	}
-	n.noteEdition(log, version, verdict, changes)
+	n.recordTableOutcome(log, version, verdict, changes)
 	if contested && verdict != edition.Same {
-		n.noteRival(log, version, rival)
+		n.recordVersionConflict(log, version, rival)
 	}
 }
 
@@ -67,10 +67,10 @@
 	n.mu.Unlock()
 	n.links.BroadcastHeartbeat() // what is leaving here must not wait for a heartbeat
 	log := n.log.WithFields(logrus.Fields{"version": t.Version, "source": "store"})
-	n.noteEdition(log, t.Version, edition.Accept, changes)
+	n.recordTableOutcome(log, t.Version, edition.Accept, changes)
 }
 
-func (n *Node) noteEdition(log logrus.FieldLogger, version uint64, verdict edition.Decision, changes []table.Change) {
+func (n *Node) recordTableOutcome(log logrus.FieldLogger, version uint64, verdict edition.Decision, changes []table.Change) {
 	e := access.Event{At: n.clock.Now(), Reason: "version " + formatVersion(version)}
 	switch verdict {
 	case edition.Accept:
@@ -87,9 +87,9 @@
 	n.metrics.RecordEvent(e)
 }
 
-// noteRival says that two texts were published under one version: the edit in
+// recordVersionConflict says that two texts were published under one version: the edit in
 // one of them is not in force, and its author may not know.
-func (n *Node) noteRival(log logrus.FieldLogger, version uint64, rival edition.Candidate) {
+func (n *Node) recordVersionConflict(log logrus.FieldLogger, version uint64, rival edition.Candidate) {
 	log.WithField("digest", rival.Digest).Warn("two tables have this version; this one is not in force; publish one above it")
 	n.metrics.RecordEvent(access.Event{
 		At:     n.clock.Now(),
@@ -98,13 +98,13 @@
 	})
 }
 
-// changesLogged bounds the lines for one edition: a first table or a large
+// maxLoggedChanges bounds the lines for one edition: a first table or a large
 // edit would fill the log.
-const changesLogged = 50
+const maxLoggedChanges = 50
 
 func logChanges(log logrus.FieldLogger, changes []table.Change) {
 	for i, c := range changes {
-		if i == changesLogged {
+		if i == maxLoggedChanges {
 			log.WithField("changes", len(changes)-i).Info("more changes, not listed")
 			return
 		}
@@ -116,7 +116,7 @@
 func (n *Node) apply(t *table.Table) {
 	n.applyGates(t)
 	for _, g := range n.gates {
-		g.SetListedLeaving(n.listed[n.address()])
+		g.SetListedLeaving(n.listedLeaving[n.address()])
 	}
 	n.applyPeers(t)
 	n.quotas.update(t)
@@ -124,14 +124,14 @@
 	n.crashes.lift(t)
 	n.book.SetServices(t.Services)
 	n.metrics.SetServices(t.Services)
-	for node, leaving := range n.listed {
+	for node, leaving := range n.listedLeaving {
 		n.entry.UpdateInstance(node, leaving)
 	}
 }
 
-// instances takes in the platform's list, which lags: it can say that a node
+// updateInstances takes in the platform's list, which lags: it can say that a node
 // is leaving, but a node that says so itself is leaving whatever the list says.
-func (n *Node) instances(body []byte) {
+func (n *Node) updateInstances(body []byte) {
 	list, err := table.ParseInstances(body)
 	if err != nil {
 		n.log.WithError(err).Error("instance list rejected")
@@ -142,24 +142,24 @@
 		listed[i.Node] = i.State == table.Leaving
 	}
 	n.mu.Lock()
-	for node := range n.listed {
+	for node := range n.listedLeaving {
 		if _, ok := listed[node]; !ok {
 			n.entry.UpdateInstance(node, false)
 		}
 	}
-	n.listed = listed
+	n.listedLeaving = listed
 	for node, leaving := range listed {
 		n.entry.UpdateInstance(node, leaving)
 	}
 	n.mu.Unlock()
-	n.listGates()
+	n.announceListedState()
 }
 
-// listGates passes on what the instance list says of this node, and tells the
+// announceListedState passes on what the instance list says of this node, and tells the
 // peers at once.
-func (n *Node) listGates() {
+func (n *Node) announceListedState() {
 	n.mu.Lock()
-	self := n.listed[n.address()]
+	self := n.listedLeaving[n.address()]
 	n.mu.Unlock()
 	for _, g := range n.allGates() {
 		g.SetListedLeaving(self)
@@ -172,33 +172,33 @@
 func (n *Node) RequestTable(a *wire.TableRequest) (*wire.TableVersion, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	current := n.fence.Current()
+	current := n.versionGuard.Current()
 	if !current.Supersedes(edition.Candidate{Version: a.Version, Digest: a.Digest}) {
 		return nil, false
 	}
-	return &wire.TableVersion{Version: current.Version, Text: n.text}, true
+	return &wire.TableVersion{Version: current.Version, Text: n.tableText}, true
 }
 
-// holds reports whether an edition is the one in force: several peers may send
+// isCurrent reports whether an edition is the one in force: several peers may send
 // the same, and checking a large table takes tens of milliseconds.
-func (n *Node) holds(e *wire.TableVersion) bool {
+func (n *Node) isCurrent(e *wire.TableVersion) bool {
 	digest := table.Digest(e.Text)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	current := n.fence.Current()
+	current := n.versionGuard.Current()
 	return e.Version == current.Version && digest == current.Digest
 }
 
 // ReceiveTable takes in a table that a peer relays; it passes the same check as one
 // from the platform.
 func (n *Node) ReceiveTable(node string, e *wire.TableVersion) {
-	if n.tables != nil {
-		n.takeOver(node, e)
+	if n.tableBuilder != nil {
+		n.seedFromPeer(node, e)
 		return
 	}
-	if e.Version < n.version() || n.holds(e) {
+	if e.Version < n.version() || n.isCurrent(e) {
 		return
 	}
 	n.log.WithField("peer", node).Debug("table relayed")
-	n.offer(e.Text, fromPeer)
+	n.offerTable(e.Text, fromPeer)
 }
--- a/node/gates.go
+++ b/node/gates.go
@@ -34,13 +34,13 @@
 			n.retireGate(name)
 		}
 	}
-	n.forgetRetired()
+	n.closeRetiredGates()
 }
 
-// retiredFor is how long a gate that was removed is asked what became of its
+// retiredGateTTL is how long a gate that was removed is asked what became of its
 // dispatches: longer than the longest deadline of today's routes, 15 s, and the
 // memory of a fence.
-const retiredFor = clock.Minute
+const retiredGateTTL = clock.Minute
 
 // retireGate removes a gate, which finishes what it has begun. It is asked on: its upstream
 // may come back under its name, after its registration lapsed or as another process,
@@ -49,17 +49,17 @@
 	g := n.gates[name]
 	g.Leave()
 	delete(n.gates, name)
-	n.retired[name] = retired{gate: g, at: n.clock.Now()}
+	n.retired[name] = retiredGate{gate: g, at: n.clock.Now()}
 }
 
-// retired is a gate that was removed.
-type retired struct {
+// retiredGate is a gate that was removed.
+type retiredGate struct {
 	gate *gate.Gate
 	at   clock.Millis
 }
 
-func (n *Node) forgetRetired() {
-	before := n.clock.Now() - retiredFor
+func (n *Node) closeRetiredGates() {
+	before := n.clock.Now() - retiredGateTTL
 	for name, r := range n.retired {
 		if r.at < before && r.gate.Pending() == 0 {
 			delete(n.retired, name)
@@ -96,12 +96,12 @@
 		Pool:             n.gatePool,
 		Journal:          n.metrics,
 		Refusals:         n.metrics,
-		OnChange:         n.changed,
+		OnChange:         n.requestHeartbeat,
 		DependencyFailed: n.entry.FailedWithin,
-		RequestWork:      n.invite,
-		OnHung:           n.stalled,
+		RequestWork:      n.requestWork,
+		OnHung:           n.notifyHung,
 		Keys:             n.keys,
-		Crashes:          byDispatch{n.crashes},
+		Crashes:          gateCrashes{n.crashes},
 		Log:              n.log,
 	})
 	if n.leaving {
@@ -116,8 +116,8 @@
 	return g, ok
 }
 
-// asked is the gate that knows what became of an upstream's dispatches.
-func (n *Node) asked(upstream string) (*gate.Gate, bool) {
+// gateOrRetired is the gate that knows what became of an upstream's dispatches.
+func (n *Node) gateOrRetired(upstream string) (*gate.Gate, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if g, ok := n.gates[upstream]; ok {
@@ -147,7 +147,7 @@
 			Outcome:  wire.NotRun,
 			Reason:   wire.ReasonNoUpstream,
 			Time:     n.clock.Now(),
-			Upstream: n.stranger(d.Upstream),
+			Upstream: n.unknownUpstream(d.Upstream),
 		})
 		return
 	}
@@ -155,35 +155,35 @@
 }
 
 const (
-	// strangerSpan is how long an entry leaves an upstream alone that its node doesn't
+	// unknownUpstreamDelay is how long an entry leaves an upstream alone that its node doesn't
 	// know: about as long as the news of a change take. Left alone for good, one that
 	// its node learns of a moment later would get no request while the entry lives.
-	strangerSpan = 2 * clock.Second
-	// suspectAfter is for how long an upstream is asked for before its node doubts its
+	unknownUpstreamDelay = 2 * clock.Second
+	// staleTableDelay is for how long an upstream is asked for before its node doubts its
 	// own table: entries ask for one that has left until they hear of it, within 2 s.
-	suspectAfter = 2 * strangerSpan
+	staleTableDelay = 2 * unknownUpstreamDelay
 )
 
-// stranger is what entries are told of an upstream that they ask for and this node
+// unknownUpstream is what entries are told of an upstream that they ask for and this node
 // doesn't know. It has left, is not known here yet, or never will be.
-func (n *Node) stranger(upstream string) wire.Upstream {
+func (n *Node) unknownUpstream(upstream string) wire.Upstream {
 	now := n.clock.Now()
 	n.mu.Lock()
-	first, ok := n.strangers[upstream]
-	if !ok || now-first > retiredFor {
+	first, ok := n.unknownUpstreams[upstream]
+	if !ok || now-first > retiredGateTTL {
 		first = now
-		n.strangers[upstream] = now
+		n.unknownUpstreams[upstream] = now
 	}
-	maps.DeleteFunc(n.strangers, func(_ string, at clock.Millis) bool { return now-at > retiredFor })
+	maps.DeleteFunc(n.unknownUpstreams, func(_ string, at clock.Millis) bool { return now-at > retiredGateTTL })
 	n.mu.Unlock()
-	if now-first >= suspectAfter && n.follower != nil {
+	if now-first >= staleTableDelay && n.follower != nil {
 		n.follower.Suspect()
 	}
-	return wire.Upstream{Name: upstream, State: uint8(health.Ejected), Severity: 1, Until: strangerSpan}
+	return wire.Upstream{Name: upstream, State: uint8(health.Ejected), Severity: 1, Until: unknownUpstreamDelay}
 }
 
-// invite asks an entry for a request to an upstream beside this node.
-func (n *Node) invite(entry uint64, i *wire.WorkRequest) bool {
+// requestWork asks an entry for a request to an upstream beside this node.
+func (n *Node) requestWork(entry uint64, i *wire.WorkRequest) bool {
 	if entry == n.incarnation {
 		n.entry.HandleWorkRequest(i)
 		return true
@@ -191,11 +191,11 @@
 	return n.links.SendWorkRequest(entry, i)
 }
 
-// stalled tells an entry of a run that most likely comes to no end. One that doesn't hear it
+// notifyHung tells an entry of a run that most likely comes to no end. One that doesn't hear it
 // waits on.
-func (n *Node) stalled(entry uint64, s *wire.HungRun) {
+func (n *Node) notifyHung(entry uint64, s *wire.HungRun) {
 	if entry == n.incarnation {
-		n.stalls.tell(s)
+		n.localWaiters.notifyHung(s)
 		return
 	}
 	n.links.SendHungRun(entry, s)
@@ -208,15 +208,15 @@
 
 // ProbeCapacity answers another node's entry that looks for a slot.
 func (n *Node) ProbeCapacity(from uint64, e *wire.CapacityProbe) {
-	n.enquire(e, func(h *wire.Reservation) { n.links.SendReservation(from, h) })
+	n.probeCapacity(e, func(h *wire.Reservation) { n.links.SendReservation(from, h) })
 }
 
-func (n *Node) enquire(e *wire.CapacityProbe, answer func(*wire.Reservation)) {
+func (n *Node) probeCapacity(e *wire.CapacityProbe, answer func(*wire.Reservation)) {
 	g, ok := n.gate(e.Upstream)
 	if !ok {
 		answer(&wire.Reservation{
 			ID: e.ID, Attempt: e.Attempt, Reason: wire.ReasonNoUpstream, Time: n.clock.Now(),
-			Upstream: n.stranger(e.Upstream),
+			Upstream: n.unknownUpstream(e.Upstream),
 		})
 		return
 	}
@@ -232,7 +232,7 @@
 
 // Resolve answers another node's entry about one of its dispatches.
 func (n *Node) Resolve(from uint64, s *wire.Resolve) {
-	g, ok := n.asked(s.Upstream)
+	g, ok := n.gateOrRetired(s.Upstream)
 	if !ok {
 		n.links.SendResolution(from, &wire.Resolution{ID: s.ID, Attempt: s.Attempt, Unknown: true, Time: n.clock.Now()})
 		return
@@ -248,7 +248,7 @@
 // target returns the way to the node beside an upstream.
 func (n *Node) target(u table.Upstream) entry.GateClient {
 	if u.Node == n.address() {
-		return local{n}
+		return localTarget{n}
 	}
 	return n.peers[u.Node].link
 }
--- a/node/leave.go
+++ b/node/leave.go
@@ -12,8 +12,8 @@
 	"fuchsiapick.example/fuchsiapick/access"
 )
 
-// drainCheck is how often a leaving node looks whether it has finished.
-const drainCheck = 20 * time.Millisecond
+// drainPollInterval is how often a leaving node looks whether it has finished.
+const drainPollInterval = 20 * time.Millisecond
 
 // Leave begins a graceful shutdown: gates take no new work from now on, and
 // Run returns when all requests in flight are finished or the grace is over. A
@@ -35,15 +35,15 @@
 	n.links.BroadcastHeartbeat()
 }
 
-// callersMost bounds how long a leaving node still takes callers' requests, its
+// callerDrainTimeout bounds how long a leaving node still takes callers' requests, its
 // linger included, beside half of the grace: what comes later could not be
 // finished within it. The instance list lags, and a caller that follows it needs
 // some seconds.
-const callersMost = 5 * clock.Second
+const callerDrainTimeout = 5 * clock.Second
 
-// endMargin is taken from the grace for the process's own end: what is left of it
+// shutdownMargin is taken from the grace for the process's own end: what is left of it
 // after the grace is killed, connections that were just answered included.
-const endMargin = 300 * clock.Millis(1)
+const shutdownMargin = 300 * clock.Millis(1)
 
 // drain finishes what is in flight. Gates refuse new work at once, and entries
 // send it elsewhere. Callers are served, over other nodes, until none has come
@@ -53,20 +53,20 @@
 	left := n.clock.Now()
 	n.leaveGates()
 	n.log.WithField("grace", n.settings.Grace.String()).Info("leaving")
-	ctx, cancel := context.WithTimeout(ctx, (n.settings.Grace - min(n.settings.Grace/10, endMargin)).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (n.settings.Grace - min(n.settings.Grace/10, shutdownMargin)).Duration())
 	defer cancel()
 	n.linger(ctx)
-	callers, stop := context.WithTimeout(ctx, (min(callersMost, n.settings.Grace/2) - n.settings.Linger).Duration())
+	callers, stop := context.WithTimeout(ctx, (min(callerDrainTimeout, n.settings.Grace/2) - n.settings.Linger).Duration())
 	defer stop()
-	_ = n.quiet(callers, n.entry.InFlight) // callers that go on coming don't hold the node
-	if err := n.callers.ShutdownWithContext(ctx); err != nil {
+	_ = n.awaitIdle(callers, n.entry.InFlight) // callers that go on coming don't hold the node
+	if err := n.callerServer.ShutdownWithContext(ctx); err != nil {
 		n.log.WithError(err).Warn("callers' connections are cut")
 	}
 	if err := n.awaitPeers(ctx, left); err != nil {
 		n.log.Warn("grace is over; a peer has not heard that the node leaves")
 	}
-	if err := n.quiet(ctx, n.Busy); err != nil {
-		n.log.WithFields(logrus.Fields{"requests": n.Busy()}).Warn("grace is over; requests are cut")
+	if err := n.awaitIdle(ctx, n.InFlight); err != nil {
+		n.log.WithFields(logrus.Fields{"requests": n.InFlight()}).Warn("grace is over; requests are cut")
 	}
 }
 
@@ -88,7 +88,7 @@
 // A request that an entry sent before, over a link that is slow at that moment,
 // would else meet a closed one, and its caller hear that its outcome is unknown.
 func (n *Node) awaitPeers(ctx context.Context, left clock.Millis) error {
-	ticker := time.NewTicker(drainCheck)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for !n.links.HeartbeatEchoed(left) {
 		select {
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// quiet waits until nothing has been in flight for settleDown.
-func (n *Node) quiet(ctx context.Context, busy func() int) error {
+// awaitIdle waits until nothing has been in flight for settleDown.
+func (n *Node) awaitIdle(ctx context.Context, busy func() int) error {
 	since := n.clock.Now()
-	ticker := time.NewTicker(drainCheck)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		now := n.clock.Now()
 		if busy() > 0 {
 			since = now
 		}
-		if now-since > settleDown {
+		if now-since > idleWindow {
 			return nil
 		}
 		select {
@@ -121,12 +121,12 @@
 	}
 }
 
-// settleDown is how long nothing must be in flight: peers hear within it that
+// idleWindow is how long nothing must be in flight: peers hear within it that
 // the node leaves, before its links close.
-const settleDown = clock.Millis(300)
+const idleWindow = clock.Millis(300)
 
-// Busy counts the requests in flight, as entry and as gate.
-func (n *Node) Busy() int {
+// InFlight counts the requests in flight, as entry and as gate.
+func (n *Node) InFlight() int {
 	busy := n.entry.InFlight()
 	for _, g := range n.allGates() {
 		busy += g.Pending()
--- a/node/node.go
+++ b/node/node.go
@@ -33,8 +33,8 @@
 	// gateWorkers bounds the requests that all gates of a node run at once:
 	// 83 upstreams of 7 slots at the size to design for, and as many waiting.
 	gateWorkers = 2048
-	eventsKept  = 2000
-	callersKept = 1000
+	maxEvents   = 2000
+	maxCallers  = 1000
 )
 
 // Config configures a Node.
@@ -49,11 +49,11 @@
 	KeyMargin clock.Millis
 	// Store is the platform's; nil without a platform.
 	Store mirror.Store
-	// Tables makes the tables where the platform publishes in a form of its own;
+	// TableBuilder makes the tables where the platform publishes in a form of its own;
 	// nil where it holds those of this project.
-	Tables Tables
-	// Lines tells of log lines that were left out; it may be nil.
-	Lines metrics.Lines
+	TableBuilder TableBuilder
+	// LogDrops tells of log lines that were left out; it may be nil.
+	LogDrops metrics.LogDrops
 	// CallerHeaders and UpstreamHeaders are the names that the platform gives
 	// to headers; empty ones stand for this project's.
 	CallerHeaders   entry.Headers
@@ -62,10 +62,10 @@
 
 // Node is one process of the fleet. It is safe for concurrent use.
 type Node struct {
-	settings  *settings.Settings
-	tables    Tables
-	follower  *mirror.Follower // nil without a platform
-	listeners *Listeners
+	settings     *settings.Settings
+	tableBuilder TableBuilder
+	follower     *mirror.Follower // nil without a platform
+	listeners    *Listeners
 	// upstreamHeaders are the names that backend servers know.
 	upstreamHeaders gate.Headers
 	log             logrus.FieldLogger
@@ -76,80 +76,80 @@
 	metrics         *metrics.Set
 	entry           *entry.Entry
 	links           *link.Server
-	callers         *fasthttp.Server
+	callerServer    *fasthttp.Server
 	keys            *gate.KeyStore
-	crashes         *crashes
+	crashes         *crashTracker
 	quotas          *quotas
-	stalls          *stalls
+	localWaiters    *localWaiters
 	entryPool       *ants.Pool
 	gatePool        *ants.Pool
 	root            *suture.Supervisor
-	peerTree        *suture.Supervisor
+	peerSupervisor  *suture.Supervisor
 	leave           chan struct{}
 	leaveOnce       sync.Once
-	// consulted is closed when a peer has said which table it has in force.
-	consulted     chan struct{}
-	consultedOnce sync.Once
+	// peerVersionKnown is closed when a peer has said which table it has in force.
+	peerVersionKnown chan struct{}
+	peerVersionOnce  sync.Once
 	// inForce is closed when the first table is in force.
 	inForce     chan struct{}
 	inForceOnce sync.Once
 
-	// news is filled when entries of other nodes should hear at once of a gate.
-	news chan struct{}
+	// heartbeatRequested is filled when entries of other nodes should hear at once of a gate.
+	heartbeatRequested chan struct{}
 
-	mu    sync.Mutex
-	fence *edition.VersionGuard
-	table *table.Table
-	text  []byte
-	gates map[string]*gate.Gate
+	mu           sync.Mutex
+	versionGuard *edition.VersionGuard
+	table        *table.Table
+	tableText    []byte
+	gates        map[string]*gate.Gate
 	// retired are the gates that were removed, strangers since when upstreams are
 	// asked for that this node doesn't know.
-	retired   map[string]retired
-	strangers map[string]clock.Millis
-	peers     map[string]*peer
-	leaving   bool
-	// read are the revisions of the values that were taken in, by key. The
+	retired          map[string]retiredGate
+	unknownUpstreams map[string]clock.Millis
+	peers            map[string]*peer
+	leaving          bool
+	// readRevisions are the revisions of the values that were taken in, by key. The
 	// follower alone uses it.
-	read         map[string]uint64
-	order        maphash.Seed // of neighbours
-	platformAway bool
-	listed       map[string]bool // nodes that the instance list says are leaving
+	readRevisions       map[string]uint64
+	neighbourSeed       maphash.Seed // of neighbours
+	platformUnavailable bool
+	listedLeaving       map[string]bool // nodes that the instance list says are leaving
 }
 
 // New builds a node; Run starts it.
 func New(c Config) (*Node, error) {
 	n := &Node{
-		settings:        c.Settings,
-		tables:          c.Tables,
-		upstreamHeaders: c.UpstreamHeaders,
-		listeners:       c.Listeners,
-		log:             c.Log.WithField("node", c.Settings.Node),
-		clock:           clock.NewSystem(),
-		incarnation:     random(),
-		leave:           make(chan struct{}),
-		news:            make(chan struct{}, 1),
-		consulted:       make(chan struct{}),
-		inForce:         make(chan struct{}),
-		fence:           edition.New(),
-		gates:           map[string]*gate.Gate{},
-		retired:         map[string]retired{},
-		strangers:       map[string]clock.Millis{},
-		stalls:          newStalls(),
-		peers:           map[string]*peer{},
-		listed:          map[string]bool{},
-		read:            map[string]uint64{},
-		order:           maphash.MakeSeed(),
+		settings:           c.Settings,
+		tableBuilder:       c.TableBuilder,
+		upstreamHeaders:    c.UpstreamHeaders,
+		listeners:          c.Listeners,
+		log:                c.Log.WithField("node", c.Settings.Node),
+		clock:              clock.NewSystem(),
+		incarnation:        randomUint64(),
+		leave:              make(chan struct{}),
+		heartbeatRequested: make(chan struct{}, 1),
+		peerVersionKnown:   make(chan struct{}),
+		inForce:            make(chan struct{}),
+		versionGuard:       edition.New(),
+		gates:              map[string]*gate.Gate{},
+		retired:            map[string]retiredGate{},
+		unknownUpstreams:   map[string]clock.Millis{},
+		localWaiters:       newLocalWaiters(),
+		peers:              map[string]*peer{},
+		listedLeaving:      map[string]bool{},
+		readRevisions:      map[string]uint64{},
+		neighbourSeed:      maphash.MakeSeed(),
 		book: access.New(access.Config{
 			Records: c.Settings.Limits.Records,
-			Events:  eventsKept,
-			Callers: callersKept,
+			Events:  maxEvents,
+			Callers: maxCallers,
 		}),
 	}
 	n.seed = n.incarnation
 	n.keys = gate.NewKeyStore(n.clock.Now)
 	n.crashes = newCrashes(n.clock.Now, func(c *wire.CrashReport) { n.links.BroadcastCrashes(c) })
 	n.quotas = newQuotas(n)
-	n.metrics = n.newMetrics(c.Lines)
+	n.metrics = n.newMetrics(c.LogDrops)
 	if err := n.buildPools(); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -174,7 +174,7 @@
 	n.links = link.NewServer(link.ServerConfig{
 		Identity:          n.identity(),
 		MaxFrame:          n.frameLimit(),
-		HeartbeatInterval: c.Settings.Beat,
+		HeartbeatInterval: c.Settings.HeartbeatInterval,
 		Now:               n.clock.Now,
 		Handler:           n,
 		Log:               n.log,
@@ -183,16 +183,16 @@
 }
 
 // newMetrics returns the metrics of the node, whose parts they read.
-func (n *Node) newMetrics(lines metrics.Lines) *metrics.Set {
+func (n *Node) newMetrics(lines metrics.LogDrops) *metrics.Set {
 	return metrics.New(metrics.Config{
-		Book:      n.book,
+		Recorder:  n.book,
 		State:     n,
 		Readiness: n,
 		Platform:  n,
 		Links:     n,
 		Gates:     n,
 		Quotas:    n.quotas,
-		Lines:     lines,
+		LogDrops:  lines,
 		Requests:  n.settings.Limits.Requests,
 	})
 }
@@ -207,7 +207,7 @@
 	return errors.Annotate(err, "making the gates' pool")
 }
 
-func random() uint64 {
+func randomUint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
 	return binary.BigEndian.Uint64(b[:])
@@ -226,16 +226,16 @@
 }
 
 func (n *Node) frameLimit() int {
-	return max(n.settings.Limits.Body, wire.ChunkSize, platformLimit) + wire.MaxOverhead
+	return max(n.settings.Limits.Body, wire.ChunkSize, maxPlatformValue) + wire.MaxOverhead
 }
 
-// platformLimit is the largest value of the platform, which an edition frame
+// maxPlatformValue is the largest value of the platform, which an edition frame
 // carries.
-const platformLimit = 1 << 20
+const maxPlatformValue = 1 << 20
 
-// ErrCut means that the node stopped with requests in flight: its grace was
+// ErrRequestsCut means that the node stopped with requests in flight: its grace was
 // over, or it was told to stop at once.
-const ErrCut = errors.ConstError("requests in flight were cut")
+const ErrRequestsCut = errors.ConstError("requests in flight were cut")
 
 // Run serves until the context ends or Leave has finished. It returns ErrCut
 // when requests were still in flight.
@@ -249,7 +249,7 @@
 		}
 	}
 	defer listeners.Close()
-	n.buildTree(listeners)
+	n.buildSupervisors(listeners)
 	n.bootstrap()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -264,7 +264,7 @@
 	case <-n.leave:
 		n.drain(ctx)
 	}
-	cut := n.Busy()
+	cut := n.InFlight()
 	cancel()
 	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
 		n.log.WithError(err).Warn("supervisor ended")
@@ -272,7 +272,7 @@
 	n.stop()
 	n.log.Info("node stopped")
 	if cut > 0 {
-		return errors.Annotatef(ErrCut, "%d of them", cut)
+		return errors.Annotatef(ErrRequestsCut, "%d of them", cut)
 	}
 	return nil
 }
@@ -291,7 +291,7 @@
 	n.gatePool.Release()
 }
 
-// supervised logs what the supervisor restarts.
-func (n *Node) supervised(e suture.Event) {
+// logSupervisorEvent logs what the supervisor restarts.
+func (n *Node) logSupervisorEvent(e suture.Event) {
 	n.log.WithFields(logrus.Fields(e.Map())).Warn("supervisor event")
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -19,18 +19,18 @@
 	link  *link.Peer
 	token suture.ServiceToken
 	// leaving is what the node last said of itself.
-	leaving bool
-	lost    bool // noted as lost
-	// asked is when it was asked last what it knows of crashes; 0 for never.
-	asked clock.Millis
-	// unnamed is when the table ceased to name it; 0 while it does.
-	unnamed clock.Millis
+	leaving      bool
+	lossRecorded bool // noted as lost
+	// crashesAskedAt is when it was asked last what it knows of crashes; 0 for never.
+	crashesAskedAt clock.Millis
+	// removedAt is when the table ceased to name it; 0 while it does.
+	removedAt clock.Millis
 }
 
-// redial is about how long after a failed dial a peer is tried again: a process
+// redialDelay is about how long after a failed dial a peer is tried again: a process
 // that was restarted takes links after some 0.3 s, and until then its upstream is
 // lost to this entry.
-const redial = 250 * clock.Millis(1)
+const redialDelay = 250 * clock.Millis(1)
 
 // applyPeers makes and removes the peers that the table names.
 func (n *Node) applyPeers(t *table.Table) {
@@ -39,14 +39,14 @@
 		for _, u := range t.Services[i].Upstreams {
 			if u.Node != n.address() {
 				named[u.Node] = true
-				n.addPeer(u.Node).unnamed = 0
+				n.addPeer(u.Node).removedAt = 0
 			}
 		}
 	}
 	for address, p := range n.peers {
-		if !named[address] && n.retire(p) {
+		if !named[address] && n.canRemovePeer(p) {
 			delete(n.peers, address)
-			_ = n.peerTree.Remove(p.token) // removed already when the node stops
+			_ = n.peerSupervisor.Remove(p.token) // removed already when the node stops
 		}
 	}
 }
@@ -91,15 +91,15 @@
 		Self:              n.identity(),
 		MaxFrame:          n.frameLimit(),
 		MaxReplyBody:      n.settings.Limits.Answer,
-		HeartbeatInterval: n.settings.Beat,
-		RedialDelay:       min(redial, n.settings.Beat),
+		HeartbeatInterval: n.settings.HeartbeatInterval,
+		RedialDelay:       min(redialDelay, n.settings.HeartbeatInterval),
 		Seed:              n.seed + uint64(len(n.peers)),
 		Now:               n.clock.Now,
 		Status:            n.Status,
 		Observer:          n,
 		Log:               n.log,
 	})}
-	p.token = n.peerTree.Add(service{"peer " + address, func(ctx context.Context) error { return p.link.Run(ctx) }})
+	p.token = n.peerSupervisor.Add(service{"peer " + address, func(ctx context.Context) error { return p.link.Run(ctx) }})
 	n.peers[address] = p
 	return p
 }
@@ -113,28 +113,28 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.tables != nil {
+	if n.tableBuilder != nil {
 		return wire.Heartbeat{Version: n.follower.Revision(), Leaving: n.leaving, CrashDigest: n.crashes.digest.Load(), Upstreams: upstreams}
 	}
-	current := n.fence.Current()
+	current := n.versionGuard.Current()
 	return wire.Heartbeat{Version: current.Version, Digest: current.Digest, Leaving: n.leaving, CrashDigest: n.crashes.digest.Load(), Upstreams: upstreams}
 }
 
-// changed asks for heartbeats at once.
-func (n *Node) changed() {
+// requestHeartbeat asks for heartbeats at once.
+func (n *Node) requestHeartbeat() {
 	select {
-	case n.news <- struct{}{}:
+	case n.heartbeatRequested <- struct{}{}:
 	default: // they are asked for already
 	}
 }
 
-// tellNews sends heartbeats when a gate has news.
-func (n *Node) tellNews(ctx context.Context) error {
+// sendRequestedHeartbeats sends heartbeats when a gate has news.
+func (n *Node) sendRequestedHeartbeats(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-n.news:
+		case <-n.heartbeatRequested:
 			for _, g := range n.allGates() {
 				n.entry.UpdateUpstream(g.Status())
 			}
@@ -145,17 +145,17 @@
 
 // Heartbeat takes in a heartbeat of an entry that dialled this node.
 func (n *Node) Heartbeat(node string, b *wire.Heartbeat) {
-	n.compare(node, b)
+	n.requestNewerTable(node, b)
 }
 
-// compare asks a peer for its table if that goes before this node's. It
+// requestNewerTable asks a peer for its table if that goes before this node's. It
 // reports whether the peer has one that doesn't.
-func (n *Node) compare(node string, b *wire.Heartbeat) (settled bool) {
-	if n.tables != nil {
+func (n *Node) requestNewerTable(node string, b *wire.Heartbeat) (settled bool) {
+	if n.tableBuilder != nil {
 		return true
 	}
 	n.mu.Lock()
-	current := n.fence.Current()
+	current := n.versionGuard.Current()
 	p, ok := n.peers[node]
 	n.mu.Unlock()
 	theirs := edition.Candidate{Version: b.Version, Digest: b.Digest}
@@ -179,10 +179,10 @@
 		p.leaving = b.Leaving
 	}
 	n.mu.Unlock()
-	n.helpBlank(node, b)
-	n.compareCrashes(node, b)
-	if n.compare(node, b) {
-		n.consultedOnce.Do(func() { close(n.consulted) })
+	n.seedPeer(node, b)
+	n.syncCrashes(node, b)
+	if n.requestNewerTable(node, b) {
+		n.peerVersionOnce.Do(func() { close(n.peerVersionKnown) })
 	}
 }
 
@@ -210,9 +210,9 @@
 	n.entry.UpdatePath(node, isLost)
 	n.mu.Lock()
 	p, ok := n.peers[node]
-	noted := ok && p.lost != isLost && (!isLost || !p.leaving) && state != path.Suspected
+	noted := ok && p.lossRecorded != isLost && (!isLost || !p.leaving) && state != path.Suspected
 	if noted {
-		p.lost = isLost
+		p.lossRecorded = isLost
 	}
 	n.mu.Unlock()
 	if !noted {
--- a/node/platform.go
+++ b/node/platform.go
@@ -25,26 +25,26 @@
 	keyInstances = "instances"
 )
 
-// Tables makes tables from what a platform publishes in a form of its own.
-type Tables interface {
+// TableBuilder makes tables from what a platform publishes in a form of its own.
+type TableBuilder interface {
 	// Table returns the table that the values make, and false where it would be
 	// the same as the one before.
 	Table(items []mirror.Item) (*table.Table, bool)
-	// Mark sums up what of a value may make another table.
-	Mark(item mirror.Item) uint64
-	// Announced reports whether a value that is gone was expected to go.
-	Announced(old mirror.Item) bool
+	// Hash sums up what of a value may make another table.
+	Hash(item mirror.Item) uint64
+	// ExpectedRemoval reports whether a value that is gone was expected to go.
+	ExpectedRemoval(old mirror.Item) bool
 }
 
-// addReading adds the reader of the platform's values.
-func (n *Node) addReading(tree *suture.Supervisor) {
+// addPlatformReader adds the reader of the platform's values.
+func (n *Node) addPlatformReader(tree *suture.Supervisor) {
 	if n.follower == nil {
 		return
 	}
-	tree.Add(service{"relay", every(relayEvery, n.relay)})
-	tree.Add(service{"readers", every(relayEvery, n.keepReaders)})
+	tree.Add(service{"relay", every(relayInterval, n.keepNeighbourLinks)})
+	tree.Add(service{"readers", every(relayInterval, n.keepReaderLinks)})
 	tree.Add(service{"platform reader", func(ctx context.Context) error {
-		n.consult(ctx)
+		n.awaitPeerVersion(ctx)
 		return n.follower.Serve(ctx)
 	}})
 }
@@ -53,29 +53,29 @@
 	c := mirror.FollowerConfig{
 		Store:          store,
 		Now:            n.clock.Now,
-		MaxStaleness:   n.settings.Platform.Fresh,
-		Nodes:          n.size,
+		MaxStaleness:   n.settings.Platform.MaxStaleness,
+		Nodes:          n.fleetSize,
 		Deliver:        n.deliver,
-		Publish:        n.tell,
-		OnAvailability: n.platformAnswered,
+		Publish:        n.announceUpdate,
+		OnAvailability: n.recordPlatformState,
 		Seed:           n.seed,
 		Log:            n.log,
 	}
 	if counting, ok := store.(interface{ Received() uint64 }); ok {
 		c.BytesReceived = counting.Received
 	}
-	if n.tables != nil {
-		c.Hash, c.ExpectedRemoval = n.tables.Mark, n.tables.Announced
+	if n.tableBuilder != nil {
+		c.Hash, c.ExpectedRemoval = n.tableBuilder.Hash, n.tableBuilder.ExpectedRemoval
 	}
 	if n.settings.Platform.Form == settings.FormTable {
-		c.MaxBackoff = n.settings.Platform.Poll
+		c.MaxBackoff = n.settings.Platform.PollInterval
 	}
 	return mirror.NewFollower(c)
 }
 
-// size is how many nodes read the platform, and whether this one does it ahead of the
+// fleetSize is how many nodes read the platform, and whether this one does it ahead of the
 // others.
-func (n *Node) size() (int, bool) {
+func (n *Node) fleetSize() (int, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.peers) + 1, slices.Contains(n.readers(), n.address())
@@ -92,9 +92,9 @@
 	return append(slices.Collect(maps.Keys(n.peers)), n.address())
 }
 
-// keepReaders keeps links to the nodes that read the platform ahead of the others, over
+// keepReaderLinks keeps links to the nodes that read the platform ahead of the others, over
 // which their news come.
-func (n *Node) keepReaders() {
+func (n *Node) keepReaderLinks() {
 	n.mu.Lock()
 	var kept []*peer
 	for _, address := range n.readers() {
@@ -110,20 +110,20 @@
 
 // deliver takes in the platform's values.
 func (n *Node) deliver(items []mirror.Item, isTold bool) {
-	if n.tables != nil {
-		if t, ok := n.tables.Table(items); ok {
+	if n.tableBuilder != nil {
+		if t, ok := n.tableBuilder.Table(items); ok {
 			n.Adopt(t)
 		}
 		return
 	}
 	for _, item := range items {
 		switch {
-		case item.Key == keyTable && n.read[keyTable] != item.Revision:
-			n.read[keyTable] = item.Revision
-			n.offer(item.Value, sourceOf(isTold))
-		case item.Key == keyInstances && n.read[keyInstances] != item.Revision:
-			n.read[keyInstances] = item.Revision
-			n.instances(item.Value)
+		case item.Key == keyTable && n.readRevisions[keyTable] != item.Revision:
+			n.readRevisions[keyTable] = item.Revision
+			n.offerTable(item.Value, sourceOf(isTold))
+		case item.Key == keyInstances && n.readRevisions[keyInstances] != item.Revision:
+			n.readRevisions[keyInstances] = item.Revision
+			n.updateInstances(item.Value)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	return fromPlatform
 }
 
-// tell tells all nodes with a link what was learned from the platform.
-func (n *Node) tell(learned mirror.Update) {
+// announceUpdate tells all nodes with a link what was learned from the platform.
+func (n *Node) announceUpdate(learned mirror.Update) {
 	news := &wire.StoreUpdate{
 		Since: learned.Since, Revision: learned.Revision, IsTruncated: learned.IsTruncated, IsUnavailable: learned.IsUnavailable, Age: learned.Age,
 		IsListDiff: learned.IsListDiff, Bytes: learned.Bytes, Digest: learned.Digest,
@@ -170,27 +170,27 @@
 	n.follower.ReceiveUpdate(heard)
 }
 
-// helpers is about how many nodes help one that knows nothing, with each round of
+// seedersPerRound is about how many nodes help one that knows nothing, with each round of
 // heartbeats: with all of 300, a node that was restarted got 45 MB.
-const helpers = 6
+const seedersPerRound = 6
 
-// helpBlank gives a peer that knows nothing of the platform what is known here. A node
+// seedPeer gives a peer that knows nothing of the platform what is known here. A node
 // that is replaced while the platform is away would else refuse all requests of
 // its callers until that is back. Its peers dial it, for they have it in their
 // tables; it could dial nobody.
-func (n *Node) helpBlank(node string, b *wire.Heartbeat) {
-	if n.tables == nil || b.Version > 0 || b.Leaving || n.follower.Revision() == 0 {
+func (n *Node) seedPeer(node string, b *wire.Heartbeat) {
+	if n.tableBuilder == nil || b.Version > 0 || b.Leaving || n.follower.Revision() == 0 {
 		return
 	}
-	if nodes, _ := n.size(); rand.IntN(nodes) >= helpers {
+	if nodes, _ := n.fleetSize(); rand.IntN(nodes) >= seedersPerRound {
 		return // others do, or this node after the next heartbeat
 	}
 	items, revision := n.follower.Snapshot()
-	if size := mirror.SizeOf(items); size > mostHelp {
+	if size := mirror.SizeOf(items); size > maxSeedBytes {
 		n.log.WithFields(logrus.Fields{"values": len(items), "bytes": size}).Warn("peer without a table not helped: the values are more than it would read")
 		return
 	}
-	body, err := wire.Pack(partsOf(items))
+	body, err := wire.Pack(chunkItems(items))
 	if err != nil {
 		n.log.WithError(err).Error("peer without a table not helped")
 		return
@@ -203,19 +203,19 @@
 	}
 }
 
-// mostHelp bounds, in bytes, the values that are handed to a peer. It reads 4 MB; the
+// maxSeedBytes bounds, in bytes, the values that are handed to a peer. It reads 4 MB; the
 // rest is for their encoding, some 50 bytes a value. What it rejects it would be sent
 // again with each heartbeat.
-const mostHelp = 3 << 20
+const maxSeedBytes = 3 << 20
 
-// partsOf cuts values into arrays that a peer reads.
-func partsOf(items []mirror.Item) [][]mirror.Item {
+// chunkItems cuts values into arrays that a peer reads.
+func chunkItems(items []mirror.Item) [][]mirror.Item {
 	return slices.Collect(slices.Chunk(items, wire.MaxItems))
 }
 
-// takeOver takes in another node's copy of the platform's values while nothing is known
+// seedFromPeer takes in another node's copy of the platform's values while nothing is known
 // here.
-func (n *Node) takeOver(node string, e *wire.TableVersion) {
+func (n *Node) seedFromPeer(node string, e *wire.TableVersion) {
 	var parts [][]mirror.Item
 	log := n.log.WithField("peer", node)
 	if err := wire.Unpack(e.Text, &parts); err != nil {
@@ -227,11 +227,11 @@
 	}
 }
 
-// platformAnswered notes when the platform goes away, with the cause, and when it is
+// recordPlatformState notes when the platform goes away, with the cause, and when it is
 // back. The table in force stays however long it is away.
-func (n *Node) platformAnswered(cause error) {
+func (n *Node) recordPlatformState(cause error) {
 	n.mu.Lock()
-	n.platformAway = cause != nil
+	n.platformUnavailable = cause != nil
 	n.mu.Unlock()
 	e := access.Event{At: n.clock.Now(), Kind: access.PlatformRestored}
 	if cause != nil {
@@ -243,37 +243,37 @@
 	n.metrics.RecordEvent(e)
 }
 
-// consultTime bounds the wait for the peers that the settings name.
-const consultTime = 2 * time.Second
+// peerVersionTimeout bounds the wait for the peers that the settings name.
+const peerVersionTimeout = 2 * time.Second
 
-// consult waits until a peer has said which table it has in force. A node that
+// awaitPeerVersion waits until a peer has said which table it has in force. A node that
 // is replaced while the platform's replica is stale would otherwise put an
 // older table in force than the one its predecessor served.
-func (n *Node) consult(ctx context.Context) {
+func (n *Node) awaitPeerVersion(ctx context.Context) {
 	if len(n.settings.Peers) == 0 {
 		return
 	}
-	timer := time.NewTimer(consultTime)
+	timer := time.NewTimer(peerVersionTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-n.consulted:
+	case <-n.peerVersionKnown:
 	}
 }
 
-// Reading tells how reading the platform's values goes.
-func (n *Node) Reading() metrics.Reading {
+// PlatformStats tells how reading the platform's values goes.
+func (n *Node) PlatformStats() metrics.PlatformStats {
 	if n.follower == nil {
-		return metrics.Reading{}
+		return metrics.PlatformStats{}
 	}
 	s := n.follower.Stats()
-	r := metrics.Reading{
-		Answered: metrics.Calls(s.Answered), Failed: metrics.Calls(s.Failed), Heard: s.UpdatesReceived, Wrong: s.CopyErrors,
-		Revision: n.follower.Revision(), Lag: s.Lag, Late: s.LateChanges,
+	r := metrics.PlatformStats{
+		Answered: metrics.CallStats(s.Answered), Failed: metrics.CallStats(s.Failed), UpdatesReceived: s.UpdatesReceived, CopyErrors: s.CopyErrors,
+		Revision: n.follower.Revision(), Lag: s.Lag, LateChanges: s.LateChanges,
 	}
 	if s.IsKnown {
-		r.Known, r.Age = true, max(n.clock.Now()-s.KnownAt, 0)
+		r.IsKnown, r.Age = true, max(n.clock.Now()-s.KnownAt, 0)
 	}
 	return r
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// expireEvery is how often what is known of crashes is looked through.
-	expireEvery = 5 * time.Second
-	// askEvery is how often a peer that knows something else of crashes is asked.
-	askEvery = 2 * clock.Second
+	// expireInterval is how often what is known of crashes is looked through.
+	expireInterval = 5 * time.Second
+	// crashSyncInterval is how often a peer that knows something else of crashes is asked.
+	crashSyncInterval = 2 * clock.Second
 )
 
-// followCrashes tells the readers of what has changed, and acts on it here.
-func (n *Node) followCrashes(ctx context.Context) error {
-	ticker := time.NewTicker(expireEvery)
+// runCrashUpdates tells the readers of what has changed, and acts on it here.
+func (n *Node) runCrashUpdates(ctx context.Context) error {
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	held := map[quarantine.Fingerprint]struct{}{}
 	for {
@@ -34,16 +34,16 @@
 		case <-ticker.C:
 			n.crashes.expire()
 		case <-n.crashes.changed:
-			if ends := n.crashes.takeUntold(); len(ends) > 0 {
-				n.tellReaders(wire.NewCrashReports(n.clock.Now(), ends))
+			if ends := n.crashes.takePending(); len(ends) > 0 {
+				n.announceToReaders(wire.NewCrashReports(n.clock.Now(), ends))
 			}
 		}
-		n.actOn(n.crashes.cases(), held)
+		n.applyCases(n.crashes.cases(), held)
 	}
 }
 
-// tellReaders tells the nodes that all others keep links to.
-func (n *Node) tellReaders(frames []*wire.CrashReport) {
+// announceToReaders tells the nodes that all others keep links to.
+func (n *Node) announceToReaders(frames []*wire.CrashReport) {
 	for _, p := range n.allReaders() {
 		p.link.EnsureLink()
 		for _, c := range frames {
@@ -64,9 +64,9 @@
 	return all
 }
 
-// actOn says which requests are held back from now on, and which no longer, and tells the
+// applyCases says which requests are held back from now on, and which no longer, and tells the
 // gates of upstreams that are not to blame for their crashes.
-func (n *Node) actOn(cases []quarantine.Case, held map[quarantine.Fingerprint]struct{}) {
+func (n *Node) applyCases(cases []quarantine.Case, held map[quarantine.Fingerprint]struct{}) {
 	now := n.clock.Now()
 	current := map[quarantine.Fingerprint]struct{}{}
 	for i := range cases {
@@ -105,7 +105,7 @@
 
 // ReceiveCrashes takes in what a node with a link to this one tells.
 func (n *Node) ReceiveCrashes(c *wire.CrashReport) []*wire.CrashReport {
-	_, isReader := n.size()
+	_, isReader := n.fleetSize()
 	behind := n.crashes.merge(c, isReader)
 	if c.WantsReply {
 		behind = append(n.crashes.all(), behind...)
@@ -115,21 +115,21 @@
 
 // PeerCrashReport takes in what a node that this one dialled tells.
 func (n *Node) PeerCrashReport(c *wire.CrashReport) {
-	_, isReader := n.size()
+	_, isReader := n.fleetSize()
 	n.crashes.merge(c, isReader)
 }
 
-// compareCrashes asks a peer that knows something else of crashes.
-func (n *Node) compareCrashes(node string, b *wire.Heartbeat) {
+// syncCrashes asks a peer that knows something else of crashes.
+func (n *Node) syncCrashes(node string, b *wire.Heartbeat) {
 	if b.CrashDigest == n.crashes.digest.Load() {
 		return
 	}
 	now := n.clock.Now()
 	n.mu.Lock()
 	p, ok := n.peers[node]
-	isDue := ok && (p.asked == 0 || now-p.asked >= askEvery)
+	isDue := ok && (p.crashesAskedAt == 0 || now-p.crashesAskedAt >= crashSyncInterval)
 	if isDue {
-		p.asked = now
+		p.crashesAskedAt = now
 	}
 	n.mu.Unlock()
 	if !isDue {
--- a/node/quota.go
+++ b/node/quota.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// mostAccounts bounds the client accounts that are remembered, as home and as a node
+	// maxAccounts bounds the client accounts that are remembered, as home and as a node
 	// that asks; the one heard of least lately is forgotten first.
-	mostAccounts = 50_000
-	// drawTime is how long a home may take to answer before the next one is asked.
-	drawTime = 100 * clock.Millis(1)
-	// relayTime is the same for a home that asks the one before it for a node that can't.
-	relayTime = 40 * clock.Millis(1)
+	maxAccounts = 50_000
+	// quotaRequestTimeout is how long a home may take to answer before the next one is asked.
+	quotaRequestTimeout = 100 * clock.Millis(1)
+	// relayTimeout is the same for a home that asks the one before it for a node that can't.
+	relayTimeout = 40 * clock.Millis(1)
 )
 
 // quotas asks the homes of client accounts for leave to send their requests, and grants it
@@ -46,26 +46,26 @@
 	ledger   *quota.Allocator
 	nodes    []string // that the table names, in order
 	homes    map[string][]string
-	accounts *simplelru.LRU[string, *drawing]
+	accounts *simplelru.LRU[string, *accountQuota]
 }
 
-// drawing is what this node asks of one account.
-type drawing struct {
-	history  quota.History
-	limit    quota.Limit
-	waiting  []chan<- entry.Admission
-	returned int
-	isAsking bool
+// accountQuota is what this node asks of one account.
+type accountQuota struct {
+	history      quota.History
+	limit        quota.Limit
+	waiting      []chan<- entry.Admission
+	returned     int
+	isRequesting bool
 }
 
 func newQuotas(n *Node) *quotas {
-	accounts, err := simplelru.NewLRU[string, *drawing](mostAccounts, nil)
+	accounts, err := simplelru.NewLRU[string, *accountQuota](maxAccounts, nil)
 	if err != nil {
 		panic(err) // only a size below 1 is refused
 	}
 	return &quotas{
 		now: n.clock.Now, self: n.address(), peer: n.linkTo, isCutOff: n.isCutOff, random: rand.New(rand.NewPCG(n.seed, 4)),
-		ledger: quota.NewAllocator(mostAccounts, n.seed), homes: map[string][]string{}, accounts: accounts,
+		ledger: quota.NewAllocator(maxAccounts, n.seed), homes: map[string][]string{}, accounts: accounts,
 	}
 }
 
@@ -87,12 +87,12 @@
 	}
 }
 
-// order returns the nodes to ask for an account. The lock is held.
-func (q *quotas) order(account string) []string {
+// homesFor returns the nodes to ask for an account. The lock is held.
+func (q *quotas) homesFor(account string) []string {
 	homes, ok := q.homes[account]
 	if !ok {
 		homes = quota.Homes(account, q.nodes)
-		if len(q.homes) >= mostAccounts {
+		if len(q.homes) >= maxAccounts {
 			clear(q.homes)
 		}
 		q.homes[account] = homes
@@ -107,14 +107,14 @@
 	}
 	admitted := make(chan entry.Admission, 1)
 	q.mu.Lock()
-	d := q.drawing(a.Name)
+	d := q.account(a.Name)
 	d.limit = quota.Limit{Rate: a.Rate, Burst: a.Burst}
 	d.waiting = append(d.waiting, admitted)
-	starts := !d.isAsking
-	d.isAsking = true
+	starts := !d.isRequesting
+	d.isRequesting = true
 	q.mu.Unlock()
 	if starts {
-		go q.ask(a.Name, d)
+		go q.requestQuota(a.Name, d)
 	}
 	select {
 	case admission := <-admitted:
@@ -133,23 +133,23 @@
 	}
 }
 
-// drawing returns what is remembered of an account. The lock is held.
-func (q *quotas) drawing(account string) *drawing {
+// account returns what is remembered of an account. The lock is held.
+func (q *quotas) account(account string) *accountQuota {
 	d, ok := q.accounts.Get(account)
 	if !ok {
-		d = &drawing{}
+		d = &accountQuota{}
 		q.accounts.Add(account, d)
 	}
 	return d
 }
 
-// ask asks for leave until nobody waits for it. Requests that come meanwhile are asked for
+// requestQuota asks for leave until nobody waits for it. Requests that come meanwhile are asked for
 // together.
-func (q *quotas) ask(account string, d *drawing) {
+func (q *quotas) requestQuota(account string, d *accountQuota) {
 	for {
 		q.mu.Lock()
 		if len(d.waiting) == 0 {
-			d.isAsking = false
+			d.isRequesting = false
 			q.mu.Unlock()
 			return
 		}
@@ -160,15 +160,15 @@
 		draw := quota.Request{Account: account, Limit: d.limit, Count: count, Returned: d.returned}
 		draw.Hint, draw.HintHome = d.history.Hint(now)
 		d.returned = 0
-		homes := q.order(account)
+		homes := q.homesFor(account)
 		q.mu.Unlock()
-		grant, ok := q.drawFrom(homes, draw)
-		q.settle(d, waiting, grant, ok)
+		grant, ok := q.tryHomes(homes, draw)
+		q.resolveWaiters(d, waiting, grant, ok)
 	}
 }
 
-// settle tells those that wait what was granted, or decides without a home.
-func (q *quotas) settle(d *drawing, waiting []chan<- entry.Admission, g quota.Grant, ok bool) {
+// resolveWaiters tells those that wait what was granted, or decides without a home.
+func (q *quotas) resolveWaiters(d *accountQuota, waiting []chan<- entry.Admission, g quota.Grant, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
@@ -201,10 +201,10 @@
 	return clock.Second
 }
 
-// drawFrom asks the homes one after the other, and returns false if none answered. For its
+// tryHomes asks the homes one after the other, and returns false if none answered. For its
 // own requests this node is the home only where it comes first and isn't cut off: it would
 // else grant beside a home that all others ask.
-func (q *quotas) drawFrom(homes []string, d quota.Request) (quota.Grant, bool) {
+func (q *quotas) tryHomes(homes []string, d quota.Request) (quota.Grant, bool) {
 	for passed, home := range homes {
 		if home == q.self {
 			if passed == 0 && !q.isCutOff() {
@@ -214,15 +214,15 @@
 		}
 		frame := wire.NewQuotaRequest(q.sequence.Add(1), d)
 		frame.SkippedHomes = passed
-		if drawn := q.drawAt(home, frame, drawTime); drawn != nil {
+		if drawn := q.requestFromHome(home, frame, quotaRequestTimeout); drawn != nil {
 			return drawn.ToQuota(), true
 		}
 	}
 	return quota.Grant{}, false
 }
 
-// drawAt asks one home and waits for its answer, nil without one.
-func (q *quotas) drawAt(home string, d *wire.QuotaRequest, span clock.Millis) *wire.QuotaGrant {
+// requestFromHome asks one home and waits for its answer, nil without one.
+func (q *quotas) requestFromHome(home string, d *wire.QuotaRequest, span clock.Millis) *wire.QuotaGrant {
 	peer := q.peer(home)
 	if peer == nil || peer.IsLost() {
 		return nil
@@ -256,7 +256,7 @@
 	draw := d.ToQuota()
 	if d.SkippedHomes > 0 && !d.IsRelayed {
 		q.mu.Lock()
-		homes := q.order(d.Account)
+		homes := q.homesFor(d.Account)
 		q.mu.Unlock()
 		relayed := *d
 		relayed.IsRelayed, relayed.Seq = true, q.sequence.Add(1)
@@ -264,7 +264,7 @@
 			if home == q.self {
 				break
 			}
-			if drawn := q.drawAt(home, &relayed, relayTime); drawn != nil {
+			if drawn := q.requestFromHome(home, &relayed, relayTimeout); drawn != nil {
 				drawn.Seq = d.Seq
 				return drawn
 			}
--- a/node/relay.go
+++ b/node/relay.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// neighbours is how many peers a node that is cut from the platform keeps
+	// maxNeighbours is how many peers a node that is cut from the platform keeps
 	// links to: with a third of the fleet cut likewise, 1 in 27 nodes has only
 	// such neighbours, and the neighbours of these have others.
-	neighbours = 3
-	// relayEvery is how often it looks whether it is cut off.
-	relayEvery = time.Second
+	maxNeighbours = 3
+	// relayInterval is how often it looks whether it is cut off.
+	relayInterval = time.Second
 )
 
-// relay keeps links to a few peers while the platform doesn't answer. A node
+// keepNeighbourLinks keeps links to a few peers while the platform doesn't answer. A node
 // that no caller uses would otherwise have none, and hear of no edit until the
 // platform is back.
-func (n *Node) relay() {
+func (n *Node) keepNeighbourLinks() {
 	for _, p := range n.neighbours() {
 		p.link.EnsureLink()
 	}
@@ -31,7 +31,7 @@
 func (n *Node) neighbours() []*peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.platformAway {
+	if !n.platformUnavailable {
 		return nil
 	}
 	all := make([]*peer, 0, len(n.peers))
@@ -41,9 +41,9 @@
 	slices.SortFunc(all, func(a, b *peer) int {
 		return cmp.Compare(n.rank(a), n.rank(b))
 	})
-	return all[:min(neighbours, len(all))]
+	return all[:min(maxNeighbours, len(all))]
 }
 
 func (n *Node) rank(p *peer) uint64 {
-	return maphash.String(n.order, p.link.Address())
+	return maphash.String(n.neighbourSeed, p.link.Address())
 }
--- a/node/resend.go
+++ b/node/resend.go
@@ -17,20 +17,20 @@
 }
 
 // RevokeKey asks the gates in this process.
-func (l local) RevokeKey(v *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
+func (l localTarget) RevokeKey(v *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
 	w.Revoked(l.node.RevokeKey(v))
 	return nil
 }
 
 // ForgetRevocation has nothing to drop: the answer is given at once.
-func (local) ForgetRevocation(wire.RequestID) {}
+func (localTarget) ForgetRevocation(wire.RequestID) {}
 
-// retire reports whether a peer that the table names no longer may go. It stays
+// canRemovePeer reports whether a peer that the table names no longer may go. It stays
 // within reach as long as it may have run a key that is sent again.
-func (n *Node) retire(p *peer) bool {
+func (n *Node) canRemovePeer(p *peer) bool {
 	now := n.clock.Now()
-	if p.unnamed == 0 {
-		p.unnamed = now
+	if p.removedAt == 0 {
+		p.removedAt = now
 	}
-	return now-p.unnamed > resend.Retention
+	return now-p.removedAt > resend.Retention
 }
--- a/node/seed_test.go
+++ b/node/seed_test.go
@@ -47,8 +47,8 @@
 }
 
 func (t tables) Table(items []mirror.Item) (*table.Table, bool) { return t.table, len(items) > 0 }
-func (tables) Announced(mirror.Item) bool                       { return false }
-func (tables) Mark(item mirror.Item) uint64                     { return item.Revision }
+func (tables) ExpectedRemoval(mirror.Item) bool                 { return false }
+func (tables) Hash(item mirror.Item) uint64                     { return item.Revision }
 
 // run starts a node that reads the store.
 func run(t *testing.T, name string, l *node.Listeners, s store, made tables) *node.Node {
@@ -57,11 +57,11 @@
 	n, err := node.New(node.Config{
 		Settings: &settings.Settings{
 			Node: name, Domain: "palermo", Secret: "a secret of this test",
-			Listen: settings.Listen{Caller: "127.0.0.1:1", Link: l.Link.Addr().String(), Admin: "127.0.0.1:2"},
-			Limits: settings.Limits{Body: 1 << 20, Answer: 1 << 20, Requests: 16, Records: 16},
-			Beat:   200, Grace: clock.Second,
+			Listen:            settings.Listen{Caller: "127.0.0.1:1", Link: l.Link.Addr().String(), Admin: "127.0.0.1:2"},
+			Limits:            settings.Limits{Body: 1 << 20, Answer: 1 << 20, Requests: 16, Records: 16},
+			HeartbeatInterval: 200, Grace: clock.Second,
 		},
-		Log: log, Listeners: l, Store: s, Tables: made,
+		Log: log, Listeners: l, Store: s, TableBuilder: made,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/node/services.go
+++ b/node/services.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// callerIdle closes a caller's connection that sends nothing.
-	callerIdle = 75 * time.Second
-	// callerRead and callerWrite bound a caller that sends or reads slowly.
-	callerRead  = 30 * time.Second
-	callerWrite = 60 * time.Second
-	// callerHeaders bounds the headers of a request in bytes: twice what
+	// callerIdleTimeout closes a caller's connection that sends nothing.
+	callerIdleTimeout = 75 * time.Second
+	// callerReadTimeout and callerWrite bound a caller that sends or reads slowly.
+	callerReadTimeout  = 30 * time.Second
+	callerWriteTimeout = 60 * time.Second
+	// maxCallerHeaders bounds the headers of a request in bytes: twice what
 	// today's callers may send, 16 KB.
-	callerHeaders = 32 << 10
+	maxCallerHeaders = 32 << 10
 )
 
 // Listeners are a node's open ports.
@@ -89,55 +89,55 @@
 	return s.name
 }
 
-// buildTree lays out the supervisors. A part that fails is restarted beside the
+// buildSupervisors lays out the supervisors. A part that fails is restarted beside the
 // others: a platform that can't be read stops no request, and peers that come
 // and go hold up neither.
-func (n *Node) buildTree(l *Listeners) {
-	n.root = n.supervisor("node")
-	serving := n.supervisor("serving")
-	reading := n.supervisor("platform")
-	n.peerTree = n.supervisor("peers")
-	for _, branch := range []*suture.Supervisor{serving, reading, n.peerTree} {
+func (n *Node) buildSupervisors(l *Listeners) {
+	n.root = n.newSupervisor("node")
+	serving := n.newSupervisor("serving")
+	reading := n.newSupervisor("platform")
+	n.peerSupervisor = n.newSupervisor("peers")
+	for _, branch := range []*suture.Supervisor{serving, reading, n.peerSupervisor} {
 		n.root.Add(branch)
 	}
 	n.addServing(serving, l)
-	n.addReading(reading)
+	n.addPlatformReader(reading)
 }
 
 // restart policy of each branch: more than failures within a minute or so make
 // it pause before it tries again.
 const (
-	failuresAllowed = 5
-	failuresDecay   = 30 // seconds
-	failuresPause   = 2 * time.Second
+	failureThreshold = 5
+	failureDecay     = 30 // seconds
+	failureBackoff   = 2 * time.Second
 )
 
-func (n *Node) supervisor(name string) *suture.Supervisor {
+func (n *Node) newSupervisor(name string) *suture.Supervisor {
 	return suture.New(name, suture.Spec{
-		EventHook:        n.supervised,
-		FailureThreshold: failuresAllowed,
-		FailureDecay:     failuresDecay,
-		FailureBackoff:   failuresPause,
+		EventHook:        n.logSupervisorEvent,
+		FailureThreshold: failureThreshold,
+		FailureDecay:     failureDecay,
+		FailureBackoff:   failureBackoff,
 	})
 }
 
 func (n *Node) addServing(tree *suture.Supervisor, l *Listeners) {
-	n.callers = &fasthttp.Server{
+	n.callerServer = &fasthttp.Server{
 		Handler:                       n.entry.Serve,
 		ErrorHandler:                  n.entry.ServeMalformed,
 		Name:                          "fuchsiapick",
 		NoDefaultServerHeader:         true,
 		DisableHeaderNamesNormalizing: true,
 		MaxRequestBodySize:            n.settings.Limits.Body,
-		ReadBufferSize:                callerHeaders,
+		ReadBufferSize:                maxCallerHeaders,
 		Concurrency:                   n.settings.Limits.Requests * 2,
-		ReadTimeout:                   callerRead,
-		WriteTimeout:                  callerWrite,
-		IdleTimeout:                   callerIdle,
+		ReadTimeout:                   callerReadTimeout,
+		WriteTimeout:                  callerWriteTimeout,
+		IdleTimeout:                   callerIdleTimeout,
 		CloseOnShutdown:               true,
-		Logger:                        quiet{},
+		Logger:                        discardLogger{},
 	}
-	tree.Add(n.serveHTTP("callers", n.callers, caller.Listener{Listener: l.Caller}))
+	tree.Add(n.serveHTTP("callers", n.callerServer, caller.Listener{Listener: l.Caller}))
 	tree.Add(service{"links", func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() { _ = l.Link.Close() })
 		defer stop()
@@ -146,16 +146,16 @@
 	adminServer := admin.New(admin.Config{Node: n, Log: n.log, Metrics: n.metrics.Handler()})
 	tree.Add(n.serveHTTP("admin", adminServer.HTTP(), l.Admin))
 	if l.Metrics != nil {
-		tree.Add(n.serveHTTP("metrics", adminServer.Scraped(), l.Metrics))
+		tree.Add(n.serveHTTP("metrics", adminServer.MetricsHTTP(), l.Metrics))
 	}
-	tree.Add(service{"news", n.tellNews})
-	tree.Add(service{"crashes", n.followCrashes})
-	tree.Add(service{"probes", every(probeEvery, n.probe)})
+	tree.Add(service{"news", n.sendRequestedHeartbeats})
+	tree.Add(service{"crashes", n.runCrashUpdates})
+	tree.Add(service{"probes", every(probeInterval, n.probe)})
 }
 
-// probeEvery is the interval of probes: a probe may end a hold-off of 5 s or
+// probeInterval is the interval of probes: a probe may end a hold-off of 5 s or
 // more, and takes 25 ms of an upstream's time.
-const probeEvery = 2 * time.Second
+const probeInterval = 2 * time.Second
 
 // probe asks the health endpoints of the upstreams beside this node.
 func (n *Node) probe() {
@@ -180,12 +180,12 @@
 	}
 }
 
-// quiet drops what the HTTP library logs: malformed requests are accounted
+// discardLogger drops what the HTTP library logs: malformed requests are accounted
 // for, and a caller must not be able to fill the log.
-type quiet struct{}
+type discardLogger struct{}
 
 // Printf drops a line.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // serveHTTP runs an HTTP server that finishes what it has begun before it
 // stops.
--- a/settings/check.go
+++ b/settings/check.go
@@ -26,43 +26,43 @@
 	MaxRecords = 1_000_000
 	// MaxGrace is longer than any deadline that a table may set.
 	MaxGrace = 15 * clock.Minute
-	// MinPoll keeps a few thousand nodes below the reads that the platform
+	// MinPollInterval keeps a few thousand nodes below the reads that the platform
 	// bears.
-	MinPoll = clock.Second
-	// MinFresh bounds the calls of one node to three a second.
-	MinFresh = 500 * clock.Millis(1)
-	// MaxPoll keeps a table in force within minutes at worst.
-	MaxPoll = 10 * clock.Minute
+	MinPollInterval = clock.Second
+	// MinMaxStaleness bounds the calls of one node to three a second.
+	MinMaxStaleness = 500 * clock.Millis(1)
+	// MaxPollInterval keeps a table in force within minutes at worst.
+	MaxPollInterval = 10 * clock.Minute
 	// MaxExtra is more retries than any fleet has use for in one window.
 	MaxExtra = 1e6
 	// MaxWindow keeps the memory of a retry budget small.
 	MaxWindow = clock.Minute
-	// MinBeat and MaxBeat keep the time to find a lost path between the noise
+	// MinHeartbeatInterval and MaxBeat keep the time to find a lost path between the noise
 	// of a busy machine and the patience of callers.
-	MinBeat = 50 * clock.Millis(1)
-	MaxBeat = 10 * clock.Second
+	MinHeartbeatInterval = 50 * clock.Millis(1)
+	MaxHeartbeatInterval = 10 * clock.Second
 	// MaxPeers is many more than a starting node has time to ask.
 	MaxPeers = 64
 )
 
-// levels are those of the log, from the quietest.
-var levels = []string{"error", "warn", "info", "debug"}
+// logLevels are those of the log, from the quietest.
+var logLevels = []string{"error", "warn", "info", "debug"}
 
 func (s *Settings) check(doc *document.Document) {
 	root := doc.Root
-	doc.Name(root, "node", s.Node)
-	doc.Name(root, "domain", s.Domain)
+	doc.CheckName(root, "node", s.Node)
+	doc.CheckName(root, "domain", s.Domain)
 	s.checkListen(doc)
 	s.checkPlatform(doc)
 	s.checkSecret(doc)
 	s.checkPeers(doc)
 	s.checkLimits(doc)
 	s.checkPolicy(doc)
-	doc.Span(root, "beat", s.Beat, MinBeat, MaxBeat)
-	doc.Span(root, "grace", s.Grace, 0, MaxGrace)
-	doc.Span(root, "linger", s.Linger, 0, s.Grace/2)
-	if !slices.Contains(levels, s.Log) {
-		doc.Refuse(root, "log", document.Quote(s.Log), strings.Join(levels, ", "))
+	doc.CheckDuration(root, "beat", s.HeartbeatInterval, MinHeartbeatInterval, MaxHeartbeatInterval)
+	doc.CheckDuration(root, "grace", s.Grace, 0, MaxGrace)
+	doc.CheckDuration(root, "linger", s.Linger, 0, s.Grace/2)
+	if !slices.Contains(logLevels, s.Log) {
+		doc.Refuse(root, "log", document.Quote(s.Log), strings.Join(logLevels, ", "))
 	}
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	if s.Listen.Announce != "" {
-		doc.Address(n, "announce", s.Listen.Announce)
+		doc.CheckAddress(n, "announce", s.Listen.Announce)
 	}
 	seen := make(map[string]string, 3)
 	for _, l := range []struct{ key, address string }{
@@ -82,7 +82,7 @@
 		if l.key == "metrics" && l.address == "" {
 			continue
 		}
-		if !doc.Listener(n, l.key, l.address) {
+		if !doc.CheckListener(n, l.key, l.address) {
 			continue
 		}
 		address := netip.MustParseAddrPort(l.address)
@@ -102,9 +102,9 @@
 		doc.Refuse(doc.Root, "platform", "", "a table [platform] with address")
 		return
 	}
-	doc.Address(n, "address", s.Platform.Address)
-	doc.Span(n, "poll", s.Platform.Poll, MinPoll, MaxPoll)
-	doc.Span(n, "fresh", s.Platform.Fresh, MinFresh, MaxPoll)
+	doc.CheckAddress(n, "address", s.Platform.Address)
+	doc.CheckDuration(n, "poll", s.Platform.PollInterval, MinPollInterval, MaxPollInterval)
+	doc.CheckDuration(n, "fresh", s.Platform.MaxStaleness, MinMaxStaleness, MaxPollInterval)
 	if forms := []string{FormTable, FormStore}; !slices.Contains(forms, s.Platform.Form) {
 		doc.Refuse(n, "form", document.Quote(s.Platform.Form), strings.Join(forms, ", "))
 	}
@@ -116,11 +116,11 @@
 	if !slices.Contains(cautions, string(s.Policy.Caution)) {
 		doc.Refuse(n, "caution", document.Quote(string(s.Policy.Caution)), strings.Join(cautions, ", "))
 	}
-	document.Within(doc, n, "floor", s.Policy.Floor, 0, 1)
-	doc.Span(n, "drain", s.Policy.Drain, 0, table.MaxDrain)
-	document.Within(doc, n, "retries", s.Policy.Retries, 0, 1)
-	document.Within(doc, n, "extra", s.Policy.Extra, 0, MaxExtra)
-	doc.Span(n, "window", s.Policy.Window, 0, MaxWindow)
+	document.CheckRange(doc, n, "floor", s.Policy.Floor, 0, 1)
+	doc.CheckDuration(n, "drain", s.Policy.Drain, 0, table.MaxDrain)
+	document.CheckRange(doc, n, "retries", s.Policy.Retries, 0, 1)
+	document.CheckRange(doc, n, "extra", s.Policy.Extra, 0, MaxExtra)
+	doc.CheckDuration(n, "window", s.Policy.Window, 0, MaxWindow)
 	table.CheckFingerprints(doc, n, s.Policy.Lift)
 }
 
@@ -135,7 +135,7 @@
 		}
 		return
 	}
-	if problem, ok := weakSecret(s.Secret); !ok {
+	if problem, ok := secretProblem(s.Secret); !ok {
 		if !root.Has("secret") {
 			problem = "is missing"
 		}
@@ -144,7 +144,7 @@
 	}
 }
 
-func weakSecret(secret string) (string, bool) {
+func secretProblem(secret string) (string, bool) {
 	if len(secret) < MinSecret {
 		return "has " + strconv.Itoa(len(secret)) + " bytes", false
 	}
@@ -157,9 +157,9 @@
 
 func (s *Settings) checkPeers(doc *document.Document) {
 	root := doc.Root
-	document.Within(doc, root, "peers", len(s.Peers), 0, MaxPeers)
+	document.CheckRange(doc, root, "peers", len(s.Peers), 0, MaxPeers)
 	for i, peer := range s.Peers {
-		if doc.Address(root, "peers", peer) && slices.Contains(s.Peers[:i], peer) {
+		if doc.CheckAddress(root, "peers", peer) && slices.Contains(s.Peers[:i], peer) {
 			doc.Add(root, "peers", document.Quote(peer)+" stands twice", "each peer once")
 		}
 	}
@@ -167,8 +167,8 @@
 
 func (s *Settings) checkLimits(doc *document.Document) {
 	n := doc.Root.Field("limits")
-	document.Within(doc, n, "body", s.Limits.Body, 0, MaxBody)
-	document.Within(doc, n, "answer", s.Limits.Answer, 1, MaxBody)
-	document.Within(doc, n, "requests", s.Limits.Requests, 1, MaxRequests)
-	document.Within(doc, n, "records", s.Limits.Records, 1, MaxRecords)
+	document.CheckRange(doc, n, "body", s.Limits.Body, 0, MaxBody)
+	document.CheckRange(doc, n, "answer", s.Limits.Answer, 1, MaxBody)
+	document.CheckRange(doc, n, "requests", s.Limits.Requests, 1, MaxRequests)
+	document.CheckRange(doc, n, "records", s.Limits.Records, 1, MaxRecords)
 }
--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -21,29 +21,29 @@
 	// DefaultGrace is what process supervisors commonly allow between the
 	// termination signal and the kill.
 	DefaultGrace = 30 * clock.Second
-	// DefaultPoll keeps a change in force within seconds when a watch is lost.
-	DefaultPoll = 5 * clock.Second
-	// DefaultFresh is the time within which today's operators want an edit in
+	// DefaultPollInterval keeps a change in force within seconds when a watch is lost.
+	DefaultPollInterval = 5 * clock.Second
+	// DefaultMaxStaleness is the time within which today's operators want an edit in
 	// force.
-	DefaultFresh = 2 * clock.Second
-	// DefaultBeat is the heartbeat interval of links. Two missed ones within a
+	DefaultMaxStaleness = 2 * clock.Second
+	// DefaultHeartbeatInterval is the heartbeat interval of links. Two missed ones within a
 	// second show a lost path well before a request's usual deadline of 2 s,
 	// and at 200 bytes both ways it leaves room for some links in 2 KB/s.
-	DefaultBeat = 500 * clock.Millis(1)
+	DefaultHeartbeatInterval = 500 * clock.Millis(1)
 	// DefaultLog shows each decision and no single request.
 	DefaultLog = "info"
 )
 
 func defaults() Settings {
 	return Settings{
-		Platform: Platform{Form: FormTable, Fresh: DefaultFresh, Poll: DefaultPoll},
+		Platform: Platform{Form: FormTable, MaxStaleness: DefaultMaxStaleness, PollInterval: DefaultPollInterval},
 		Policy: Policy{
 			Caution: table.DefaultCaution,
 			Floor:   table.DefaultFloor,
 			Drain:   table.DefaultDrain,
 			Retries: table.DefaultRetryRatio,
 		},
-		Beat: DefaultBeat,
+		HeartbeatInterval: DefaultHeartbeatInterval,
 		Limits: Limits{
 			Body:     DefaultBody,
 			Answer:   DefaultAnswer,
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -37,8 +37,8 @@
 	// Policy is what a platform that publishes no table of this project's
 	// leaves open.
 	Policy Policy `toml:"policy"`
-	// Beat is the interval of heartbeats on links.
-	Beat clock.Millis `toml:"beat"`
+	// HeartbeatInterval is the interval of heartbeats on links.
+	HeartbeatInterval clock.Millis `toml:"beat"`
 	// Grace bounds a shutdown: requests in flight have this long to end.
 	Grace clock.Millis `toml:"grace"`
 	// Linger is how long a leaving node takes callers' requests at least: those
@@ -72,11 +72,11 @@
 	Address string `toml:"address"`
 	// Form is what the platform publishes: FormTable or FormStore.
 	Form string `toml:"form"`
-	// Fresh is how old what is known may be at most while the platform answers.
-	Fresh clock.Millis `toml:"fresh"`
-	// Poll is about the longest that a node waits between two reads of a FormTable
+	// MaxStaleness is how old what is known may be at most while the platform answers.
+	MaxStaleness clock.Millis `toml:"fresh"`
+	// PollInterval is about the longest that a node waits between two reads of a FormTable
 	// platform that fail.
-	Poll clock.Millis `toml:"poll"`
+	PollInterval clock.Millis `toml:"poll"`
 }
 
 // The forms of a platform.
@@ -163,7 +163,7 @@
 		return errors.Annotate(err, "reading secretfile")
 	}
 	secret := strings.TrimRight(string(text), "\r\n")
-	if problem, ok := weakSecret(secret); !ok {
+	if problem, ok := secretProblem(secret); !ok {
 		return document.Faults{{Where: "secretfile " + s.SecretFile, Problem: problem, Allowed: secretAllowed()}}
 	}
 	s.Secret = secret
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("got %v, want settings", err)
 	}
 	want := settings.Limits{Body: 1 << 20, Answer: 8 << 20, Requests: 4096, Records: 20000}
-	if got.Limits != want || got.Grace != 30*clock.Second || got.Log != "info" || got.Platform.Poll != 5*clock.Second {
+	if got.Limits != want || got.Grace != 30*clock.Second || got.Log != "info" || got.Platform.PollInterval != 5*clock.Second {
 		t.Errorf("got %+v, want the defaults", got)
 	}
 	if got.Node != "palermo-1" || got.Listen.Link != "10.0.0.1:7000" || len(got.Peers) != 1 {
--- a/table/account.go
+++ b/table/account.go
@@ -79,7 +79,7 @@
 }
 
 func (c *checker) account(n *document.Node, a *Account) {
-	c.doc.Name(n, "name", a.Name)
+	c.doc.CheckName(n, "name", a.Name)
 	if a.Name != "" {
 		c.checkUnique(c.accounts, n, "name", a.Name, "a name that no other account has")
 	}
@@ -94,9 +94,9 @@
 		}
 		c.checkUnique(c.keys, n, "keys", digest, "a key that no other account has")
 	}
-	document.Within(c.doc, n, "rate", a.Rate, 0, MaxRate)
-	document.Within(c.doc, n, "burst", a.Burst, 0, MaxRate)
-	document.Within(c.doc, n, "priority", a.Priority, RoutePriority, MaxPriority)
+	document.CheckRange(c.doc, n, "rate", a.Rate, 0, MaxRate)
+	document.CheckRange(c.doc, n, "burst", a.Burst, 0, MaxRate)
+	document.CheckRange(c.doc, n, "priority", a.Priority, RoutePriority, MaxPriority)
 }
 
 func isDigest(text string) bool {
--- a/table/check.go
+++ b/table/check.go
@@ -106,7 +106,7 @@
 func (c *checker) domains(n *document.Node) {
 	seen := make(map[string]int)
 	for _, name := range c.table.Domains {
-		c.doc.Name(n, "domains", name)
+		c.doc.CheckName(n, "domains", name)
 		c.checkUnique(seen, n, "domains", name, "each failure domain once")
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 func (c *checker) service(n *document.Node, s *Service) {
-	c.doc.Name(n, "name", s.Name)
+	c.doc.CheckName(n, "name", s.Name)
 	if s.Name != "" {
 		c.checkUnique(c.services, n, "name", s.Name, "a name that no other service has")
 	}
@@ -134,18 +134,18 @@
 	default:
 		c.doc.Refuse(n, "caution", document.Quote(string(s.Caution)), "fast, balanced, cautious, brief")
 	}
-	document.Within(c.doc, n, "floor", s.Floor, 0, 1)
-	c.doc.Span(n, "deadline", s.Deadline, MinDeadline, MaxDeadline)
+	document.CheckRange(c.doc, n, "floor", s.Floor, 0, 1)
+	c.doc.CheckDuration(n, "deadline", s.Deadline, MinDeadline, MaxDeadline)
 	if s.ProbePath != "" && !strings.HasPrefix(s.ProbePath, "/") {
 		c.doc.Refuse(n, "probe", document.Quote(s.ProbePath), "a path that begins with /")
 	}
-	c.doc.Span(n, "drain", s.Drain, 0, MaxDrain)
-	document.Within(c.doc, n, "queue", s.Queue, 0, MaxQueue)
-	document.Within(c.doc, n, "retries", s.RetryRatio, 0, 1)
-	document.Within(c.doc, n, "extra", s.ExtraRetries, 0, MaxExtraRetries)
-	c.doc.Span(n, "window", s.RetryWindow, 0, MaxRetryWindow)
-	document.Within(c.doc, n, "rate", s.Rate, 0, MaxRate)
-	document.Within(c.doc, n, "quota", s.CallerRate, 0, MaxRate)
+	c.doc.CheckDuration(n, "drain", s.Drain, 0, MaxDrain)
+	document.CheckRange(c.doc, n, "queue", s.Queue, 0, MaxQueue)
+	document.CheckRange(c.doc, n, "retries", s.RetryRatio, 0, 1)
+	document.CheckRange(c.doc, n, "extra", s.ExtraRetries, 0, MaxExtraRetries)
+	c.doc.CheckDuration(n, "window", s.RetryWindow, 0, MaxRetryWindow)
+	document.CheckRange(c.doc, n, "rate", s.Rate, 0, MaxRate)
+	document.CheckRange(c.doc, n, "quota", s.CallerRate, 0, MaxRate)
 	CheckFingerprints(c.doc, n, s.LiftedFingerprints)
 	c.objective(n.Field("objective"), s)
 	if len(s.Upstreams) == 0 {
@@ -173,33 +173,33 @@
 }
 
 func (c *checker) objective(n *document.Node, s *Service) {
-	document.Between(c.doc, n, "availability", s.Objective.Availability, 0, 1)
-	document.Between(c.doc, n, "within", s.Objective.LatencyRatio, 0, 1)
+	document.CheckOpenRange(c.doc, n, "availability", s.Objective.Availability, 0, 1)
+	document.CheckOpenRange(c.doc, n, "within", s.Objective.LatencyRatio, 0, 1)
 	if s.Deadline >= MinDeadline {
-		c.doc.Span(n, "latency", s.Objective.Latency, 1, s.Deadline)
+		c.doc.CheckDuration(n, "latency", s.Objective.Latency, 1, s.Deadline)
 	}
 }
 
 func (c *checker) upstream(n *document.Node, u *Upstream) {
-	c.doc.Name(n, "name", u.Name)
+	c.doc.CheckName(n, "name", u.Name)
 	if u.Name != "" {
 		c.checkUnique(c.upstreams, n, "name", u.Name, "a name that no other upstream of the table has")
 	}
-	if c.doc.Address(n, "address", u.Address) {
+	if c.doc.CheckAddress(n, "address", u.Address) {
 		c.checkUnique(c.addresses, n, "address", u.Address, "an address that no other upstream has")
 	}
-	c.doc.Address(n, "node", u.Node)
-	c.doc.Name(n, "domain", u.Domain)
+	c.doc.CheckAddress(n, "node", u.Node)
+	c.doc.CheckName(n, "domain", u.Domain)
 	if known := c.table.Domains; u.Domain != "" && len(known) > 0 && !slices.Contains(known, u.Domain) {
 		c.doc.Refuse(n, "domain", document.Quote(u.Domain), "one of domains: "+strings.Join(known, ", "))
 	}
 	if len(u.Version) > MaxVersion {
 		c.doc.Refuse(n, "version", document.Quote(u.Version), fmt.Sprintf("at most %d characters", MaxVersion))
 	}
-	document.Within(c.doc, n, "weight", u.Weight, 0, MaxWeight)
-	document.Within(c.doc, n, "slots", u.Slots, 1, MaxSlots)
+	document.CheckRange(c.doc, n, "weight", u.Weight, 0, MaxWeight)
+	document.CheckRange(c.doc, n, "slots", u.Slots, 1, MaxSlots)
 	if u.Slots >= 1 && u.Slots <= MaxSlots {
-		document.Within(c.doc, n, "connections", u.Connections, u.Slots, MaxConnections)
+		document.CheckRange(c.doc, n, "connections", u.Connections, u.Slots, MaxConnections)
 	}
 }
 
@@ -247,10 +247,10 @@
 			fmt.Sprintf("a path that begins with '/', without empty or dot segments, '?', '#' or spaces, at most %d bytes", MaxPrefix))
 	}
 	c.shares(n, r)
-	c.doc.Span(n, "timeout", r.Timeout, 0, MaxDeadline)
-	c.doc.Span(n, "target", r.LatencyTarget, 0, MaxDeadline)
-	document.Within(c.doc, n, "attempts", r.MaxAttempts, 0, MaxAttempts)
-	document.Within(c.doc, n, "priority", r.Priority, 0, MaxPriority)
+	c.doc.CheckDuration(n, "timeout", r.Timeout, 0, MaxDeadline)
+	c.doc.CheckDuration(n, "target", r.LatencyTarget, 0, MaxDeadline)
+	document.CheckRange(c.doc, n, "attempts", r.MaxAttempts, 0, MaxAttempts)
+	document.CheckRange(c.doc, n, "priority", r.Priority, 0, MaxPriority)
 	for _, m := range r.Repeatable {
 		if m != AnyMethod && !slices.Contains(methods, m) {
 			c.doc.Refuse(n, "repeatable", document.Quote(m), strings.Join(methods, ", "))
@@ -271,7 +271,7 @@
 	for i := range r.Shares {
 		at := n.Field("share").Item(i)
 		c.checkServiceExists(at, r.Shares[i].Service)
-		document.Within(c.doc, at, "weight", r.Shares[i].Weight, 0, MaxWeight)
+		document.CheckRange(c.doc, at, "weight", r.Shares[i].Weight, 0, MaxWeight)
 		weight += max(r.Shares[i].Weight, 0)
 	}
 	if weight == 0 {
@@ -318,7 +318,7 @@
 		c.doc.Refuse(n, "name", document.Quote(k.Name),
 			fmt.Sprintf("1 to %d printable characters without spaces", MaxCallerName))
 	}
-	document.Within(c.doc, n, "rate", k.Rate, 0, MaxRate)
+	document.CheckRange(c.doc, n, "rate", k.Rate, 0, MaxRate)
 }
 
 func isCallerName(s string) bool {
