--- a/capacity/ends.go
+++ b/capacity/ends.go
@@ -11,8 +11,8 @@
 	"github.com/juju/errors"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
 	"fuchsiapick.example/fuchsiapick/link"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/path"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -134,7 +134,7 @@
 	carried := &atomic.Int64{}
 	server := link.NewServer(link.ServerConfig{
 		Identity: identity(address, 1), MaxFrame: frameLimit, HeartbeatInterval: every, Now: clock.NewSystem().Now,
-		Handler: handler, Log: lines.Silent(),
+		Handler: handler, Log: logging.Silent(),
 	})
 	served := make(chan struct{})
 	go func() {
--- a/capacity/entries.go
+++ b/capacity/entries.go
@@ -12,8 +12,8 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/entry"
 	"fuchsiapick.example/fuchsiapick/limit"
-	"fuchsiapick.example/fuchsiapick/lines"
 	"fuchsiapick.example/fuchsiapick/link"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -146,7 +146,7 @@
 func newEntry(pool *ants.Pool) *entry.Entry {
 	return entry.New(entry.Config{
 		Domain: "domain-1", Incarnation: 1, Seed: 1, Now: clock.NewSystem().Now, Pool: pool, Recorder: discardJournal{},
-		GateClient: func(table.Upstream) entry.GateClient { return instantTarget{} }, Log: lines.Silent(),
+		GateClient: func(table.Upstream) entry.GateClient { return instantTarget{} }, Log: logging.Silent(),
 	})
 }
 
--- a/capacity/gates.go
+++ b/capacity/gates.go
@@ -11,7 +11,7 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/gate"
 	"fuchsiapick.example/fuchsiapick/lease"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -81,7 +81,7 @@
 			Domain: "domain-1", Weight: 1, Slots: 7, Connections: 7,
 		},
 		Incarnation: 1, Seed: uint64(i), Now: func() clock.Millis { return hour },
-		Backend: backend, Pool: pool, Journal: discardJournal{}, Log: lines.Silent(),
+		Backend: backend, Pool: pool, Journal: discardJournal{}, Log: logging.Silent(),
 	})
 }
 
--- a/capacity/links.go
+++ b/capacity/links.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
 	"fuchsiapick.example/fuchsiapick/link"
+	"fuchsiapick.example/fuchsiapick/logging"
 )
 
 // links measures what open links cost. They have both ends in this
@@ -130,7 +130,7 @@
 func peer(address string, number int, every clock.Millis, now func() clock.Millis, watcher *heartbeatCounter) *link.Peer {
 	return link.NewPeer(link.PeerConfig{
 		Address: address, Self: identity(ip(number)+":7000", number), MaxFrame: frameLimit, MaxReplyBody: frameLimit,
-		HeartbeatInterval: every, Seed: uint64(number), Now: now, Status: watcher.Status, Observer: watcher, Log: lines.Silent(),
+		HeartbeatInterval: every, Seed: uint64(number), Now: now, Status: watcher.Status, Observer: watcher, Log: logging.Silent(),
 	})
 }
 
--- a/capacity/whole.go
+++ b/capacity/whole.go
@@ -9,7 +9,7 @@
 
 	"github.com/juju/errors"
 
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/node"
 	"fuchsiapick.example/fuchsiapick/settings"
 	"fuchsiapick.example/fuchsiapick/table"
@@ -110,7 +110,7 @@
 		return 0, errors.Annotate(err, "the node's table")
 	}
 	before := liveBytes()
-	n, err := node.New(node.Config{Settings: s, Log: lines.Silent()})
+	n, err := node.New(node.Config{Settings: s, Log: logging.Silent()})
 	if err != nil {
 		return 0, errors.Annotate(err, "making the node")
 	}
--- a/cmd/nodecmd.go
+++ b/cmd/nodecmd.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/node"
 	"fuchsiapick.example/fuchsiapick/settings"
 )
@@ -73,23 +73,23 @@
 
 // newLog returns a log in JSON lines that never blocks, what it leaves out, and what
 // ends it.
-func newLog(out io.Writer, level string) (*logrus.Logger, lines.DropCounts, func(), error) {
+func newLog(out io.Writer, level string) (*logrus.Logger, logging.DropCounts, func(), error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, lines.DropCounts{}, nil, err
+		return nil, logging.DropCounts{}, nil, err
 	}
-	writer := lines.NewWriter(out)
-	limiter := lines.NewLimiter(
+	writer := logging.NewWriter(out)
+	limiter := logging.NewLimiter(
 		&logrus.JSONFormatter{FieldMap: logrus.FieldMap{logrus.FieldKeyMsg: "message"}, TimestampFormat: time.RFC3339Nano},
-		lines.DefaultRate, time.Now)
+		logging.DefaultRate, time.Now)
 	log := logrus.New()
 	log.SetOutput(writer)
 	log.SetLevel(parsed)
 	log.SetFormatter(limiter)
 	done := make(chan struct{})
 	var group sync.WaitGroup
-	group.Go(func() { lines.Report(done, log, writer, limiter) })
-	return log, lines.DropCounts{Writer: writer, Limiter: limiter}, func() {
+	group.Go(func() { logging.Report(done, log, writer, limiter) })
+	return log, logging.DropCounts{Writer: writer, Limiter: limiter}, func() {
 		close(done)
 		group.Wait()
 		log.SetOutput(io.Discard) // what still logs comes too late
--- a/embedding/example_edition_test.go
+++ b/embedding/example_edition_test.go
@@ -3,29 +3,29 @@
 import (
 	"fmt"
 
-	"fuchsiapick.example/fuchsiapick/edition"
 	"fuchsiapick.example/fuchsiapick/table"
+	"fuchsiapick.example/fuchsiapick/versionguard"
 )
 
 // published is a text of some configuration with its version.
 type published struct {
 	version uint64
 	text    string
-	source  edition.Source
+	source  versionguard.Source
 }
 
 // member is a process that follows the configuration.
 type member struct {
-	fence *edition.VersionGuard
+	fence *versionguard.VersionGuard
 	text  string
 }
 
 // receiveUpdate takes in an edition that was read whole and checked. A version that is
 // merely heard of must not be offered: see edition.Offer.
-func (m *member) receiveUpdate(p published) edition.Decision {
-	offer := edition.Candidate{Version: p.version, Digest: table.Digest([]byte(p.text)), Source: p.source}
+func (m *member) receiveUpdate(p published) versionguard.Decision {
+	offer := versionguard.Candidate{Version: p.version, Digest: table.Digest([]byte(p.text)), Source: p.source}
 	verdict := m.fence.Propose(offer)
-	if verdict == edition.Accept {
+	if verdict == versionguard.Accept {
 		m.text = p.text
 	}
 	return verdict
@@ -36,17 +36,17 @@
 // configuration and never go back.
 func Example_edition() {
 	editions := []published{
-		{1, "floor = 0.5", edition.Platform},
-		{2, "floor = 0.6", edition.Platform},
-		{2, "floor = 0.7", edition.Platform}, // a second operator's edit
-		{1, "floor = 0.5", edition.Platform}, // a stale replica
+		{1, "floor = 0.5", versionguard.Platform},
+		{2, "floor = 0.6", versionguard.Platform},
+		{2, "floor = 0.7", versionguard.Platform}, // a second operator's edit
+		{1, "floor = 0.5", versionguard.Platform}, // a stale replica
 	}
-	one, other := member{fence: edition.New()}, member{fence: edition.New()}
+	one, other := member{fence: versionguard.New()}, member{fence: versionguard.New()}
 	for _, p := range editions {
 		one.receiveUpdate(p)
 	}
 	for i := len(editions) - 1; i >= 0; i-- {
-		editions[i].source = edition.Peer
+		editions[i].source = versionguard.Peer
 		other.receiveUpdate(editions[i])
 	}
 	fmt.Println("same text:", one.text == other.text)
--- a/entry/identity_test.go
+++ b/entry/identity_test.go
@@ -11,8 +11,8 @@
 
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/entry"
-	"fuchsiapick.example/fuchsiapick/lines"
 	"fuchsiapick.example/fuchsiapick/link"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -41,7 +41,7 @@
 		{Name: "c1", Node: "c1", Domain: "palermo", Weight: 100, Slots: 9},
 	}}
 	e := entry.New(entry.Config{
-		Domain: "palermo", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: lines.Silent(),
+		Domain: "palermo", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: logging.Silent(),
 		Headers:    entry.DefaultHeaders(),
 		GateClient: func(table.Upstream) entry.GateClient { return d },
 	})
--- a/entry/invitation_test.go
+++ b/entry/invitation_test.go
@@ -6,7 +6,7 @@
 
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/entry"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -73,7 +73,7 @@
 	system := clock.NewSystem().Now
 	c.entry = entry.New(entry.Config{
 		Domain: "catania", Now: func() clock.Millis { return system() + clock.Hour },
-		Pool: newPool(t), Recorder: journal{}, Log: lines.Silent(),
+		Pool: newPool(t), Recorder: journal{}, Log: logging.Silent(),
 		GateClient: func(u table.Upstream) entry.GateClient { return c.ways[u.Name] },
 	})
 	return c
--- a/entry/member.go
+++ b/entry/member.go
@@ -4,8 +4,8 @@
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/choice"
 	"fuchsiapick.example/fuchsiapick/clock"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/floor"
-	"fuchsiapick.example/fuchsiapick/grade"
 	"fuchsiapick.example/fuchsiapick/health"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
@@ -44,7 +44,7 @@
 // isEjected reports a verdict that the floor decides about.
 func (m *member) isEjected(now clock.Millis, brief bool) bool {
 	if brief {
-		return m.severity(now, brief) >= grade.EjectThreshold
+		return m.severity(now, brief) >= episode.EjectThreshold
 	}
 	return m.hasEjectVerdict(now)
 }
@@ -53,7 +53,7 @@
 // what is usual while nothing is heard.
 func (m *member) severity(now clock.Millis, brief bool) float64 {
 	if brief {
-		return grade.Drift(m.state.Severity, now-m.updatedAt)
+		return episode.Drift(m.state.Severity, now-m.updatedAt)
 	}
 	return m.state.Severity
 }
--- a/entry/paces.go
+++ b/entry/paces.go
@@ -5,7 +5,7 @@
 	"strings"
 	"sync"
 
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/retry"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
@@ -19,24 +19,24 @@
 // It is safe for concurrent use.
 type latencyProfiles struct {
 	mu      sync.Mutex
-	byRoute map[string]*grade.LatencyProfile
+	byRoute map[string]*episode.LatencyProfile
 	// failures is how upstreams fail, by service.
-	failures map[string]*grade.FailureModes
+	failures map[string]*episode.FailureModes
 }
 
 func newLatencyProfiles() *latencyProfiles {
-	return &latencyProfiles{byRoute: map[string]*grade.LatencyProfile{}, failures: map[string]*grade.FailureModes{}}
+	return &latencyProfiles{byRoute: map[string]*episode.LatencyProfile{}, failures: map[string]*episode.FailureModes{}}
 }
 
 // routeProfile returns that of a route. The lock is held.
-func (p *latencyProfiles) routeProfile(r *table.Route) *grade.LatencyProfile {
+func (p *latencyProfiles) routeProfile(r *table.Route) *episode.LatencyProfile {
 	key := strings.ToLower(r.Host) + r.Prefix
 	one, ok := p.byRoute[key]
 	if !ok {
 		if len(p.byRoute) >= maxProfiles {
 			clear(p.byRoute)
 		}
-		one = &grade.LatencyProfile{}
+		one = &episode.LatencyProfile{}
 		p.byRoute[key] = one
 	}
 	return one
@@ -44,9 +44,9 @@
 
 // typicalLatency is what the request's run usually takes; nothing is told where upstreams aren't
 // judged by it.
-func (r *request) typicalLatency() grade.TypicalLatency {
+func (r *request) typicalLatency() episode.TypicalLatency {
 	if r.config.Caution != table.ShortEpisodes {
-		return grade.TypicalLatency{}
+		return episode.TypicalLatency{}
 	}
 	p := r.entry.profiles
 	p.mu.Lock()
@@ -78,16 +78,16 @@
 	case o.kind != retry.Failed, o.reason == string(wire.ReasonCallerLeft):
 	case o.reason == string(wire.ReasonTimeout):
 		p.serviceFailures(r.serviceName).AddHung(1 - pace.Estimate(r.route.LatencyTarget).Survival(o.reply.Took))
-	case o.reply.Took < grade.ImmediateWindow:
+	case o.reply.Took < episode.ImmediateWindow:
 		p.serviceFailures(r.serviceName).AddImmediate(o.reply.Upstream.Severity)
 	}
 }
 
 // serviceFailures returns how a service fails. The lock is held.
-func (p *latencyProfiles) serviceFailures(service string) *grade.FailureModes {
+func (p *latencyProfiles) serviceFailures(service string) *episode.FailureModes {
 	f, ok := p.failures[service]
 	if !ok {
-		f = &grade.FailureModes{}
+		f = &episode.FailureModes{}
 		p.failures[service] = f
 	}
 	return f
@@ -97,5 +97,5 @@
 func (p *latencyProfiles) prune(named func(service string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.failures, func(service string, _ *grade.FailureModes) bool { return !named(service) })
+	maps.DeleteFunc(p.failures, func(service string, _ *episode.FailureModes) bool { return !named(service) })
 }
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -7,7 +7,7 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/entry"
 	"fuchsiapick.example/fuchsiapick/health"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -15,7 +15,7 @@
 // An upstream that was set aside is another process now, under the same name. What its
 // gate said of the one before must not keep requests from it.
 func TestAnotherProcessIsAnotherUpstream(t *testing.T) {
-	log := lines.Silent()
+	log := logging.Silent()
 	e := entry.New(entry.Config{
 		Now: clock.NewSystem().Now, Recorder: access.New(access.Config{}), Log: log,
 		GateClient: func(table.Upstream) entry.GateClient { return &desk{} },
--- a/entry/service.go
+++ b/entry/service.go
@@ -9,8 +9,8 @@
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/choice"
 	"fuchsiapick.example/fuchsiapick/clock"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/floor"
-	"fuchsiapick.example/fuchsiapick/grade"
 	"fuchsiapick.example/fuchsiapick/health"
 	"fuchsiapick.example/fuchsiapick/quarantine"
 	"fuchsiapick.example/fuchsiapick/resend"
@@ -46,7 +46,7 @@
 	dirty              bool
 	recheckAt          clock.Millis // when the first hold-off ends; 0 without one
 	uses               []floor.Use
-	reach              grade.LinkCount
+	reach              episode.LinkCount
 	membership         *resend.Membership
 	nodes              map[string]GateClient // the ways to the roster's
 
--- a/entry/survey_test.go
+++ b/entry/survey_test.go
@@ -10,8 +10,8 @@
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/entry"
-	"fuchsiapick.example/fuchsiapick/lines"
 	"fuchsiapick.example/fuchsiapick/link"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -136,7 +136,7 @@
 		s.Upstreams = append(s.Upstreams, table.Upstream{Name: d.name, Node: d.name, Domain: "palermo", Weight: 100, Slots: 1})
 	}
 	e := entry.New(entry.Config{
-		Domain: "catania", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: lines.Silent(),
+		Domain: "catania", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: logging.Silent(),
 		GateClient: func(u table.Upstream) entry.GateClient { return ways[u.Name] },
 	})
 	e.Update(table.Index(table.Table{
--- a/grade/filter.go
+++ b/episode/filter.go
@@ -7,7 +7,7 @@
 // that its upstream is in an episode: each run weighs by how much likelier it is in
 // an episode what has become of it so far, and time alone draws the probability
 // back to what is usual. It reads no clock and does no I/O.
-package grade
+package episode
 
 import (
 	"math"
--- a/grade/grade_test.go
+++ b/episode/grade_test.go
@@ -1,4 +1,4 @@
-package grade_test
+package episode_test
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 	"testing"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
@@ -21,16 +21,16 @@
 		failures, spans := make([]int, 0, 400), make([]clock.Millis, 0, 400)
 		for seed := range uint64(400) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			f := grade.New(0)
+			f := episode.New(0)
 			now := run(r, f, 0, 20*clock.Second, perSecond, 0.012)
 			began, failed := now, 0
-			for f.Probability(now) < grade.EjectThreshold {
+			for f.Probability(now) < episode.EjectThreshold {
 				now += gap(r, perSecond)
 				if r.Float64() < 0.85 {
 					failed++
-					f.Observe(now, grade.Failed)
+					f.Observe(now, episode.Failed)
 				} else {
-					f.Observe(now, grade.Good)
+					f.Observe(now, episode.Good)
 				}
 			}
 			failures = append(failures, failed)
@@ -54,10 +54,10 @@
 	aside, total := clock.Millis(0), clock.Millis(0)
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		f := grade.New(0)
+		f := episode.New(0)
 		for now := clock.Millis(0); now < 5*clock.Minute; {
 			step := gap(r, 5)
-			if f.Probability(now) >= grade.EjectThreshold {
+			if f.Probability(now) >= episode.EjectThreshold {
 				aside += step
 			}
 			total += step
@@ -73,14 +73,14 @@
 // An episode is over, and the upstream gets trials only. Two or three that
 // succeed must bring it back, or half of the service's capacity lies idle.
 func TestTwoOrThreeGoodTrialsBringBack(t *testing.T) {
-	f := grade.New(0)
+	f := episode.New(0)
 	for now := clock.Millis(0); now < 5*clock.Second; now += clock.Second {
-		f.Observe(now, grade.Failed)
+		f.Observe(now, episode.Failed)
 	}
 	now, good := 5*clock.Second, 0
-	for f.Probability(now) >= grade.EjectThreshold {
+	for f.Probability(now) >= episode.EjectThreshold {
 		now += clock.Second
-		f.Observe(now, grade.Good)
+		f.Observe(now, episode.Good)
 		good++
 	}
 	if good < 2 || good > 4 {
@@ -91,16 +91,16 @@
 // Nothing is heard of an upstream, as its service gets no requests. A verdict
 // that stayed would outlive the episode; it fades to what is usual.
 func TestVerdictFadesWithoutNews(t *testing.T) {
-	f := grade.New(0)
-	f.Observe(1, grade.Failed)
-	f.Observe(2, grade.Failed)
-	if got := f.Probability(3); got < grade.EjectThreshold {
+	f := episode.New(0)
+	f.Observe(1, episode.Failed)
+	f.Observe(2, episode.Failed)
+	if got := f.Probability(3); got < episode.EjectThreshold {
 		t.Fatalf("got %.3f after two failures, want it set aside", got)
 	}
-	if got := f.Probability(clock.Minute); got >= grade.EjectThreshold {
+	if got := f.Probability(clock.Minute); got >= episode.EjectThreshold {
 		t.Errorf("got %.3f after a minute without news, want it in use", got)
 	}
-	if got, want := grade.Drift(f.Probability(3), 10*clock.Second), f.Probability(3+10*clock.Second); got-want > 1e-9 || want-got > 1e-9 {
+	if got, want := episode.Drift(f.Probability(3), 10*clock.Second), f.Probability(3+10*clock.Second); got-want > 1e-9 || want-got > 1e-9 {
 		t.Errorf("got %v from the figure told, %v at the gate; want them equal", got, want)
 	}
 }
@@ -108,7 +108,7 @@
 // A set aside upstream must not get a herd of trials when all entries find it due
 // at once, nor work that can't be sent again.
 func TestTrialsAreSpacedAndRepeatable(t *testing.T) {
-	var trials grade.Trials
+	var trials episode.Trials
 	admitted := 0
 	for now := clock.Millis(0); now < 10*clock.Second; now += 10 {
 		if trials.Admit(now, 0.99, false) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func run(r *rand.Rand, f *grade.Filter, now, until clock.Millis, perSecond, failing float64) clock.Millis {
+func run(r *rand.Rand, f *episode.Filter, now, until clock.Millis, perSecond, failing float64) clock.Millis {
 	for now < until {
 		now += gap(r, perSecond)
 		observe(r, f, now, failing)
@@ -131,10 +131,10 @@
 	return now
 }
 
-func observe(r *rand.Rand, f *grade.Filter, now clock.Millis, failing float64) {
-	result := grade.Good
+func observe(r *rand.Rand, f *episode.Filter, now clock.Millis, failing float64) {
+	result := episode.Good
 	if r.Float64() < failing {
-		result = grade.Failed
+		result = episode.Failed
 	}
 	f.Observe(now, result)
 }
@@ -146,16 +146,16 @@
 // An upstream hangs. Two runs without an answer, beside the good ones of before,
 // must be enough to set it aside; one alone may be a slow call that it made.
 func TestHangIsFoundInTwoOverdueRuns(t *testing.T) {
-	f := grade.New(0)
+	f := episode.New(0)
 	now := clock.Millis(0)
 	for range 20 {
 		now += 200
-		f.Observe(now, grade.Good)
+		f.Observe(now, episode.Good)
 	}
 	overdue := 0
-	for f.Probability(now) < grade.EjectThreshold && overdue < 10 {
+	for f.Probability(now) < episode.EjectThreshold && overdue < 10 {
 		now += 300
-		f.Observe(now, grade.Overdue)
+		f.Observe(now, episode.Overdue)
 		overdue++
 	}
 	if overdue != 2 {
@@ -164,13 +164,13 @@
 }
 
 // typical is a route whose runs take about half a second.
-var typical = grade.TypicalLatency{Median: 500, Spread: 0.5}
+var typical = episode.TypicalLatency{Median: 500, Spread: 0.5}
 
 // The age of a run is told before its end, which may come seconds later. The outcome must not
 // count for more than it does alone.
 func TestAgeIsAnAdvanceOnTheOutcome(t *testing.T) {
-	for _, r := range []grade.Result{grade.Good, grade.Failed, grade.Broken, grade.Overdue, grade.Neutral} {
-		looked, whole := grade.New(0), grade.New(0)
+	for _, r := range []episode.Result{episode.Good, episode.Failed, episode.Broken, episode.Overdue, episode.Neutral} {
+		looked, whole := episode.New(0), episode.New(0)
 		one, other := looked.Begin(0, typical), whole.Begin(0, typical)
 		for now := clock.Millis(0); now < 600; now += 50 {
 			looked.Probability(now)
@@ -186,11 +186,11 @@
 // While upstreams fail at once, a run that lasts speaks for its own; where they hang, it must
 // not. Which of the two it is shows in their failures, and no setting tells.
 func TestLastingRunsSpeakForUpstreamsThatFailAtOnce(t *testing.T) {
-	sudden, hanging := grade.New(0), grade.New(0)
+	sudden, hanging := episode.New(0), episode.New(0)
 	for now := clock.Millis(0); now < 10*clock.Second; now += clock.Second {
-		sudden.Observe(now, grade.Failed)
+		sudden.Observe(now, episode.Failed)
 		r := hanging.Begin(now, typical)
-		hanging.End(now+3900, r, grade.Stopped)
+		hanging.End(now+3900, r, episode.Stopped)
 	}
 	now := clock.Minute
 	before := sudden.Probability(now)
@@ -226,17 +226,17 @@
 }
 
 // hanging tells that failing runs hang, as entries have seen at others.
-var hanging = grade.TypicalLatency{Median: typical.Median, Spread: typical.Spread, HangShare: 96}
+var hanging = episode.TypicalLatency{Median: typical.Median, Spread: typical.Spread, HangShare: 96}
 
 // hangFound plays an upstream that hangs after ten seconds, and returns how long it took until
 // it was set aside.
 func hangFound(r *rand.Rand, perSecond float64) clock.Millis {
 	const onset = 10 * clock.Second
 	type running struct {
-		run  *grade.Run
+		run  *episode.Run
 		ends clock.Millis
 	}
-	f := grade.New(0)
+	f := episode.New(0)
 	var runs []running
 	next := gap(r, perSecond)
 	for now := clock.Millis(0); ; now++ {
@@ -244,7 +244,7 @@
 			if one.ends > now {
 				return false
 			}
-			f.End(now, one.run, grade.Good)
+			f.End(now, one.run, episode.Good)
 			return true
 		})
 		if now == next {
@@ -255,7 +255,7 @@
 			runs = append(runs, running{f.Begin(now, hanging), ends})
 			next += gap(r, perSecond)
 		}
-		if now > onset && now%10 == 0 && f.Probability(now) >= grade.EjectThreshold {
+		if now > onset && now%10 == 0 && f.Probability(now) >= episode.EjectThreshold {
 			return now - onset
 		}
 	}
@@ -267,12 +267,12 @@
 	aside, total := 0, 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 8))
-		f := grade.New(0)
-		ends := map[*grade.Run]clock.Millis{}
+		f := episode.New(0)
+		ends := map[*episode.Run]clock.Millis{}
 		for now := clock.Millis(0); now < clock.Minute; now += 10 {
 			for run, at := range ends {
 				if at <= now {
-					f.End(now, run, grade.Good)
+					f.End(now, run, episode.Good)
 					delete(ends, run)
 				}
 			}
@@ -284,7 +284,7 @@
 				ends[f.Begin(now, typical)] = now + clock.Millis(took)
 			}
 			total++
-			if f.Probability(now) >= grade.EjectThreshold {
+			if f.Probability(now) >= episode.EjectThreshold {
 				aside++
 			}
 		}
@@ -297,7 +297,7 @@
 // A route's runs take a millisecond though its target is a second. The guess from the target must
 // give way to what is seen, or a hang of a tenth of a second looks like nothing.
 func TestPaceFollowsWhatIsSeen(t *testing.T) {
-	var p grade.LatencyProfile
+	var p episode.LatencyProfile
 	if got := p.Estimate(clock.Second); got.Median < 200 || got.Median > 500 {
 		t.Errorf("got a median of %v before any run, want a part of the target", got.Median)
 	}
@@ -308,7 +308,7 @@
 	if got := p.Estimate(clock.Second); got.Median > 3 || got.Survival(100) > 0.02 {
 		t.Errorf("got %+v, %.3f of the runs beyond 100 ms; want a few milliseconds and hardly any", got, got.Survival(100))
 	}
-	if got := new(grade.LatencyProfile).Estimate(0); got.IsKnown() {
+	if got := new(episode.LatencyProfile).Estimate(0); got.IsKnown() {
 		t.Errorf("got %+v of a route without target and runs, want nothing known", got)
 	}
 }
@@ -317,21 +317,21 @@
 // over may wait for a heartbeat.
 func TestNewsAreWorseOrBack(t *testing.T) {
 	tests := []struct {
-		before, now grade.Level
+		before, now episode.Level
 		want        bool
 	}{
-		{grade.Healthy, grade.Suspected, true},
-		{grade.Suspected, grade.Failing, true},
-		{grade.Healthy, grade.CertainlyFailing, true},
-		{grade.Failing, grade.CertainlyFailing, false},
-		{grade.CertainlyFailing, grade.Failing, false},
-		{grade.CertainlyFailing, grade.Suspected, true},
-		{grade.Failing, grade.Healthy, true},
-		{grade.Suspected, grade.Healthy, false},
-		{grade.Healthy, grade.Healthy, false},
+		{episode.Healthy, episode.Suspected, true},
+		{episode.Suspected, episode.Failing, true},
+		{episode.Healthy, episode.CertainlyFailing, true},
+		{episode.Failing, episode.CertainlyFailing, false},
+		{episode.CertainlyFailing, episode.Failing, false},
+		{episode.CertainlyFailing, episode.Suspected, true},
+		{episode.Failing, episode.Healthy, true},
+		{episode.Suspected, episode.Healthy, false},
+		{episode.Healthy, episode.Healthy, false},
 	}
 	for _, tt := range tests {
-		if got := grade.ShouldAnnounce(tt.before, tt.now); got != tt.want {
+		if got := episode.ShouldAnnounce(tt.before, tt.now); got != tt.want {
 			t.Errorf("from %d to %d: got news %v, want %v", tt.before, tt.now, got, tt.want)
 		}
 	}
@@ -340,7 +340,7 @@
 // An upstream loses some of its answers. That breaks connections, as a link between or
 // a node that ends does, and must weigh less than a failure that it tells itself.
 func TestTornAnswersWeighLess(t *testing.T) {
-	told, torn := grade.NewDetector(), grade.NewDetector()
+	told, torn := episode.NewDetector(), episode.NewDetector()
 	told.Observe(1, health.Observation{Result: health.Failed})
 	torn.Observe(1, health.Observation{Result: health.Failed, IsTruncated: true})
 	if got, most := torn.Status(1).Severity, told.Status(1).Severity; got >= most {
--- a/grade/level.go
+++ b/episode/level.go
@@ -1,4 +1,4 @@
-package grade
+package episode
 
 // Level sorts probabilities for those who are told of changes.
 type Level uint8
--- a/grade/reach.go
+++ b/episode/reach.go
@@ -1,4 +1,4 @@
-package grade
+package episode
 
 import (
 	"math"
--- a/grade/reach_test.go
+++ b/episode/reach_test.go
@@ -1,10 +1,10 @@
-package grade_test
+package episode_test
 
 import (
 	"testing"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 )
 
 // A gate that nobody chooses invites whoever has a link to it. Entries that send many
@@ -23,7 +23,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var r grade.LinkCount
+			var r episode.LinkCount
 			for now := clock.Hour; now < clock.Hour+20*clock.Second; now += tt.gap {
 				got := r.RecordRequest(now)
 				if now == clock.Hour && got == 0 {
@@ -39,7 +39,7 @@
 
 // Callers sleep, and wake. What their requests were an hour ago says nothing.
 func TestReachBeginsAnewAfterAPause(t *testing.T) {
-	var r grade.LinkCount
+	var r episode.LinkCount
 	now := clock.Hour
 	for ; now < clock.Hour+10*clock.Second; now += 20 {
 		r.RecordRequest(now)
--- a/grade/trials_test.go
+++ b/episode/trials_test.go
@@ -1,11 +1,11 @@
-package grade_test
+package episode_test
 
 import (
 	"math/rand/v2"
 	"testing"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 )
 
 // Only 20 of 81 entries have requests for a service that other backend servers
@@ -18,7 +18,7 @@
 		const perSecond, stands = 33.0, clock.Second
 		random := rand.New(rand.NewPCG(uint64(senders), 0))
 		invited := make([]clock.Millis, senders)
-		var gate grade.Trials
+		var gate episode.Trials
 		trials, turn := 0, 0
 		for now := clock.Millis(1); now <= 2*clock.Minute; now++ {
 			if now%100 == 0 && gate.Due(now, 0.99) {
@@ -50,7 +50,7 @@
 // of it fades to doubt, so that nobody chooses it; it isn't set aside either, and
 // would never be tried again.
 func TestIdleUpstreamWantsARequest(t *testing.T) {
-	var trials grade.Trials
+	var trials episode.Trials
 	trials.RecordStart(1000)
 	for _, tt := range []struct {
 		at   clock.Millis
@@ -65,7 +65,7 @@
 // An upstream has recovered. After the first trial that succeeds the next ones
 // must not wait a second each, or it idles for four; one that fails slows them.
 func TestTrialsFollowOneThatSucceeded(t *testing.T) {
-	var trials grade.Trials
+	var trials episode.Trials
 	trials.Admit(1000, 0.99, true)
 	if got := trials.Due(1500, 0.99); got {
 		t.Error("got a trial due half a second after the last, want none")
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/node"
 	"fuchsiapick.example/fuchsiapick/platform"
 	"fuchsiapick.example/fuchsiapick/settings"
@@ -207,7 +207,7 @@
 	}
 	m.Node, err = node.New(node.Config{
 		Settings: s, Log: f.log, Listeners: listeners, KeyMargin: f.config.KeyMargin,
-		Store: &platform.Store{Address: s.Platform.Address}, LogDrops: lines.DropCounts{},
+		Store: &platform.Store{Address: s.Platform.Address}, LogDrops: logging.DropCounts{},
 	})
 	if err != nil {
 		return errors.Trace(err)
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -11,7 +11,7 @@
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/gate"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/quarantine"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
@@ -73,7 +73,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, isGone: tt.isGone}
-			log, told := lines.Silent(), make(lineHook, 8)
+			log, told := logging.Silent(), make(lineHook, 8)
 			log.AddHook(told)
 			journal := &retainedReply{}
 			now := clock.NewSystem().Now
@@ -249,7 +249,7 @@
 	told := make(chan struct{}, 8)
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		OnChange: func() { told <- struct{}{} },
 	})
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
@@ -303,7 +303,7 @@
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
 				Incarnation: incarnation, Now: now, Backend: &answers{answer: tt.answer, err: tt.err}, Pool: newPool(t), Journal: nobody{},
-				Keys: gate.NewKeyStore(now), Log: lines.Silent(), Crashes: s,
+				Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
 			})
 			replies := make(chan *wire.Reply, 1)
 			g.Handle(dispatch(1, "suspect"), func(r *wire.Reply) { replies <- r })
@@ -323,7 +323,7 @@
 	now := clock.NewSystem().Now
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 2},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(), Crashes: s,
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 2)
 	for _, name := range []string{"first", "second"} {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -14,7 +14,7 @@
 
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/health"
 	"fuchsiapick.example/fuchsiapick/lease"
 	"fuchsiapick.example/fuchsiapick/limit"
@@ -50,7 +50,7 @@
 // newDetector returns the judge that a service's caution asks for.
 func newDetector(caution table.Caution, seed uint64) Detector {
 	if caution == table.ShortEpisodes {
-		return grade.NewDetector()
+		return episode.NewDetector()
 	}
 	return health.New(health.Config{Caution: caution, Seed: seed})
 }
@@ -128,7 +128,7 @@
 	listedLeaving bool // as the instance list says
 	leavingSince  clock.Millis
 	state         health.State
-	level         grade.Level
+	level         episode.Level
 	// generation counts the processes that the upstream has been.
 	generation int
 	crash      crashState
@@ -150,7 +150,7 @@
 	running  bool
 	overdue  bool
 	// run is the judge's own of it, nil where that keeps none.
-	run *grade.Run
+	run *episode.Run
 	// generation is the upstream's when the run began. One of a process that is gone holds
 	// no slot, and speaks for or against nobody.
 	generation int
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -9,7 +9,7 @@
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
 	"fuchsiapick.example/fuchsiapick/gate"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -71,7 +71,7 @@
 func gateOf(t *testing.T, c gate.Config) (*gate.Gate, *held) {
 	t.Helper()
 	h := &held{begun: make(chan string, 8), end: make(chan struct{})}
-	c.Incarnation, c.Now, c.Backend, c.Pool, c.Journal, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), nobody{}, lines.Silent()
+	c.Incarnation, c.Now, c.Backend, c.Pool, c.Journal, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), nobody{}, logging.Silent()
 	c.Keys = gate.NewKeyStore(c.Now)
 	return gate.New(c), h
 }
@@ -317,7 +317,7 @@
 	return gate.New(gate.Config{
 		Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1}, Incarnation: incarnation, Now: now, Backend: h,
-		Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
+		Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		RequestWork: func(entry uint64, _ *wire.WorkRequest) bool {
 			invite(entry)
 			return true
@@ -350,7 +350,7 @@
 		s.Caution, s.ProbePath = tt.caution, "/health"
 		now := clock.NewSystem().Now
 		gate.New(gate.Config{
-			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: lines.Silent(),
+			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		}).ProbeHealth()
 		if b.probes != tt.want {
 			t.Errorf("%s: got %d probes, want %d", tt.caution, b.probes, tt.want)
--- a/gate/journal.go
+++ b/gate/journal.go
@@ -5,7 +5,7 @@
 
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/health"
 	"fuchsiapick.example/fuchsiapick/table"
 )
@@ -44,8 +44,8 @@
 		return
 	}
 	before := g.level
-	g.level = grade.LevelOf(severity)
-	if g.config.OnChange != nil && grade.ShouldAnnounce(before, g.level) {
+	g.level = episode.LevelOf(severity)
+	if g.config.OnChange != nil && episode.ShouldAnnounce(before, g.level) {
 		g.config.OnChange()
 	}
 }
--- a/gate/restart.go
+++ b/gate/restart.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/health"
 	"fuchsiapick.example/fuchsiapick/lease"
 	"fuchsiapick.example/fuchsiapick/wire"
@@ -19,7 +19,7 @@
 	g.generation++
 	g.crash, g.succeeded = crashState{}, nil
 	g.detector = newDetector(g.service.Caution, g.config.Seed)
-	g.state, g.level = health.InUse, grade.Healthy
+	g.state, g.level = health.InUse, episode.Healthy
 	g.config.Backend.ResetConnections()
 	g.log.Info("upstream started again")
 	runs := 0
--- a/gate/stalled_test.go
+++ b/gate/stalled_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"fuchsiapick.example/fuchsiapick/clock"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/gate"
-	"fuchsiapick.example/fuchsiapick/grade"
 	"fuchsiapick.example/fuchsiapick/table"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -81,7 +81,7 @@
 	if got := <-h.replies; got.Reason != wire.ReasonCallerLeft {
 		t.Errorf("got %q, want it told that the caller has left", got.Reason)
 	}
-	if got := h.gate.Status().Severity; got >= grade.EjectThreshold {
+	if got := h.gate.Status().Severity; got >= episode.EjectThreshold {
 		t.Errorf("got severity %.2f after a caller left, want the upstream in use", got)
 	}
 }
--- a/gate/waiting_test.go
+++ b/gate/waiting_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
@@ -20,7 +20,7 @@
 	<-h.begun
 	holds := make(chan *wire.Reservation, 1)
 	g.ProbeCapacity(&wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, WaitBudget: clock.Minute}, func(hold *wire.Reservation) { holds <- hold })
-	for g.Status().Severity < grade.EjectThreshold {
+	for g.Status().Severity < episode.EjectThreshold {
 		<-worse // until the run has lasted so long that the upstream is set aside
 	}
 	close(h.end)
--- a/gate/watch.go
+++ b/gate/watch.go
@@ -6,17 +6,17 @@
 	"github.com/juju/errors"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/health"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
 // runDetector is a judge that is told of runs before their outcomes.
 type runDetector interface {
-	Begin(now clock.Millis, u grade.TypicalLatency) *grade.Run
-	End(now clock.Millis, r *grade.Run, o health.Observation) bool
-	NextCheck(now clock.Millis, r *grade.Run) clock.Millis
-	HangProbability(now clock.Millis, r *grade.Run) float64
+	Begin(now clock.Millis, u episode.TypicalLatency) *episode.Run
+	End(now clock.Millis, r *episode.Run, o health.Observation) bool
+	NextCheck(now clock.Millis, r *episode.Run) clock.Millis
+	HangProbability(now clock.Millis, r *episode.Run) float64
 }
 
 // watchRun looks at a run from time to time while it comes to no end. The gate's lock is held.
@@ -30,8 +30,8 @@
 }
 
 // typicalLatency is what an entry tells of the runs of a dispatch's route.
-func typicalLatency(d *wire.Dispatch) grade.TypicalLatency {
-	return grade.TypicalLatency{Median: d.MedianTime, Spread: d.LogStdDev, HangShare: grade.HangShare(d.Hanging)}
+func typicalLatency(d *wire.Dispatch) episode.TypicalLatency {
+	return episode.TypicalLatency{Median: d.MedianTime, Spread: d.LogStdDev, HangShare: episode.HangShare(d.Hanging)}
 }
 
 // checkRun takes in that a run has come to no end yet: a backend server that hangs gives no
--- a/lines/alloc_test.go
+++ b/logging/alloc_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package logging_test
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 )
 
 // mostAllocations bounds a line of ten fields: map, entry, JSON and the copy for the
@@ -17,11 +17,11 @@
 // A fault that refuses all requests writes a line for each. Lines that cost ten times
 // as much would be a load of their own, on a third of a core.
 func TestLineAllocates(t *testing.T) {
-	w := lines.NewWriter(io.Discard)
+	w := logging.NewWriter(io.Discard)
 	defer w.Close(time.Second)
 	log := logrus.New()
 	log.SetOutput(w)
-	log.SetFormatter(lines.NewLimiter(&logrus.JSONFormatter{}, 1<<30, time.Now))
+	log.SetFormatter(logging.NewLimiter(&logrus.JSONFormatter{}, 1<<30, time.Now))
 	got := testing.AllocsPerRun(200, func() {
 		log.WithFields(logrus.Fields{
 			"request": "9c41d07be2a35f68", "caller": "conferme", "service": "squadre", "route": "/crews/", "upstream": "i-7f3a91c2",
@@ -34,7 +34,7 @@
 	}
 	over := logrus.New()
 	over.SetOutput(w)
-	over.SetFormatter(lines.NewLimiter(&logrus.JSONFormatter{}, 0, time.Now))
+	over.SetFormatter(logging.NewLimiter(&logrus.JSONFormatter{}, 0, time.Now))
 	if got := testing.AllocsPerRun(200, func() { over.Info("request not served") }); got > 4 {
 		t.Errorf("got %.0f allocations for a line over the rate, want 4 at most", got)
 	}
--- a/lines/lines.go
+++ b/logging/lines.go
@@ -1,7 +1,7 @@
 // Package lines writes log lines without ever holding up the process: a bounded
 // queue in front of the output, and a bound on how many lines of one kind are
 // written in a second. What is left out is counted and said.
-package lines
+package logging
 
 import (
 	"io"
--- a/lines/lines_test.go
+++ b/logging/lines_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package logging_test
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 )
 
 // stuck is an output that takes nothing until it is let go.
@@ -30,7 +30,7 @@
 // are left out and counted, and the rest comes out in order when it reads again.
 func TestStuckOutputHoldsNothingUp(t *testing.T) {
 	out := &stuck{free: make(chan struct{})}
-	w := lines.NewWriter(out)
+	w := logging.NewWriter(out)
 	const sent = 10_000
 	for range sent {
 		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
@@ -50,7 +50,7 @@
 func TestOneMessageCannotFillTheLog(t *testing.T) {
 	now := time.Unix(100, 0)
 	var out bytes.Buffer
-	limiter := lines.NewLimiter(&logrus.JSONFormatter{}, 3, func() time.Time { return now })
+	limiter := logging.NewLimiter(&logrus.JSONFormatter{}, 3, func() time.Time { return now })
 	log := logrus.New()
 	log.SetOutput(&out)
 	log.SetFormatter(limiter)
--- a/lines/silent.go
+++ b/logging/silent.go
@@ -1,4 +1,4 @@
-package lines
+package logging
 
 import (
 	"io"
--- a/measure/episodes/brief.go
+++ b/measure/episodes/brief.go
@@ -6,7 +6,7 @@
 
 	"fuchsiapick.example/fuchsiapick/choice"
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/grade"
+	"fuchsiapick.example/fuchsiapick/episode"
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
@@ -22,9 +22,9 @@
 // shortEpisodes plays entries and gates at caution brief.
 type shortEpisodes struct {
 	world   *world
-	filters []*grade.Filter
-	trials  []grade.Trials
-	levels  []grade.Level
+	filters []*episode.Filter
+	trials  []episode.Trials
+	levels  []episode.Level
 	slots   []*limit.Slots
 	waiters map[uint64]waiter
 	tickets uint64
@@ -37,16 +37,16 @@
 	// links are, by upstream and entry, until when the entry's link to it stands.
 	links [][]clock.Millis
 	// linkCounts says, by entry, to how many upstreams it keeps links, offsets from which on.
-	linkCounts []grade.LinkCount
+	linkCounts []episode.LinkCount
 	offsets    []int
 }
 
 func newShortEpisodes(w *world) *shortEpisodes {
 	b := &shortEpisodes{world: w, waiters: map[uint64]waiter{}}
 	for i := range w.config.Upstreams {
-		b.filters = append(b.filters, grade.New(0))
-		b.trials = append(b.trials, grade.Trials{})
-		b.levels = append(b.levels, grade.Healthy)
+		b.filters = append(b.filters, episode.New(0))
+		b.trials = append(b.trials, episode.Trials{})
+		b.levels = append(b.levels, episode.Healthy)
 		b.slots = append(b.slots, limit.NewSlots(limit.SlotsConfig{Slots: w.config.Slots, Queue: queuePerSlot * w.config.Slots, Seed: uint64(i)}))
 	}
 	for e := range w.config.Entries {
@@ -54,7 +54,7 @@
 		b.rankers = append(b.rankers, choice.NewRanker(w.config.Seed+uint64(e)))
 		b.offsets = append(b.offsets, w.random.IntN(w.config.Upstreams))
 	}
-	b.linkCounts = make([]grade.LinkCount, w.config.Entries)
+	b.linkCounts = make([]episode.LinkCount, w.config.Entries)
 	b.senders, b.workRequests = make([][]int, w.config.Upstreams), make([]int, w.config.Upstreams)
 	for i := range w.config.Upstreams {
 		b.links = append(b.links, make([]clock.Millis, w.config.Entries))
@@ -132,11 +132,11 @@
 	options := make([]choice.Option, len(b.slots))
 	for i := range options {
 		h := &b.views[r.entry][i]
-		p := grade.Drift(h.probability, now-h.at)
+		p := episode.Drift(h.probability, now-h.at)
 		options[i] = choice.Option{
 			Risk: p, Load: choice.DecayLoad(h.load, now-h.at), Slots: b.world.config.Slots,
 			Near:   b.world.domain(i) == b.world.domain(r.entry),
-			Usable: (p >= grade.EjectThreshold) == aside && !tried[i] && (aside || !r.full[i]),
+			Usable: (p >= episode.EjectThreshold) == aside && !tried[i] && (aside || !r.full[i]),
 		}
 	}
 	weight := 1.0
@@ -260,12 +260,12 @@
 	began := b.world.now
 	giveUp := b.world.run(r, i, func(ok bool) {
 		ended = true
-		result := grade.Failed
+		result := episode.Failed
 		switch {
 		case ok:
-			result = grade.Good
+			result = episode.Good
 		case b.world.now-began > failTime:
-			result = grade.Stopped
+			result = episode.Stopped
 		}
 		b.filters[i].End(b.world.now, run, result)
 		b.trials[i].RecordResult(ok)
@@ -279,7 +279,7 @@
 
 // checkRun tells of a run that has come to no end, and gives up one that most likely never will
 // while there is time elsewhere.
-func (b *shortEpisodes) checkRun(r *request, run *grade.Run, i int, ended *bool, giveUp func()) {
+func (b *shortEpisodes) checkRun(r *request, run *episode.Run, i int, ended *bool, giveUp func()) {
 	now := b.world.now
 	b.world.after(b.filters[i].NextCheck(now, run)-now, func() {
 		if *ended {
@@ -296,8 +296,8 @@
 }
 
 // typicalLatency is how long its runs take, as an entry that has seen many knows it.
-func (k *Kind) typicalLatency() grade.TypicalLatency {
-	return grade.TypicalLatency{Median: clock.Millis(float64(k.Work) * math.Exp(-k.Spread*k.Spread/2)), Spread: k.Spread}
+func (k *Kind) typicalLatency() episode.TypicalLatency {
+	return episode.TypicalLatency{Median: clock.Millis(float64(k.Work) * math.Exp(-k.Spread*k.Spread/2)), Spread: k.Spread}
 }
 
 func (b *shortEpisodes) ended(r *request, ok bool) {
@@ -323,8 +323,8 @@
 // announceLevel tells all entries of a changed level.
 func (b *shortEpisodes) announceLevel(i int) {
 	before := b.levels[i]
-	b.levels[i] = grade.LevelOf(b.filters[i].Probability(b.world.now))
-	if !grade.ShouldAnnounce(before, b.levels[i]) {
+	b.levels[i] = episode.LevelOf(b.filters[i].Probability(b.world.now))
+	if !episode.ShouldAnnounce(before, b.levels[i]) {
 		return
 	}
 	for e := range b.views {
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 )
 
 const (
@@ -128,7 +128,7 @@
 		c.MaxStaleness = defaultMaxStaleness
 	}
 	if c.Log == nil {
-		c.Log = lines.Silent()
+		c.Log = logging.Silent()
 	}
 	return &Follower{config: c, copy: NewCopy(c.Hash), schedule: NewPollSchedule(PollConfig{MaxStaleness: c.MaxStaleness, MaxBackoff: c.MaxBackoff, Seed: c.Seed}), wakeup: make(chan struct{}, 1)}
 }
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/mirror"
 )
 
@@ -51,7 +51,7 @@
 // The store drops its history, then doesn't answer, then is back. The node must
 // list anew, say that the store was away and that it is back, and go on.
 func TestFollowerOutlivesLostHistoryAndOutages(t *testing.T) {
-	log := lines.Silent()
+	log := logging.Silent()
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &script{
 		lists: [][]mirror.Item{{item("a", 1)}, {item("a", 1), item("b", 2)}},
--- a/mirror/story_test.go
+++ b/mirror/story_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/mirror"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
@@ -86,7 +86,7 @@
 	sound := mirror.NewCopy(nil)
 	sound.Reset(0, mirror.Listing{Items: whole, Revision: 5})
 	digest, _ := sound.Digest()
-	log := lines.Silent()
+	log := logging.Silent()
 	synctest.Test(t, func(t *testing.T) {
 		now := clock.NewSystem().Now
 		s := &script{lists: [][]mirror.Item{{item("a", 2)}, whole}, now: now, next: func() {}}
--- a/mirror/walk_test.go
+++ b/mirror/walk_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/mirror"
 )
 
@@ -247,7 +247,7 @@
 
 // start starts a node, in place of the one before.
 func (w *walk) start(i int) {
-	log := lines.Silent()
+	log := logging.Silent()
 	seen, gone := map[string]uint64{}, map[string]uint64{}
 	f := mirror.NewFollower(mirror.FollowerConfig{
 		Store: walkReader{w.modelled, i}, Now: clock.NewSystem().Now, Hash: markOf, Seed: uint64(i), Log: log,
--- a/node/edition.go
+++ b/node/edition.go
@@ -4,14 +4,14 @@
 	"github.com/sirupsen/logrus"
 
 	"fuchsiapick.example/fuchsiapick/access"
-	"fuchsiapick.example/fuchsiapick/edition"
 	"fuchsiapick.example/fuchsiapick/table"
+	"fuchsiapick.example/fuchsiapick/versionguard"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
 const (
-	fromPlatform = edition.Platform
-	fromPeer     = edition.Peer
+	fromPlatform = versionguard.Platform
+	fromPeer     = versionguard.Peer
 )
 
 // Version returns the version of the table in force, 0 without one.
@@ -29,7 +29,7 @@
 // offerTable checks a table's text whole and puts it in force if the fence accepts
 // it. Only a checked table reaches the fence: a version number alone, in a bad
 // frame, could otherwise freeze the configuration for good.
-func (n *Node) offerTable(text []byte, source edition.Source) {
+func (n *Node) offerTable(text []byte, source versionguard.Source) {
 	log := n.log.WithField("source", string(source))
 	t, err := table.Parse(text)
 	if err != nil {
@@ -40,20 +40,20 @@
 	version := t.Version
 	log = log.WithField("version", version)
 	n.mu.Lock()
-	verdict := n.versionGuard.Propose(edition.Candidate{Version: version, Digest: table.Digest(text), Source: source})
+	verdict := n.versionGuard.Propose(versionguard.Candidate{Version: version, Digest: table.Digest(text), Source: source})
 	rival, contested := n.versionGuard.Conflicting()
 	var changes []table.Change
-	if verdict == edition.Accept {
+	if verdict == versionguard.Accept {
 		changes = table.Diff(n.table, t)
 		n.table, n.tableText = t, text
 		n.apply(t)
 	}
 	n.mu.Unlock()
-	if verdict == edition.Accept {
+	if verdict == versionguard.Accept {
 		n.links.BroadcastHeartbeat() // a weight given back must not wait for a heartbeat
 	}
 	n.recordTableOutcome(log, version, verdict, changes)
-	if contested && verdict != edition.Same {
+	if contested && verdict != versionguard.Same {
 		n.recordVersionConflict(log, version, rival)
 	}
 }
@@ -67,18 +67,18 @@
 	n.mu.Unlock()
 	n.links.BroadcastHeartbeat() // what is leaving here must not wait for a heartbeat
 	log := n.log.WithFields(logrus.Fields{"version": t.Version, "source": "store"})
-	n.recordTableOutcome(log, t.Version, edition.Accept, changes)
+	n.recordTableOutcome(log, t.Version, versionguard.Accept, changes)
 }
 
-func (n *Node) recordTableOutcome(log logrus.FieldLogger, version uint64, verdict edition.Decision, changes []table.Change) {
+func (n *Node) recordTableOutcome(log logrus.FieldLogger, version uint64, verdict versionguard.Decision, changes []table.Change) {
 	e := access.Event{At: n.clock.Now(), Reason: "version " + formatVersion(version)}
 	switch verdict {
-	case edition.Accept:
+	case versionguard.Accept:
 		log.WithField("changes", len(changes)).Info("table in force")
 		n.inForceOnce.Do(func() { close(n.inForce) })
 		logChanges(log, changes)
 		e.Kind = access.TableAccepted
-	case edition.Older:
+	case versionguard.Older:
 		log.Warn("older table not put in force; publish above the version in force")
 		e.Kind = access.TableOlder
 	default:
@@ -89,7 +89,7 @@
 
 // recordVersionConflict says that two texts were published under one version: the edit in
 // one of them is not in force, and its author may not know.
-func (n *Node) recordVersionConflict(log logrus.FieldLogger, version uint64, rival edition.Candidate) {
+func (n *Node) recordVersionConflict(log logrus.FieldLogger, version uint64, rival versionguard.Candidate) {
 	log.WithField("digest", rival.Digest).Warn("two tables have this version; this one is not in force; publish one above it")
 	n.metrics.RecordEvent(access.Event{
 		At:     n.clock.Now(),
@@ -173,7 +173,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	current := n.versionGuard.Current()
-	if !current.Supersedes(edition.Candidate{Version: a.Version, Digest: a.Digest}) {
+	if !current.Supersedes(versionguard.Candidate{Version: a.Version, Digest: a.Digest}) {
 		return nil, false
 	}
 	return &wire.TableVersion{Version: current.Version, Text: n.tableText}, true
--- a/node/node.go
+++ b/node/node.go
@@ -18,7 +18,6 @@
 
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/edition"
 	"fuchsiapick.example/fuchsiapick/entry"
 	"fuchsiapick.example/fuchsiapick/gate"
 	"fuchsiapick.example/fuchsiapick/link"
@@ -26,6 +25,7 @@
 	"fuchsiapick.example/fuchsiapick/mirror"
 	"fuchsiapick.example/fuchsiapick/settings"
 	"fuchsiapick.example/fuchsiapick/table"
+	"fuchsiapick.example/fuchsiapick/versionguard"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
@@ -98,7 +98,7 @@
 	heartbeatRequested chan struct{}
 
 	mu           sync.Mutex
-	versionGuard *edition.VersionGuard
+	versionGuard *versionguard.VersionGuard
 	table        *table.Table
 	tableText    []byte
 	gates        map[string]*gate.Gate
@@ -130,7 +130,7 @@
 		heartbeatRequested: make(chan struct{}, 1),
 		peerVersionKnown:   make(chan struct{}),
 		inForce:            make(chan struct{}),
-		versionGuard:       edition.New(),
+		versionGuard:       versionguard.New(),
 		gates:              map[string]*gate.Gate{},
 		retired:            map[string]retiredGate{},
 		unknownUpstreams:   map[string]clock.Millis{},
--- a/node/peers.go
+++ b/node/peers.go
@@ -7,10 +7,10 @@
 
 	"fuchsiapick.example/fuchsiapick/access"
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/edition"
 	"fuchsiapick.example/fuchsiapick/link"
 	"fuchsiapick.example/fuchsiapick/path"
 	"fuchsiapick.example/fuchsiapick/table"
+	"fuchsiapick.example/fuchsiapick/versionguard"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
@@ -158,7 +158,7 @@
 	current := n.versionGuard.Current()
 	p, ok := n.peers[node]
 	n.mu.Unlock()
-	theirs := edition.Candidate{Version: b.Version, Digest: b.Digest}
+	theirs := versionguard.Candidate{Version: b.Version, Digest: b.Digest}
 	if !theirs.Supersedes(current) {
 		return b.Version > 0
 	}
--- a/node/platform.go
+++ b/node/platform.go
@@ -11,11 +11,11 @@
 	"github.com/thejerf/suture/v4"
 
 	"fuchsiapick.example/fuchsiapick/access"
-	"fuchsiapick.example/fuchsiapick/edition"
 	"fuchsiapick.example/fuchsiapick/metrics"
 	"fuchsiapick.example/fuchsiapick/mirror"
 	"fuchsiapick.example/fuchsiapick/settings"
 	"fuchsiapick.example/fuchsiapick/table"
+	"fuchsiapick.example/fuchsiapick/versionguard"
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
@@ -128,7 +128,7 @@
 	}
 }
 
-func sourceOf(isTold bool) edition.Source {
+func sourceOf(isTold bool) versionguard.Source {
 	if isTold {
 		return fromPeer
 	}
--- a/node/seed_test.go
+++ b/node/seed_test.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"fuchsiapick.example/fuchsiapick/clock"
-	"fuchsiapick.example/fuchsiapick/lines"
+	"fuchsiapick.example/fuchsiapick/logging"
 	"fuchsiapick.example/fuchsiapick/mirror"
 	"fuchsiapick.example/fuchsiapick/node"
 	"fuchsiapick.example/fuchsiapick/settings"
@@ -53,7 +53,7 @@
 // run starts a node that reads the store.
 func run(t *testing.T, name string, l *node.Listeners, s store, made tables) *node.Node {
 	t.Helper()
-	log := lines.Silent()
+	log := logging.Silent()
 	n, err := node.New(node.Config{
 		Settings: &settings.Settings{
 			Node: name, Domain: "palermo", Secret: "a secret of this test",
--- a/purity_test.go
+++ b/purity_test.go
@@ -11,7 +11,7 @@
 
 // decisions are the packages that must stay free of goroutines and of global
 // randomness; the linter's depguard rule keeps I/O and clocks out of them.
-var decisions = []string{"burn", "choice", "difference", "document", "edition", "floor", "grade", "health", "lease", "limit", "path", "quarantine", "quota", "rendezvous", "resend", "retry", "table"}
+var decisions = []string{"burn", "choice", "difference", "document", "versionguard", "floor", "episode", "health", "lease", "limit", "path", "quarantine", "quota", "rendezvous", "resend", "retry", "table"}
 
 // A decision that starts a goroutine or draws from the global source gives
 // another figure on every run, so that a fault found once can't be replayed.
--- a/edition/edition.go
+++ b/versionguard/edition.go
@@ -4,7 +4,7 @@
 // Every node takes the same decision about the same set of editions, in
 // whatever order and however often it hears them, so that nodes need no
 // agreement to end on the same one.
-package edition
+package versionguard
 
 // Source says where an edition was heard.
 type Source string
--- a/edition/edition_test.go
+++ b/versionguard/edition_test.go
@@ -1,4 +1,4 @@
-package edition_test
+package versionguard_test
 
 import (
 	"flag"
@@ -6,34 +6,34 @@
 
 	"pgregory.net/rapid"
 
-	"fuchsiapick.example/fuchsiapick/edition"
+	"fuchsiapick.example/fuchsiapick/versionguard"
 )
 
 // A fixed seed gives property tests the same verdict in every run. A flag on
 // the command line still goes before it.
 var _ = flag.Set("rapid.seed", "20")
 
-func offer(version uint64, digest string) edition.Candidate {
-	return edition.Candidate{Version: version, Digest: digest, Source: edition.Platform}
+func offer(version uint64, digest string) versionguard.Candidate {
+	return versionguard.Candidate{Version: version, Digest: digest, Source: versionguard.Platform}
 }
 
 func TestOfferVerdicts(t *testing.T) {
 	steps := []struct {
 		name  string
-		offer edition.Candidate
-		want  edition.Decision
-		force edition.Candidate
+		offer versionguard.Candidate
+		want  versionguard.Decision
+		force versionguard.Candidate
 	}{
-		{"no version", offer(0, "a"), edition.Older, edition.Candidate{}},
-		{"first", offer(3, "b"), edition.Accept, offer(3, "b")},
-		{"again", offer(3, "b"), edition.Same, offer(3, "b")},
-		{"below", offer(2, "z"), edition.Older, offer(3, "b")},
-		{"other text that loses", offer(3, "a"), edition.Conflict, offer(3, "b")},
-		{"other text that wins", offer(3, "c"), edition.Accept, offer(3, "c")},
-		{"the loser again", offer(3, "b"), edition.Conflict, offer(3, "c")},
-		{"above", offer(4, "a"), edition.Accept, offer(4, "a")},
+		{"no version", offer(0, "a"), versionguard.Older, versionguard.Candidate{}},
+		{"first", offer(3, "b"), versionguard.Accept, offer(3, "b")},
+		{"again", offer(3, "b"), versionguard.Same, offer(3, "b")},
+		{"below", offer(2, "z"), versionguard.Older, offer(3, "b")},
+		{"other text that loses", offer(3, "a"), versionguard.Conflict, offer(3, "b")},
+		{"other text that wins", offer(3, "c"), versionguard.Accept, offer(3, "c")},
+		{"the loser again", offer(3, "b"), versionguard.Conflict, offer(3, "c")},
+		{"above", offer(4, "a"), versionguard.Accept, offer(4, "a")},
 	}
-	f := edition.New()
+	f := versionguard.New()
 	for _, s := range steps {
 		if got := f.Propose(s.offer); got != s.want || f.Current() != s.force {
 			t.Errorf("%s: got %s with %v in force, want %s with %v", s.name, got, f.Current(), s.want, s.force)
@@ -47,12 +47,12 @@
 // there was another.
 func TestFencesEndOnOneOfTwoEditsAtOnce(t *testing.T) {
 	a, b := offer(8, "aa"), offer(8, "bb")
-	first, second := edition.New(), edition.New()
+	first, second := versionguard.New(), versionguard.New()
 	first.Propose(a)
 	first.Propose(b)
 	second.Propose(b)
 	second.Propose(a)
-	for name, f := range map[string]*edition.VersionGuard{"a first": first, "b first": second} {
+	for name, f := range map[string]*versionguard.VersionGuard{"a first": first, "b first": second} {
 		if rival, ok := f.Conflicting(); f.Current() != b || !ok || rival != a {
 			t.Errorf("%s: got %v in force with rival %v, want %v with %v", name, f.Current(), rival, b, a)
 		}
@@ -68,9 +68,9 @@
 // weight that an operator has withdrawn.
 func TestFenceNeverRevertsAndOrderDecidesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := rapid.Custom(func(t *rapid.T) edition.Candidate {
+		draw := rapid.Custom(func(t *rapid.T) versionguard.Candidate {
 			o := offer(rapid.Uint64Range(0, 5).Draw(t, "version"), rapid.StringMatching(`[abc]`).Draw(t, "digest"))
-			o.Source = rapid.SampledFrom([]edition.Source{edition.Platform, edition.Peer}).Draw(t, "source")
+			o.Source = rapid.SampledFrom([]versionguard.Source{versionguard.Platform, versionguard.Peer}).Draw(t, "source")
 			return o
 		})
 		set := rapid.SliceOfN(draw, 1, 20).Draw(t, "offers")
@@ -89,12 +89,12 @@
 	})
 }
 
-func sameText(a, b edition.Candidate) bool {
+func sameText(a, b versionguard.Candidate) bool {
 	return a.Version == b.Version && a.Digest == b.Digest
 }
 
-func replay(t *rapid.T, offers []edition.Candidate) *edition.VersionGuard {
-	f := edition.New()
+func replay(t *rapid.T, offers []versionguard.Candidate) *versionguard.VersionGuard {
+	f := versionguard.New()
 	for _, o := range offers {
 		before := f.Current()
 		verdict := f.Propose(o)
@@ -102,7 +102,7 @@
 		if after.Version < before.Version {
 			t.Errorf("got version %d after %d, want no return", after.Version, before.Version)
 		}
-		if accepted := verdict == edition.Accept; accepted != (after != before) || accepted && after != o {
+		if accepted := verdict == versionguard.Accept; accepted != (after != before) || accepted && after != o {
 			t.Errorf("%v: got %s with %v after %v in force", o, verdict, after, before)
 		}
 	}
