--- a/health/baseline.go
+++ b/health/baseline.go
@@ -6,109 +6,114 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// SetBaseline takes what is usual for the service, as an entry sees it. An
-// unknown one never replaces a known one: an entry that has just started
-// knows nothing.
-func (j *Detector) SetBaseline(b Baseline) {
+// SetBaseline merges an entry's view of the service's baseline into the one in use. It
+// ignores invalid and unknown baselines: an entry that has just started knows nothing
+// and must not replace known values.
+func (d *Detector) SetBaseline(b Baseline) {
 	if !b.Known || !b.isValid() {
 		return
 	}
-	if j.isSuspected && b.Age < j.now-j.suspectedSince {
-		j.freshBaselines++
+	if d.isSuspected && b.Age < d.now-d.suspectedSince {
+		d.freshBaselines++
 	}
-	if !j.baseline.Known {
-		j.baseline = b
-		if j.local.outcomes < joinOutcomes {
-			j.recovery.requestRamp()
+	if !d.baseline.Known {
+		d.baseline = b
+		if d.local.outcomes < lateJoinOutcomes {
+			d.recovery.requestRamp()
 		}
 	} else {
-		j.baseline.Failed = decayingMax(j.baseline.Failed, b.Failed)
-		j.baseline.Latency = decayingMaxMillis(j.baseline.Latency, b.Latency)
-		j.baseline.Tail = decayingMaxMillis(j.baseline.Tail, b.Tail)
+		d.baseline.Failed = decayingMax(d.baseline.Failed, b.Failed)
+		d.baseline.Latency = decayingMaxMillis(d.baseline.Latency, b.Latency)
+		d.baseline.Tail = decayingMaxMillis(d.baseline.Tail, b.Tail)
 	}
-	j.applyBaseline()
+	d.applyBaseline()
 }
 
-// isValid reports whether the figures can be a service's; they come off a wire.
+// isValid reports whether the values are in range. They are received from other nodes.
 func (b *Baseline) isValid() bool {
 	return b.Failed >= 0 && b.Failed <= 1 && b.Latency >= 0 && b.Tail >= 0 && b.Age >= 0
 }
 
-// baselineDecay is the number of baselines over which a drop is taken over.
+// baselineDecay is the number of received baselines over which a drop takes effect.
 const baselineDecay = 16
 
-// decayingMax takes over a rise at once and a drop slowly. Entries differ in what
-// they have heard; the one that hears last of a fault common to the service
-// must not undo what the first one told.
-func decayingMax(held, told float64) float64 {
-	return max(told, held-(held-told)/baselineDecay)
+// decayingMax returns received if it is higher than current, else current lowered by a
+// part of the difference. Entries receive updates at different times: the last one to
+// learn of a fault common to the service must not undo the rise that the first one
+// reported.
+func decayingMax(current, received float64) float64 {
+	return max(received, current-(current-received)/baselineDecay)
 }
 
-func decayingMaxMillis(held, told clock.Millis) clock.Millis {
-	return clock.Millis(decayingMax(float64(held), float64(told)))
+func decayingMaxMillis(current, received clock.Millis) clock.Millis {
+	return clock.Millis(decayingMax(float64(current), float64(received)))
 }
 
-// applyBaseline compares with the baseline in force, once it has moved by a tenth.
-func (j *Detector) applyBaseline() {
-	usual := max(minTypicalFailed, min(j.baseline.Failed, outageFailed))
-	if !j.baseline.Known || j.cold() {
-		usual = max(usual, unknownFailed)
+// applyBaseline derives the parameters of the tests from the baseline. The share of
+// failures changes only once it has moved by more than a tenth.
+func (d *Detector) applyBaseline() {
+	typical := max(minTypicalFailed, min(d.baseline.Failed, outageFailed))
+	if !d.baseline.Known || d.isCold() {
+		typical = max(typical, unknownTypicalFailed)
 	}
-	if math.Abs(usual-j.typicalFailed) > j.typicalFailed/10 || usual == outageFailed {
-		if j.typicalFailed >= outageFailed {
-			j.mild.restart(0)
-			j.severe.restart(0)
+	if math.Abs(typical-d.typicalFailed) > d.typicalFailed/10 || typical == outageFailed {
+		if d.typicalFailed >= outageFailed {
+			d.mild.restart(0)
+			d.severe.restart(0)
 		}
-		j.typicalFailed = usual
-		j.mild.setShares(usual, raiseOdds(usual, mildOdds))
-		j.severe.setShares(usual, raiseOdds(usual, severeOdds))
+		d.typicalFailed = typical
+		d.mild.setShares(typical, raiseOdds(typical, mildOdds))
+		d.severe.setShares(typical, raiseOdds(typical, severeOdds))
 	}
-	before := j.slowThreshold
-	j.slowThreshold = j.computeSlowThreshold()
-	if j.slowThreshold > j.replayedThreshold+j.replayedThreshold/replayDivisor || before == 0 {
-		j.replayedThreshold = j.slowThreshold
-		j.replaySlow()
+	before := d.slowThreshold
+	d.slowThreshold = d.computeSlowThreshold()
+	if d.slowThreshold > d.replayedThreshold+d.replayedThreshold/replayDivisor || before == 0 {
+		d.replayedThreshold = d.slowThreshold
+		d.replaySlow()
 	}
-	j.replayedThreshold = min(j.replayedThreshold, j.slowThreshold)
+	d.replayedThreshold = min(d.replayedThreshold, d.slowThreshold)
 }
 
-// replayDivisor is the part by which the tail must rise before the slow test is
-// run again: the medians of nine gates scatter by less, and the samples kept
-// are fewer than a slight slowness takes to show.
+// replayDivisor sets the rise of the slow threshold, 1/replayDivisor of it, that replays
+// the slow test. Medians of nine gates vary by less than that, and the retained samples
+// are too few to show a smaller slowdown.
 const replayDivisor = 4
 
-// computeSlowThreshold returns the latency above which an answer is slow, 0 for none.
-func (j *Detector) computeSlowThreshold() clock.Millis {
-	b := j.baseline
+// computeSlowThreshold returns the latency above which an answer is slow, or 0 if no
+// baseline is known.
+func (d *Detector) computeSlowThreshold() clock.Millis {
+	b := d.baseline
 	if !b.Known {
 		return 0
 	}
 	tail := b.Tail
 	if tail == 0 {
-		tail = tailFactor * b.Latency
+		tail = defaultTailFactor * b.Latency
 	}
 	return max(tail, b.Latency+minLatencyExcess)
 }
 
-// replaySlow runs the slow test again over the samples that it has seen.
-func (j *Detector) replaySlow() {
-	j.slow.restart(j.slow.head)
-	j.local.visitLatest(j.slowSamples, func(s sample) {
+// replaySlow reruns the slow test with the current threshold over the retained samples
+// that the test has already used.
+func (d *Detector) replaySlow() {
+	d.slow.restart(d.slow.initialScore)
+	d.local.visitLatest(d.slowSamples, func(s sample) {
 		if !s.excluded {
-			j.slow.add(s.latency > j.slowThreshold)
+			d.slow.add(s.latency > d.slowThreshold)
 		}
 	})
 }
 
-// OverdueAfter returns the age at which an unanswered request is overdue.
-func (j *Detector) OverdueAfter() clock.Millis {
-	if !j.baseline.Known {
+// OverdueAfter returns the age from which an unanswered request is overdue.
+func (d *Detector) OverdueAfter() clock.Millis {
+	if !d.baseline.Known {
 		return overdueDefault
 	}
-	return min(max(overdueMin, overdueFactor*j.computeSlowThreshold()), overdueMax)
+	return min(max(overdueMin, overdueFactor*d.computeSlowThreshold()), overdueMax)
 }
 
-// LocalBaseline returns the upstream's own recent figures, for replies to carry.
-func (j *Detector) LocalBaseline() Baseline {
-	return j.local.baseline()
+// LocalBaseline returns the upstream's own recent figures, which the gate sends to
+// entries with its replies.
+func (d *Detector) LocalBaseline() Baseline {
+	return d.local.baseline()
 }
--- a/health/callers.go
+++ b/health/callers.go
@@ -3,25 +3,25 @@
 import "math"
 
 const (
-	// maxCallers bounds the callers whose shares are told apart. The share
-	// of a rarer caller is overstated, by at most a sixteenth.
+	// maxCallers bounds the callers whose outcomes are counted separately. The share
+	// of a rarer caller is overestimated, by at most a sixteenth.
 	maxCallers = 16
-	// callerWindow is the count of outcomes after which shares are halved.
+	// callerWindow is the number of outcomes after which all counts are halved.
 	callerWindow = 256
-	// callerFactor times its part of the outcomes is the part of a threshold
-	// that a caller may contribute. At 2.5, the callers of a service with
-	// three of them may contribute 2.5 thresholds together: enough to judge.
-	callerFactor = 2.5
-	// maxBadCallers bounds the callers whose bad outcomes are told apart. Sets
-	// aside take 4 to 30 bad outcomes, so few callers share a slot.
+	// callerShareFactor times a caller's share of the outcomes is the part of a test's
+	// threshold that the caller may contribute. At 2.5, the callers of a service with
+	// three of them may together contribute 2.5 thresholds, enough for an ejection.
+	callerShareFactor = 2.5
+	// maxBadCallers bounds the callers whose bad outcomes are counted separately. An
+	// ejection takes 4 to 30 bad outcomes, so few callers share a counter.
 	maxBadCallers = 16
 )
 
-// callerStats bounds what one caller contributes to the evidence. One caller's bad
-// requests would else look like a sick upstream; they show as failures of
-// that caller alone. What a caller may contribute grows with its part of the
-// outcomes, so that a service with few callers is still judged, and one with
-// less than a third of the outcomes never sets an upstream aside by itself.
+// callerStats holds the counts that bound what one caller contributes to the evidence.
+// Without a bound, the bad requests of one caller would look like a failing upstream.
+// The bound grows with the caller's share of the outcomes: a service with few callers
+// still gets verdicts, and a caller with less than a third of the outcomes never ejects
+// an upstream alone.
 type callerStats struct {
 	outcomes [maxCallers]callerCount
 	total    int
@@ -34,19 +34,19 @@
 	count int
 }
 
-// countCaller adds one to the name's tally and returns it. The smallest tally gives
-// up its place to a new name, which inherits its count (space saving): a
-// count is never too low.
-func countCaller(tallies []callerCount, name string) *callerCount {
-	smallest := &tallies[0]
-	for i := range tallies {
-		t := &tallies[i]
-		if t.count > 0 && t.name == name {
-			t.count++
-			return t
+// countCaller increments the counter of the caller called name and returns the counter.
+// A new caller takes over the counter with the lowest count and keeps that count (the
+// Space-Saving algorithm), so that a count is never too low.
+func countCaller(counts []callerCount, name string) *callerCount {
+	smallest := &counts[0]
+	for i := range counts {
+		c := &counts[i]
+		if c.count > 0 && c.name == name {
+			c.count++
+			return c
 		}
-		if t.count < smallest.count {
-			smallest = t
+		if c.count < smallest.count {
+			smallest = c
 		}
 	}
 	smallest.name = name
@@ -54,7 +54,7 @@
 	return smallest
 }
 
-// recordOutcome counts an outcome and returns its caller's part of the recent ones.
+// recordOutcome counts an outcome and returns its caller's share of the recent outcomes.
 func (c *callerStats) recordOutcome(name string) float64 {
 	c.total++
 	if c.total > callerWindow {
@@ -66,13 +66,13 @@
 	return float64(countCaller(c.outcomes[:], name).count) / float64(c.total)
 }
 
-// maxContribution returns how many of the bad outcomes in a test a caller with that
-// part of all outcomes may contribute. The test has counted bad of them and
-// needs about enough.
-func maxContribution(part, enough float64, bad int) int {
-	share := callerFactor * part
+// maxContribution returns how many bad outcomes a caller with callerShare of all outcomes
+// may contribute to a test that has counted bad of them and needs about required to
+// reach its threshold.
+func maxContribution(callerShare, required float64, bad int) int {
+	share := callerShareFactor * callerShare
 	if share >= 1 {
 		return math.MaxInt
 	}
-	return int(math.Ceil(share * max(enough, float64(bad))))
+	return int(math.Ceil(share * max(required, float64(bad))))
 }
--- a/health/types.go
+++ b/health/types.go
@@ -1,9 +1,10 @@
-// Package health judges one backend server by the outcomes of the requests
-// that were sent to it, and says when it is set aside and how it returns.
+// Package health detects failures of one backend server from the outcomes of the
+// requests that are sent to it. It decides when the server is ejected and how it returns
+// to use.
 //
-// A Judge is a plain value for one goroutine: it reads no clock, does no I/O
-// and draws its jitter from a seed, so that the same calls give the same
-// verdict on every run.
+// A Detector is a plain value for one goroutine: it reads no clock, does no I/O and takes
+// its jitter from a seeded generator, so that the same calls give the same verdict on
+// every run.
 package health
 
 import (
@@ -16,28 +17,28 @@
 // Result classifies the end of one request at the backend server.
 type Result uint8
 
-// The results. Only Good, Failed and Overdue are evidence; the others say
-// nothing about the backend server's health.
+// The results. Only Good, Failed and Overdue are evidence of the backend server's health.
 const (
-	// Good is a whole answer. It may be slow: the judge compares its latency
-	// with the baseline.
+	// Good is a complete answer. It may be slow: the detector compares its latency with
+	// the baseline.
 	Good Result = iota
-	// Failed is a broken, refused or torn answer, or a 5xx of its own.
+	// Failed is a refused connection, a malformed or truncated answer, or a 5xx response
+	// of the backend server.
 	Failed
-	// Overdue is a request without an answer at the age of OverdueAfter. It
-	// is observed at that moment, and its later end isn't observed again.
+	// Overdue is a request without an answer at the age of OverdueAfter. It is observed
+	// at that moment, and its later end isn't observed.
 	Overdue
-	// Shed is a refusal for load.
+	// Shed is a request that the backend server refused because of load.
 	Shed
-	// Cancelled is a request that its caller gave up.
+	// Cancelled is a request that its caller cancelled.
 	Cancelled
-	// CallerFault is an answer that blames the request (4xx).
+	// CallerFault is an answer that reports a fault of the request (4xx).
 	CallerFault
 	// ShortDeadline is a request whose deadline was too short to be met.
 	ShortDeadline
 )
 
-// String names the result for logs.
+// String returns the name of the result for logs.
 func (r Result) String() string {
 	names := [...]string{"good", "failed", "overdue", "shed", "cancelled", "caller fault", "short deadline"}
 	if int(r) < len(names) {
@@ -51,59 +52,62 @@
 	Result Result
 	// Latency is the time from dispatch to the outcome.
 	Latency clock.Millis
-	// StillOverdue marks a request that was observed as Overdue before and still
-	// has no answer after as long again. Such reports are optional: they
-	// find a hang that holds every slot, so that no other request can tell.
-	// They count only while nothing else has ended in between.
+	// StillOverdue marks a request that was observed as Overdue before and still has no
+	// answer after the same time again. Such observations are optional: they detect a
+	// hang that occupies every slot, so that no other request can show it. They count
+	// only if no other request has ended in between.
 	StillOverdue bool
-	// IsTruncated marks a failure without a whole answer: the connection broke, which has
-	// causes beside the upstream's, too.
+	// IsTruncated marks a failure without a complete answer: the connection broke, which
+	// may have causes other than the upstream.
 	IsTruncated bool
-	// Caller bounds what one caller can contribute. Empty is a caller too.
+	// Caller identifies the caller, so that the contribution of each caller can be
+	// bounded. An empty name counts as a caller, too.
 	Caller string
 }
 
-// Baseline is what is usual for a service, over all its upstreams.
+// Baseline holds the typical figures of a service, over all its upstreams, or the local
+// figures of one upstream.
 type Baseline struct {
-	// Known is false while too few upstreams have told their own.
+	// Known is false while there is too little data.
 	Known bool
-	// Failed is the usual share of failures, from 0 to 1.
+	// Failed is the typical share of failures, from 0 to 1.
 	Failed float64
-	// Latency is the usual median latency.
+	// Latency is the typical median latency.
 	Latency clock.Millis
-	// Tail is the latency that one good answer in ten usually exceeds. 0
-	// means that it wasn't told; then the judge takes a multiple of Latency.
+	// Tail is the latency that one good answer in ten typically exceeds. If it is 0, it
+	// is unknown and the detector uses a multiple of Latency.
 	Tail clock.Millis
-	// Age is how long ago an entry heard it from the gate, and of a median
-	// the median age. An entry that always tells 0 makes the verdict quicker
-	// and a fault common to the service harder to tell from one upstream's.
+	// Age is the time since an entry received the figures from the gate; in a median, it
+	// is the median age. An entry that always reports 0 makes verdicts faster, and makes
+	// a fault common to the service harder to distinguish from that of one upstream.
 	Age clock.Millis
 }
 
-// Config configures a Judge.
+// Config configures a Detector.
 type Config struct {
 	// Caution is the service's setting; an unknown value means Balanced.
 	Caution table.Caution
-	// Seed starts the judge's source of jitter.
+	// Seed seeds the generator of the hold-off jitter.
 	Seed uint64
 }
 
-// State is what an upstream may be given.
+// State says which requests an upstream may be sent.
 type State uint8
 
-// The states, in the order in which a set aside upstream returns.
+// The states. An ejected upstream returns through them in the order Ejected, Trial, Ramp,
+// InUse.
 const (
-	// InUse takes its full share of work.
+	// InUse upstreams get their full share of load.
 	InUse State = iota
-	// Ejected takes no work until its hold-off is over.
+	// Ejected upstreams get no requests until their hold-off is over.
 	Ejected
-	// Trial takes a bounded number of repeatable requests.
+	// Trial upstreams get a bounded number of repeatable requests.
 	Trial
-	// Ramp takes a growing share of work.
+	// Ramp upstreams get a growing share of load.
 	Ramp
 )
 
-// String names the state as logs and the report do.
+// String returns the name of the state that logs and the report use.
 func (s State) String() string {
 	names := [...]string{"in use", "aside", "trial", "ramp"}
 	if int(s) < len(names) {
@@ -112,37 +116,38 @@
 	return "state " + strconv.Itoa(int(s))
 }
 
-// MarshalText writes the state as String does.
+// MarshalText returns the same text as String.
 func (s State) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// Evidence is why an upstream was set aside, as of the verdict.
+// Evidence explains why an upstream was ejected, as of the ejection.
 type Evidence struct {
-	// Since is when the score last left zero, At when the verdict fell.
+	// Since is when the score last rose above zero, At the time of the ejection.
 	Since, At clock.Millis
-	// Outcomes counts the evidence from Since to At; Failed, Slow and
-	// Overdue count the bad outcomes among them.
+	// Outcomes counts the outcomes from Since to At that are evidence. Failed, Slow and
+	// Overdue count the bad ones among them.
 	Outcomes, Failed, Slow, Overdue int
-	// Score is the log-likelihood ratio reached, Threshold the one needed.
+	// Score is the log-likelihood ratio that was reached, Threshold the one required for
+	// an ejection.
 	Score, Threshold float64
-	// Baseline is the one that was judged against.
+	// Baseline is the baseline that the outcomes were compared with.
 	Baseline Baseline
 	// Reason is a sentence for the report.
 	Reason string
 }
 
-// Status is the verdict at an instant.
+// Status is the verdict on an upstream at one instant.
 type Status struct {
 	State State
 	// Severity orders upstreams from healthy (0) to worst (1).
 	Severity float64
-	// Share is the part of its normal load to give it, from 0 to 1.
+	// Share is the fraction of its normal load that the upstream should get, from 0 to 1.
 	Share float64
 	// Until is when the state ends by itself; 0 means that it doesn't.
 	Until clock.Millis
-	// Relapses counts earlier set asides not yet forgiven.
+	// Relapses is the number of earlier ejections that still lengthen the hold-off.
 	Relapses int
-	// Evidence is that of the last set aside.
+	// Evidence is that of the last ejection.
 	Evidence Evidence
 }
