--- a/episode/level.go
+++ b/episode/level.go
@@ -1,34 +1,36 @@
 package episode
 
-// Level sorts probabilities for those who are told of changes.
+// Level classifies the probability of an episode. Entries are notified of changes of the
+// level.
 type Level uint8
 
 // The levels.
 const (
-	// Healthy upstreams get all work.
+	// Healthy upstreams get all requests.
 	Healthy Level = iota
-	// Suspected ones get work that may be repeated, and other work where no
-	// sound one has room.
+	// Suspected upstreams get repeatable requests, and others if no healthy upstream has
+	// a free slot.
 	Suspected
-	// Failing ones get trials.
+	// Failing upstreams get trial requests only.
 	Failing
-	// CertainlyFailing ones get trials, fewer.
+	// CertainlyFailing upstreams get trial requests only, at longer intervals.
 	CertainlyFailing
 )
 
-// Bounds of the levels. One failure of a sound upstream (0.01) makes it 0.3, and
-// one of an upstream that wasn't heard of for ten seconds (0.25) makes it failing.
+// Thresholds of the levels. One failure raises the probability of a healthy upstream from
+// 0.01 to 0.3, and makes an upstream failing that had no outcome for ten seconds (0.25).
 const (
 	suspectThreshold = 0.15
-	// EjectThreshold is the probability from which on work that runs once only isn't
-	// given to an upstream: more than half of it would be lost.
+	// EjectThreshold is the probability from which on an upstream gets no requests that
+	// can't be repeated: more than half of them would be lost.
 	EjectThreshold   = 0.5
 	certainThreshold = 0.9
 )
 
-// ShouldAnnounce reports whether entries should hear at once of a change: that an upstream is
-// worse, or is back. That it is sound again has time until the next heartbeat, and
-// each word to all entries of a fleet takes some 80 bytes an entry.
+// ShouldAnnounce reports whether entries should be notified of a change of the level
+// immediately: if the upstream has become worse, or is no longer failing. A change from
+// Suspected to Healthy waits for the next heartbeat, as each announcement to all entries
+// of a fleet takes some 80 bytes per entry.
 func ShouldAnnounce(before, now Level) bool {
 	if now < before {
 		return before >= Failing && now < Failing
@@ -36,7 +38,7 @@
 	return now > before && before < Failing
 }
 
-// LevelOf returns a probability's level.
+// LevelOf returns the level of a probability.
 func LevelOf(probability float64) Level {
 	switch {
 	case probability < suspectThreshold:
--- a/episode/trials.go
+++ b/episode/trials.go
@@ -2,64 +2,65 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// Spans after which an upstream that got no request wants one. One that may be
-// repeated and fails costs a retry of the service's budget.
+// Intervals without a request after which an upstream should get one. A repeatable request
+// that fails costs a retry of the service's budget.
 const (
-	// idleInterval is that of an upstream in use. Without an outcome its probability
-	// draws to what is usual, which is too high to be chosen and too low to be set
-	// aside: it would get nothing for good. A second keeps it in use in the sense
-	// of the floor, which counts those that get requests within two.
+	// idleInterval applies to an upstream in use. Without outcomes its probability drifts
+	// to the stationary value, which is too high for the upstream to be chosen and too
+	// low to eject it: it would never get a request again. One second keeps it in use in
+	// the sense of the floor, which counts upstreams that get requests within two seconds.
 	idleInterval = clock.Second
-	// certainInterval is that of one that is set aside, for the same reason.
+	// certainInterval applies to an upstream that is certainly failing, for the same
+	// reason.
 	certainInterval = clock.Second
 	failingInterval = 350 * clock.Millis(1)
-	// recoveringInterval is the span after a trial that succeeded: an upstream that has
-	// recovered is soon back.
+	// recoveringInterval applies after a trial that succeeded, so that an upstream that
+	// has recovered returns to use soon.
 	recoveringInterval = 150 * clock.Millis(1)
-	// intervalSlack is the part of a span after which the next trial is admitted: those
-	// that were invited come when they have a request, some late.
+	// intervalSlack is the part of an interval after which the next trial is admitted.
+	// Entries that got a work request respond when they have a request, some of them late.
 	intervalSlack = 0.5
 )
 
-// Trials paces the requests with which an upstream that gets none is tried. Its
-// gate alone knows when the last one came, so it invites entries to send the next.
-// The zero value is ready.
+// Trials spaces the trial requests to an upstream that gets no others. Only its gate knows
+// when the last request arrived, so the gate sends work requests to entries. The zero value
+// is ready to use.
 type Trials struct {
 	last          clock.Millis
 	begun         bool
 	lastSucceeded bool
 }
 
-// RecordResult takes in how a request ended.
+// RecordResult records whether a request ended well.
 func (t *Trials) RecordResult(good bool) {
 	t.lastSucceeded = good
 }
 
-// Due reports whether an upstream with that probability wants a request.
+// Due reports whether an upstream with that probability of an episode should get a request.
 func (t *Trials) Due(now clock.Millis, probability float64) bool {
 	return t.elapsed(now) >= t.interval(probability)
 }
 
-// Admit reports whether an upstream with that probability may be given a request.
-// A trial that is admitted counts as begun: others wait for its outcome.
+// Admit reports whether an upstream with that probability of an episode may be sent a
+// request. An admitted trial counts as started: the next one waits for an interval.
 func (t *Trials) Admit(now clock.Millis, probability float64, repeatable bool) bool {
 	if probability < EjectThreshold {
 		return true
 	}
-	least := clock.Millis(intervalSlack * float64(t.interval(probability)))
-	if !repeatable || t.elapsed(now) < least {
+	minInterval := clock.Millis(intervalSlack * float64(t.interval(probability)))
+	if !repeatable || t.elapsed(now) < minInterval {
 		return false
 	}
 	t.RecordStart(now)
 	return true
 }
 
-// RecordStart takes in that the upstream was sent a request.
+// RecordStart records that the upstream was sent a request.
 func (t *Trials) RecordStart(now clock.Millis) {
 	t.begun, t.last = true, now
 }
 
-// elapsed is the time since the last request.
+// elapsed returns the time since the last request, or certainInterval if there was none.
 func (t *Trials) elapsed(now clock.Millis) clock.Millis {
 	if !t.begun {
 		return certainInterval
--- a/episode/trials_test.go
+++ b/episode/trials_test.go
@@ -8,31 +8,31 @@
 	"fuchsiapick.example/fuchsiapick/episode"
 )
 
-// Only 20 of 81 entries have requests for a service that other backend servers
-// call. With spans meant for 81, an upstream that was set aside gets a trial
-// every four seconds: it stays out long after its episode, and for two seconds at
-// a time gets nothing at all. Its gate invites one entry each 100 ms, those that
-// sent before, and each follows with its next request, if that comes in time.
-func TestTrialsComeOnceAGapWhoeverSends(t *testing.T) {
+// The rate of trials must not depend on how many entries have requests for the service.
+// With an interval per entry sized for 81 entries, of which only 20 send, an ejected
+// upstream gets a trial every four seconds and stays out long after its episode. Here the
+// gate sends a work request to one sender each 100 ms while a trial is due; the sender
+// responds with its next request, if that comes in time.
+func TestTrialRateIsIndependentOfSenders(t *testing.T) {
 	for _, senders := range []int{5, 20, 81} {
-		const perSecond, stands = 33.0, clock.Second
+		const perSecond, workRequestTTL = 33.0, clock.Second
 		random := rand.New(rand.NewPCG(uint64(senders), 0))
-		invited := make([]clock.Millis, senders)
+		workRequestUntil := make([]clock.Millis, senders)
 		var gate episode.Trials
-		trials, turn := 0, 0
+		trials, next := 0, 0
 		for now := clock.Millis(1); now <= 2*clock.Minute; now++ {
 			if now%100 == 0 && gate.Due(now, 0.99) {
-				turn++
-				invited[turn%senders] = now + stands
+				next++
+				workRequestUntil[next%senders] = now + workRequestTTL
 			}
 			if random.Float64() >= perSecond/1000 {
 				continue
 			}
 			i := random.IntN(senders)
-			if invited[i] < now {
+			if workRequestUntil[i] < now {
 				continue
 			}
-			invited[i] = 0
+			workRequestUntil[i] = 0
 			if gate.Admit(now, 0.99, true) {
 				gate.RecordResult(false)
 				if now > clock.Minute {
@@ -41,15 +41,15 @@
 			}
 		}
 		if trials < 40 || trials > 90 {
-			t.Errorf("%d senders: got %d trials in the second minute, want 60 within a third or a half more", senders, trials)
+			t.Errorf("%d senders: got %d trials in the second minute, want 60, a third less or half more at most", senders, trials)
 		}
 	}
 }
 
-// An upstream in use gets nothing for a while, as others are nearer. What is known
-// of it fades to doubt, so that nobody chooses it; it isn't set aside either, and
-// would never be tried again.
-func TestIdleUpstreamWantsARequest(t *testing.T) {
+// An upstream in use gets no requests for a while, because others are nearer. Its
+// probability drifts to the stationary value, so that no entry chooses it, and it isn't
+// ejected either: unless it becomes due for a request, it never gets one again.
+func TestIdleUpstreamIsDueForARequest(t *testing.T) {
 	var trials episode.Trials
 	trials.RecordStart(1000)
 	for _, tt := range []struct {
@@ -62,9 +62,10 @@
 	}
 }
 
-// An upstream has recovered. After the first trial that succeeds the next ones
-// must not wait a second each, or it idles for four; one that fails slows them.
-func TestTrialsFollowOneThatSucceeded(t *testing.T) {
+// An upstream has recovered. After the first successful trial the next ones must follow
+// within less than a second each, or the upstream idles for four seconds. A failed trial
+// restores the longer interval.
+func TestTrialsSpeedUpAfterASuccess(t *testing.T) {
 	var trials episode.Trials
 	trials.Admit(1000, 0.99, true)
 	if got := trials.Due(1500, 0.99); got {
@@ -72,7 +73,7 @@
 	}
 	trials.RecordResult(true)
 	if got := trials.Due(1500, 0.97); !got {
-		t.Error("got none due after one that succeeded, want one")
+		t.Error("got no trial due after one that succeeded, want one")
 	}
 	trials.Admit(1500, 0.97, true)
 	trials.RecordResult(false)
