--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,5 +1,5 @@
-// Package choice picks the upstream for a request: weighted least load of two
-// choices, the entry's own failure domain first while it has room.
+// Package choice chooses the upstream for a request: the less loaded of two weighted random
+// choices, from the entry's own failure domain while an upstream there has a free slot.
 package choice
 
 import (
@@ -7,55 +7,56 @@
 	"math/rand/v2"
 )
 
-// Candidate is one upstream as an entry sees it at the moment of the choice.
+// Candidate is one upstream as an entry sees it at the time of the choice.
 type Candidate struct {
-	// Domain is the failure domain the upstream is in.
+	// Domain is the failure domain of the upstream.
 	Domain string
-	// Weight is its share of work from the table; 0 means no new work.
+	// Weight is its weight from the table; 0 means no new requests.
 	Weight int
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that it serves concurrently.
 	Slots int
-	// InFlight is the larger of the entry's own requests at the upstream and
-	// the load last heard from its gate.
+	// InFlight is the larger of the entry's own requests at the upstream and the load
+	// last received from its gate.
 	InFlight int
-	// Share is the part of its work, from 0 to 1, that slow start grants it.
+	// Share is the fraction of its normal load, from 0 to 1, that slow start allows.
 	Share float64
-	// Usable says that floor and path leave it in use.
+	// Usable is false if the upstream is ejected and the floor allows that, if it is
+	// leaving, or if the path to it is lost.
 	Usable bool
 }
 
-// Config is what a Chooser is made from.
+// Config configures a Chooser.
 type Config struct {
 	// Domain is the entry's own failure domain.
 	Domain string
-	// Seed makes the choices repeatable.
+	// Seed seeds the random choices, so that they can be reproduced.
 	Seed uint64
 }
 
-// Chooser picks upstreams. It is not safe for concurrent use.
+// Chooser chooses upstreams. It is not safe for concurrent use.
 type Chooser struct {
 	domain string
 	random *rand.Rand
-	// tiers and weights are scratch space, indexed by candidate.
+	// tiers and weights are scratch space that is indexed like the candidates.
 	tiers   []tier
 	weights []float64
 }
 
-// tier ranks candidates: a choice is made among the lowest tier that has any.
+// tier ranks candidates: the choice is made from the lowest tier that has any.
 type tier uint8
 
 const (
-	// near candidates are in the entry's own failure domain and have room.
+	// near candidates are in the entry's own failure domain and have a free slot.
 	near tier = iota
-	// far candidates are in another failure domain and have room.
+	// far candidates are in another failure domain and have a free slot.
 	far
-	// full candidates have no free slot, or are held back by slow start.
+	// full candidates have no free slot, or slow start skips them for this choice.
 	full
-	// excluded candidates may not be picked.
+	// excluded candidates may not be chosen.
 	excluded
 )
 
-// New makes a Chooser.
+// New returns a Chooser.
 func New(c Config) *Chooser {
 	return &Chooser{
 		domain: c.Domain,
@@ -63,12 +64,11 @@
 	}
 }
 
-// Choose returns the index of the candidate to send to, and false if there is
-// none that is usable, has weight and slots, and wasn't tried before. A nil
-// tried means that none was. It allocates only while the number of candidates
-// grows beyond any seen before.
+// Choose returns the index of the candidate to send the request to. It returns false if no
+// candidate is usable, has weight and slots, and is not reported by tried. A nil tried
+// reports none. Choose allocates only if there are more candidates than in any earlier call.
 func (c *Chooser) Choose(candidates []Candidate, tried func(i int) bool) (int, bool) {
-	best := c.rank(candidates, tried)
+	best := c.assignTiers(candidates, tried)
 	if best == excluded {
 		return 0, false
 	}
@@ -88,8 +88,8 @@
 	return second, true
 }
 
-// rank fills tiers and weights and returns the lowest tier found.
-func (c *Chooser) rank(candidates []Candidate, tried func(i int) bool) tier {
+// assignTiers fills tiers and weights, and returns the lowest tier found.
+func (c *Chooser) assignTiers(candidates []Candidate, tried func(i int) bool) tier {
 	c.tiers = c.tiers[:0]
 	c.weights = c.weights[:0]
 	best := excluded
@@ -118,15 +118,15 @@
 	}
 }
 
-// passesSlowStart holds back an upstream in slow start from all but its share of the
-// choices. Load alone would not do: an upstream that is alone in its failure
-// domain would get all of that domain's work.
+// passesSlowStart reports whether slow start lets the upstream take part in this choice. It
+// returns true at random, with a probability of Share. Comparing loads isn't enough: an
+// upstream that is alone in its failure domain would get all requests of that domain.
 func (c *Chooser) passesSlowStart(u *Candidate) bool {
 	return u.Share >= 1 || c.random.Float64() < u.Share
 }
 
-// pickWeighted returns a candidate of the tier, with a chance in proportion to its
-// weight, or -1 if there is none. Total is the sum of the tier's weights.
+// pickWeighted returns the index of a random candidate of the tier, with a probability in
+// proportion to its weight, or -1 if there is none. total is the sum of the tier's weights.
 func (c *Chooser) pickWeighted(t tier, total float64) int {
 	point := c.random.Float64() * total
 	last := -1
@@ -143,7 +143,7 @@
 	return last
 }
 
-// maxInFlight is how many requests the upstream may hold before it counts as full.
+// maxInFlight returns the number of requests in flight at which the upstream is full.
 func maxInFlight(u *Candidate) int {
 	return int(math.Ceil(float64(u.Slots) * share(u)))
 }
@@ -152,13 +152,14 @@
 	return float64(u.Weight) * float64(u.Slots)
 }
 
-// load is the upstream's requests relative to what it may take now.
+// load returns the upstream's requests in flight, relative to the capacity that slow start
+// allows.
 func load(u *Candidate) float64 {
 	return float64(u.InFlight) / (capacity(u) * share(u))
 }
 
-// minShare keeps the load of an upstream at the very start of its slow start
-// finite, so that it can still be told from a more loaded one.
+// minShare keeps the load of an upstream at the start of its slow start finite, so that it
+// can still be compared with that of others.
 const minShare = 0.01
 
 func share(u *Candidate) float64 {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -10,7 +10,7 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// The draws are the same on every run unless -rapid.seed is given.
+// init fixes the seed of the property tests unless -rapid.seed is given on the command line.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -19,15 +19,15 @@
 	}
 }
 
-const own = "palermo"
+const localDomain = "palermo"
 
-// Weights, leavings and attempts come in any mix. An upstream with weight zero
-// or one that is leaving (not usable) is about to stop: a request sent to it
-// is cut off. And while any other is left, no caller may be refused.
-func TestChooseOnlyWhatMayServe(t *testing.T) {
+// An upstream with weight zero or one that is leaving (not usable) is about to stop, and a
+// request sent to it is cut off. While any other upstream is left, no request may be refused.
+// Weights, usability and earlier attempts are random.
+func TestChoosesOnlyUsableUpstreams(t *testing.T) {
 	candidate := rapid.Custom(func(t *rapid.T) choice.Candidate {
 		return choice.Candidate{
-			Domain:   rapid.SampledFrom([]string{own, "catania"}).Draw(t, "domain"),
+			Domain:   rapid.SampledFrom([]string{localDomain, "catania"}).Draw(t, "domain"),
 			Weight:   rapid.IntRange(0, 2).Draw(t, "weight"),
 			Slots:    rapid.IntRange(0, 3).Draw(t, "slots"),
 			InFlight: rapid.IntRange(0, 4).Draw(t, "in flight"),
@@ -38,80 +38,81 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(candidate, 0, 9).Draw(t, "candidates")
 		tried := rapid.Uint16().Draw(t, "tried")
-		may, near := false, false
+		anyUsable, anyNear := false, false
 		for i, c := range all {
 			if c.Usable && c.Weight > 0 && c.Slots > 0 && tried>>i&1 == 0 {
-				may = true
-				near = near || c.Domain == own && c.InFlight < c.Slots && c.Share == 1
+				anyUsable = true
+				anyNear = anyNear || c.Domain == localDomain && c.InFlight < c.Slots && c.Share == 1
 			}
 		}
-		chooser := choice.New(choice.Config{Domain: own, Seed: rapid.Uint64().Draw(t, "seed")})
+		chooser := choice.New(choice.Config{Domain: localDomain, Seed: rapid.Uint64().Draw(t, "seed")})
 		i, ok := chooser.Choose(all, func(i int) bool { return tried>>i&1 == 1 })
-		if ok != may {
-			t.Fatalf("got a choice: %v, want %v", ok, may)
+		if ok != anyUsable {
+			t.Fatalf("got a choice: %v, want %v", ok, anyUsable)
 		}
 		if !ok {
 			return
 		}
 		got := all[i]
 		if !got.Usable || got.Weight == 0 || got.Slots == 0 || tried>>i&1 == 1 {
-			t.Fatalf("got %d, %+v, want one that may serve", i, got)
+			t.Fatalf("got %d, %+v, want a usable one", i, got)
 		}
-		if near && (got.Domain != own || got.InFlight >= got.Slots) {
-			t.Fatalf("got %d, %+v, want one with room in the own failure domain", i, got)
+		if anyNear && (got.Domain != localDomain || got.InFlight >= got.Slots) {
+			t.Fatalf("got %d, %+v, want one with a free slot in the entry's own failure domain", i, got)
 		}
 	})
 }
 
-// picks counts 30,000 choices by candidate.
-func picks(all []choice.Candidate) []float64 {
-	chooser := choice.New(choice.Config{Domain: own, Seed: 1})
-	counts := make([]float64, len(all))
+// choiceShares returns the share of 30,000 choices that each candidate gets.
+func choiceShares(all []choice.Candidate) []float64 {
+	chooser := choice.New(choice.Config{Domain: localDomain, Seed: 1})
+	shares := make([]float64, len(all))
 	for range 30000 {
 		if i, ok := chooser.Choose(all, nil); ok {
-			counts[i] += 1.0 / 30000
+			shares[i] += 1.0 / 30000
 		}
 	}
-	return counts
+	return shares
 }
 
-// six are upstreams in the own failure domain; change edits one of them.
-func six(change func(c *choice.Candidate)) []choice.Candidate {
+// sixUpstreams returns six equal upstreams in the entry's own failure domain, of which change
+// edits the first.
+func sixUpstreams(change func(c *choice.Candidate)) []choice.Candidate {
 	all := make([]choice.Candidate, 6)
 	for i := range all {
-		all[i] = choice.Candidate{Domain: own, Weight: 1, Slots: 3, Share: 1, Usable: true}
+		all[i] = choice.Candidate{Domain: localDomain, Weight: 1, Slots: 3, Share: 1, Usable: true}
 	}
 	change(&all[0])
 	return all
 }
 
-func TestShares(t *testing.T) {
-	alone := six(func(c *choice.Candidate) { c.Share = 0.1 })
+func TestShareOfChoices(t *testing.T) {
+	alone := sixUpstreams(func(c *choice.Candidate) { c.Share = 0.1 })
 	for i := range alone[1:] {
 		alone[i+1].Domain = "catania"
 	}
 	tests := []struct {
-		name        string
-		all         []choice.Candidate
-		least, most float64
+		name               string
+		all                []choice.Candidate
+		minShare, maxShare float64
 	}{
-		{"alike", six(func(*choice.Candidate) {}), 0.16, 0.175},
-		{"weight 5 of 10", six(func(c *choice.Candidate) { c.Weight = 5 }), 0.49, 0.51},
-		{"loaded", six(func(c *choice.Candidate) { c.InFlight = 2 }), 0, 0},
-		{"slow start at a tenth", six(func(c *choice.Candidate) { c.Share = 0.1 }), 0.012, 0.022},
+		{"equal", sixUpstreams(func(*choice.Candidate) {}), 0.16, 0.175},
+		{"weight 5 of 10", sixUpstreams(func(c *choice.Candidate) { c.Weight = 5 }), 0.49, 0.51},
+		{"loaded", sixUpstreams(func(c *choice.Candidate) { c.InFlight = 2 }), 0, 0},
+		{"slow start at a tenth", sixUpstreams(func(c *choice.Candidate) { c.Share = 0.1 }), 0.012, 0.022},
 		{"slow start, alone in the failure domain", alone, 0.08, 0.12},
-		{"in another failure domain", six(func(c *choice.Candidate) { c.Domain = "messina" }), 0, 0},
+		{"in another failure domain", sixUpstreams(func(c *choice.Candidate) { c.Domain = "messina" }), 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := picks(tt.all)[0]; got < tt.least || got > tt.most {
-				t.Errorf("got a share of %.3f, want %.3f to %.3f", got, tt.least, tt.most)
+			if got := choiceShares(tt.all)[0]; got < tt.minShare || got > tt.maxShare {
+				t.Errorf("got a share of %.3f, want %.3f to %.3f", got, tt.minShare, tt.maxShare)
 			}
 		})
 	}
 }
 
-func TestFade(t *testing.T) {
+func TestDecayLoad(t *testing.T) {
 	for _, tt := range []struct {
 		age  clock.Millis
 		want int
@@ -122,20 +123,21 @@
 	}
 }
 
-// fortyNine is the mean service of the size to design for.
-func fortyNine() []choice.Candidate {
+// largeService returns the candidates of a mean service of the deployment size that the
+// design targets.
+func largeService() []choice.Candidate {
 	all := make([]choice.Candidate, 49)
 	for i := range all {
 		all[i] = choice.Candidate{
-			Domain: []string{own, "catania", "messina"}[i%3], Weight: 1 + i%2, Slots: 5, InFlight: i % 6,
+			Domain: []string{localDomain, "catania", "messina"}[i%3], Weight: 1 + i%2, Slots: 5, InFlight: i % 6,
 			Share: 1, Usable: i%7 != 0,
 		}
 	}
 	return all
 }
 
-func TestChooseAllocates(t *testing.T) {
-	chooser, all := choice.New(choice.Config{Domain: own}), fortyNine()
+func TestChooseAllocatesNothing(t *testing.T) {
+	chooser, all := choice.New(choice.Config{Domain: localDomain}), largeService()
 	tried := func(i int) bool { return i == 3 }
 	if got := testing.AllocsPerRun(100, func() { chooser.Choose(all, tried) }); got != 0 {
 		t.Errorf("got %v allocations, want 0", got)
@@ -143,7 +145,7 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	chooser, all := choice.New(choice.Config{Domain: own}), fortyNine()
+	chooser, all := choice.New(choice.Config{Domain: localDomain}), largeService()
 	b.ReportAllocs()
 	for b.Loop() {
 		chooser.Choose(all, nil)
--- a/choice/rank_test.go
+++ b/choice/ranker_test.go
@@ -6,10 +6,10 @@
 	"fuchsiapick.example/fuchsiapick/choice"
 )
 
-// Half of a service fails in an episode and answers within milliseconds, so that
-// it looks idle. A rule of least load would send most work there.
-func TestRankPrefersSoundToIdle(t *testing.T) {
-	sound := choice.Option{Risk: 0.02, Load: 2, Slots: 3, Near: true, Usable: true}
+// During an episode, half of a service fails its requests within milliseconds and so looks
+// idle. A choice by least load alone would send it most requests.
+func TestRankerPrefersHealthyToIdle(t *testing.T) {
+	healthy := choice.Option{Risk: 0.02, Load: 2, Slots: 3, Near: true, Usable: true}
 	tests := []struct {
 		name   string
 		other  choice.Option
@@ -17,16 +17,16 @@
 		want   int
 	}{
 		{"an idle one that fails", choice.Option{Risk: 0.9, Slots: 3, Near: true, Usable: true}, 1, 0},
-		{"an idle doubtful one, for work that runs once", choice.Option{Risk: 0.4, Slots: 3, Near: true, Usable: true}, 1, 0},
-		{"an idle sound one", choice.Option{Risk: 0.02, Slots: 3, Near: true, Usable: true}, 1, 1},
-		{"an idle sound one far away", choice.Option{Risk: 0.02, Slots: 3, Usable: true}, 1, 0},
+		{"an idle suspected one, for a request that can't be repeated", choice.Option{Risk: 0.4, Slots: 3, Near: true, Usable: true}, 1, 0},
+		{"an idle healthy one", choice.Option{Risk: 0.02, Slots: 3, Near: true, Usable: true}, 1, 1},
+		{"an idle healthy one in another failure domain", choice.Option{Risk: 0.02, Slots: 3, Usable: true}, 1, 0},
 		{"one that may not be used", choice.Option{Slots: 3, Near: true}, 1, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := choice.NewRanker(1)
 			for range 100 {
-				got, ok := r.Choose([]choice.Option{sound, tt.other}, tt.weight)
+				got, ok := r.Choose([]choice.Option{healthy, tt.other}, tt.weight)
 				if !ok || got != tt.want {
 					t.Fatalf("got option %d and %v, want %d", got, ok, tt.want)
 				}
@@ -35,9 +35,9 @@
 	}
 }
 
-// A queue costs more than the way to another failure domain: an answer that
-// waits for a whole service time is late.
-func TestRankGoesFarBeforeItWaits(t *testing.T) {
+// A queue costs more than a request to another failure domain: an answer that waits for a
+// whole service time is late.
+func TestRankerPrefersFarToQueue(t *testing.T) {
 	r := choice.NewRanker(1)
 	full := choice.Option{Load: 4, Slots: 3, Near: true, Usable: true}
 	far := choice.Option{Load: 1, Slots: 3, Usable: true}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Entries that see the same must not all send to the same upstream.
-func TestRankSpreadsOverEquals(t *testing.T) {
+// Entries with the same view must not all send to the same upstream.
+func TestRankerSpreadsOverEquals(t *testing.T) {
 	counts := make([]int, 3)
 	for seed := range uint64(300) {
 		options := make([]choice.Option, 3)
