--- a/episode/episode_test.go
+++ b/episode/episode_test.go
@@ -188,7 +188,7 @@
 // If failing runs fail immediately, a run that lasts is evidence that its upstream is healthy;
 // if they hang, it is none. The filter must learn the failure mode from earlier failures, as
 // no setting gives it.
-func TestLongRunsAreGoodSignOnlyWithoutHangs(t *testing.T) {
+func TestLongRunsLowerProbabilityOnlyWithoutHangs(t *testing.T) {
 	immediate, hanging := episode.New(0), episode.New(0)
 	for now := clock.Millis(0); now < 10*clock.Second; now += clock.Second {
 		immediate.Observe(now, episode.Failed)
@@ -228,12 +228,12 @@
 	}
 }
 
-// hangingRoute is typical with a published hang share of 95%, as entries observed it at other
-// upstreams.
+// hangingRoute is typical with a published hang share of 95%, as entries observed it at
+// other upstreams.
 var hangingRoute = episode.TypicalLatency{Median: typical.Median, Spread: typical.Spread, HangShare: 96}
 
-// timeToDetectHang simulates an upstream that begins to hang after ten seconds, and returns the
-// time from then until it is ejected.
+// timeToDetectHang simulates an upstream that begins to hang after ten seconds, and returns
+// the time from then until it is ejected.
 func timeToDetectHang(r *rand.Rand, perSecond float64) clock.Millis {
 	const onset = 10 * clock.Second
 	type pendingRun struct {
@@ -265,8 +265,9 @@
 	}
 }
 
-// Some runs at healthy upstreams take many times as long as is typical, or wait for calls to
-// other services. A healthy upstream that isn't overloaded must hardly ever be ejected for that.
+// Some runs at healthy upstreams take many times as long as is typical, or wait for calls
+// to other services. A healthy upstream that isn't overloaded must hardly ever be ejected
+// for that.
 func TestLongRunsSeldomEjectHealthyUpstream(t *testing.T) {
 	ejected, total := 0, 0
 	for seed := range uint64(20) {
--- a/health/detector_test.go
+++ b/health/detector_test.go
@@ -61,7 +61,7 @@
 }
 
 // A node has just started and has no baseline from the others. An upstream that fails
-// every request must still be ejected, if later.
+// every request must still be ejected, although after more outcomes.
 func TestEjectsWithoutBaseline(t *testing.T) {
 	for _, caution := range cautions() {
 		d := health.New(health.Config{Caution: caution, Seed: 1})
