--- a/entry/admit.go
+++ b/entry/admit.go
@@ -9,8 +9,9 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// callerOf names the caller. The name ends up in logs and reports, so it is
-// held to printable characters and a bounded length.
+// callerOf returns the caller's name: the configured service, else the caller header,
+// else the IP address. The name ends up in logs and reports, so it is limited to
+// printable characters and maxCallerLength bytes.
 func (e *Entry) callerOf(ctx *fasthttp.RequestCtx) string {
 	if e.config.Service != "" {
 		return e.config.Service
@@ -30,7 +31,8 @@
 	}, string(name))
 }
 
-// admit finds the service and checks the limits.
+// admit finds the route and the service of the request, authenticates it and applies the
+// rate limits. If the request is not admitted, admit returns the refusal and false.
 func (r *request) admit() (finalAnswer, bool) {
 	t := r.entry.table.Load()
 	if t == nil {
@@ -65,16 +67,16 @@
 	return access.ReasonServiceLimit
 }
 
-// timeout is the shortest of the route's timeout, or the service's deadline
-// without one, and what the caller will wait.
+// timeout returns how long the request may take: the route's timeout, or the service's
+// deadline if the route has none, shortened to the deadline that the caller sent.
 func (r *request) timeout() clock.Millis {
-	budget := r.config.Deadline
+	routeTimeout := r.config.Deadline
 	if r.route.Timeout > 0 {
-		budget = r.route.Timeout
+		routeTimeout = r.route.Timeout
 	}
 	text, _ := headerValue(&r.ctx.Request.Header, r.entry.config.Headers.Deadline)
-	if own, ok := parseMillis(text); ok {
-		return min(own, budget)
+	if callerTimeout, ok := parseMillis(text); ok {
+		return min(callerTimeout, routeTimeout)
 	}
-	return budget
+	return routeTimeout
 }
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -11,7 +11,8 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// write gives the caller the final answer: the upstream's whole, or our own.
+// write sends the final answer to the caller: the upstream's complete reply, or a refusal
+// that the entry writes itself.
 func (r *request) write(f *finalAnswer) {
 	ctx := r.ctx
 	ctx.Response.Reset()
@@ -24,8 +25,8 @@
 		ctx.Response.SetBodyRaw(f.reply.Body)
 	} else {
 		r.writeRefusal(f)
-		if name := r.entry.config.Headers.Request; name != "" && r.label != "" {
-			ctx.Response.Header.Set(name, r.label)
+		if name := r.entry.config.Headers.Request; name != "" && r.callerRequestID != "" {
+			ctx.Response.Header.Set(name, r.callerRequestID)
 		}
 	}
 	ctx.Response.Header.Set(HeaderOutcome, string(f.outcome))
@@ -33,7 +34,7 @@
 	if f.reason != "" {
 		ctx.Response.Header.Set(HeaderReason, f.reason)
 	}
-	ctx.Response.Header.Del(HeaderReplay) // no upstream's to say
+	ctx.Response.Header.Del(HeaderReplay) // only the entry may set this header
 	if f.replay {
 		ctx.Response.Header.Set(HeaderReplay, "true")
 	}
@@ -52,7 +53,7 @@
 	}
 }
 
-// formatRetryAfter writes when to come back as callers read it.
+// formatRetryAfter returns the value of the Retry-After header, in seconds.
 func (r *request) formatRetryAfter(span clock.Millis) string {
 	if r.entry.config.Headers.FractionalSeconds {
 		return strconv.FormatFloat(span.Seconds(), 'f', -1, 64)
@@ -60,7 +61,7 @@
 	return strconv.FormatInt(wholeSeconds(span), 10)
 }
 
-// wholeSeconds rounds up: coming back early would be refused again.
+// wholeSeconds rounds up, because a caller that retries too early is refused again.
 func wholeSeconds(span clock.Millis) int64 {
 	return int64((span + clock.Second - 1) / clock.Second)
 }
@@ -72,9 +73,9 @@
 	return "The request was not run (" + f.reason + ")."
 }
 
-// forwardedHeaders copies the headers that go on to the upstream, with the address
-// that the request came from. Those of the one connection, our own and the key of a
-// client account stay behind.
+// forwardedHeaders returns the headers to send to the upstream, with the caller's IP
+// address added. It leaves out hop-by-hop headers, the proxy's own headers and a client
+// account's key.
 func (r *request) forwardedHeaders() wire.Headers {
 	headers := make(wire.Headers, 0, headersCapacity)
 	for name, value := range r.ctx.Request.Header.All() {
@@ -85,10 +86,11 @@
 	return headers.Add(forwardedFor, []byte(r.ctx.RemoteIP().String()))
 }
 
-// headersCapacity is the room for the headers of a browser's request.
+// headersCapacity is the initial buffer size, in bytes, enough for the headers of a
+// typical browser request.
 const headersCapacity = 512
 
-// ownPrefix begins the names of our own headers.
+// ownPrefix is the prefix, in lower case, of the proxy's own headers.
 var ownPrefix = []byte("fuchsiapick-")
 
 func isForwarded(name []byte) bool {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -9,19 +9,19 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// result is what one try came to.
+// result is the outcome of one attempt.
 type result struct {
 	kind       retry.Result
-	reply      *wire.Reply // nil without one
+	reply      *wire.Reply // nil if the attempt got no reply
 	reason     string
 	served     bool
 	retryAfter clock.Millis
 	full       bool
-	// shed says that the upstream itself refused it.
+	// shed means that the upstream itself refused the request.
 	shed bool
 }
 
-// try sends the request to one upstream and waits for what becomes of it.
+// try sends the request to one upstream and waits for the outcome.
 func (r *request) try(now clock.Millis, a attempt, untried int) result {
 	r.assignNumber(&a)
 	r.sends++
@@ -40,13 +40,13 @@
 	w := newWaiter()
 	err := a.member.gate.Dispatch(d, w)
 	if err != nil {
-		unsent := result{kind: retry.NotRun, reason: access.ReasonUnreachable}
-		r.service.endAttempt(now, a.member, &unsent)
-		return unsent
+		notSent := result{kind: retry.NotRun, reason: access.ReasonUnreachable}
+		r.service.endAttempt(now, a.member, &notSent)
+		return notSent
 	}
 	outcome := r.awaitOutcome(d, &a, w, untried)
 	if r.isCallerGone() || (outcome.kind == retry.NoResponse && r.repeatable) || outcome.reason == string(wire.ReasonHung) {
-		a.member.gate.Abandon(d.ID, d.Attempt) // frees its slot, or its place in a queue
+		a.member.gate.Abandon(d.ID, d.Attempt) // frees its slot or its queue position
 	} else {
 		a.member.gate.Forget(d.ID, d.Attempt)
 	}
@@ -54,7 +54,7 @@
 	return outcome
 }
 
-// assignNumber gives an attempt its number, unless it has one.
+// assignNumber numbers an attempt that has no number yet.
 func (r *request) assignNumber(a *attempt) {
 	if a.number == 0 {
 		r.attempts++
@@ -63,11 +63,11 @@
 }
 
 func (r *request) newDispatch(now clock.Millis, a attempt, untried int) *wire.Dispatch {
-	usual := r.typicalLatency()
+	typical := r.typicalLatency()
 	d := &wire.Dispatch{
 		ID:              r.id,
 		Attempt:         a.number,
-		CallerRequestID: r.label,
+		CallerRequestID: r.callerRequestID,
 		Budget:          r.attemptTimeout(now, untried),
 		Upstream:        a.upstream.Name,
 		Caller:          r.caller,
@@ -83,64 +83,66 @@
 		Forced:          a.forced,
 		Priority:        r.priority(),
 		NoQueue:         a.noWait,
-		MedianTime:      usual.Median,
-		LogStdDev:       wire.RoundFloat(usual.Spread),
-		Hanging:         uint8(usual.HangShare),
+		MedianTime:      typical.Median,
+		LogStdDev:       wire.RoundFloat(typical.Spread),
+		Hanging:         uint8(typical.HangShare),
 		Baseline:        r.baseline,
 	}
 	r.setKey(now, d)
 	return d
 }
 
-// attemptTimeout is the time that one try may take. A repeatable request keeps
-// half of what is left for another upstream: one that hangs would take all. A
-// service that is slow by nature must not be cut off by that, so a try lasts
-// several times what is usual, and to the end while that isn't known. A route
-// with a timeout of its own says how long an answer may take: to break off what
-// may still be answered in time would cost a run, and a retry of the budget.
+// attemptTimeout returns how long one attempt may take. A repeatable request reserves
+// half of its remaining time for another upstream, because an upstream that hangs would
+// use up all of it. That must not cut off a service that is slow by nature, so an attempt
+// gets at least latencyMultiple times the baseline latency, and all the remaining time
+// while the baseline is unknown. A route with its own timeout states how long an answer
+// may take, so its attempts also get all the remaining time: cutting off one that may
+// still be answered in time would waste a run and a retry from the budget.
 func (r *request) attemptTimeout(now clock.Millis, untried int) clock.Millis {
-	left := max(r.deadline-now, 1)
-	whole := max(left-r.resolveTimeout(), 1)
+	remaining := max(r.deadline-now, 1)
+	full := max(remaining-r.resolveTimeout(), 1)
 	if !r.repeatable || untried <= 0 || !r.baseline.Known || r.route.Timeout > 0 {
-		return whole
+		return full
 	}
-	return min(max(left/2, latencyMultiple*r.baseline.Latency), whole)
+	return min(max(remaining/2, latencyMultiple*r.baseline.Latency), full)
 }
 
 func (r *request) resolveTimeout() clock.Millis {
 	return min((r.deadline-r.started)/resolveShare, maxResolveTimeout)
 }
 
-// dispatchWait is a wait for the outcome of a dispatch.
+// dispatchWait is the state of the wait for a dispatch's outcome.
 type dispatchWait struct {
 	dispatch *wire.Dispatch
 	gate     GateClient
 	began    clock.Millis
 	until    clock.Millis
-	// awaitingLink is true while it may still wait for a link.
+	// awaitingLink is true while the dispatch may still be waiting for a link.
 	awaitingLink bool
-	// resolveSent is true once the gate was asked what became of it.
+	// resolveSent is true once the gate has been asked for the unknown outcome.
 	resolveSent bool
 }
 
-// awaitOutcome waits for the outcome of a dispatch. Without one by the end of its
-// budget it asks the gate, which voids a dispatch that it has not begun.
+// awaitOutcome waits for the outcome of a dispatch. If there is none by the end of the
+// dispatch's budget, it asks the gate to resolve the dispatch; the gate revokes it if its
+// run has not begun.
 func (r *request) awaitOutcome(d *wire.Dispatch, a *attempt, w *waiter, untried int) result {
 	began := r.entry.config.Now()
-	v := dispatchWait{dispatch: d, gate: a.member.gate, began: began, until: began + d.Budget}
+	wait := dispatchWait{dispatch: d, gate: a.member.gate, began: began, until: began + d.Budget}
 	if a.noWait && linkTimeout < d.Budget {
-		v.awaitingLink, v.until = true, began+linkTimeout
+		wait.awaitingLink, wait.until = true, began+linkTimeout
 	}
 	for {
 		now := r.entry.config.Now()
-		e := w.next(max(v.until-now, 0)+1, r.callerGone)
+		e := w.next(max(wait.until-now, 0)+1, r.callerGone)
 		if e.kind == expired {
-			if out, ok := r.handleTimeout(&v); ok {
+			if out, ok := r.handleTimeout(&wait); ok {
 				return out
 			}
 			continue
 		}
-		if e.kind == stalled {
+		if e.kind == hung {
 			if out, ok := r.retryElsewhere(w, untried); ok {
 				return out
 			}
@@ -152,7 +154,7 @@
 	}
 }
 
-// resultOfEvent is what an event makes of a dispatch, or false if the wait goes on.
+// resultOfEvent returns the result that an event implies, or false if the wait goes on.
 func (r *request) resultOfEvent(e event) (result, bool) {
 	switch {
 	case e.kind == callerGone:
@@ -161,7 +163,7 @@
 		return resultOf(e.reply), true
 	case e.kind == revoked:
 		return result{kind: retry.NotRun, reason: string(wire.ReasonRevoked)}, true
-	case e.kind == unsent:
+	case e.kind == notSent:
 		return result{kind: retry.NotRun, reason: access.ReasonUnreachable}, true
 	case e.kind == gateReplaced:
 		return result{kind: retry.NoResponse, reason: reasonNodeReplaced}, true
@@ -172,23 +174,24 @@
 	}
 }
 
-// handleTimeout acts at the end of a wait, and returns false if another begins.
-func (r *request) handleTimeout(v *dispatchWait) (result, bool) {
-	d := v.dispatch
-	silent := result{kind: retry.NoResponse, reason: reasonNoAnswer}
+// handleTimeout returns the result of a wait that timed out, or false if it has extended
+// the wait.
+func (r *request) handleTimeout(wait *dispatchWait) (result, bool) {
+	d := wait.dispatch
+	noReply := result{kind: retry.NoResponse, reason: reasonNoAnswer}
 	switch {
-	case v.awaitingLink && v.gate.Withdraw(d.ID, d.Attempt):
+	case wait.awaitingLink && wait.gate.Withdraw(d.ID, d.Attempt):
 		return result{kind: retry.NotRun, reason: access.ReasonUnreachable}, true
-	case v.awaitingLink:
-		v.awaitingLink, v.until = false, v.began+d.Budget
+	case wait.awaitingLink:
+		wait.awaitingLink, wait.until = false, wait.began+d.Budget
 	case r.repeatable:
-		return silent, true
-	case v.resolveSent:
-		return silent, true
+		return noReply, true
+	case wait.resolveSent:
+		return noReply, true
 	default:
-		v.resolveSent = true
-		v.until = min(r.entry.config.Now()+r.resolveTimeout(), r.deadline)
-		v.gate.Resolve(d.ID, d.Attempt)
+		wait.resolveSent = true
+		wait.until = min(r.entry.config.Now()+r.resolveTimeout(), r.deadline)
+		wait.gate.Resolve(d.ID, d.Attempt)
 	}
 	return result{}, false
 }
--- a/entry/trail.go
+++ b/entry/attemptlog.go
@@ -9,38 +9,38 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// loggedAttempt is one try at a request, as a log line tells it.
+// loggedAttempt is one attempt as the log shows it.
 type loggedAttempt struct {
 	upstream string
-	// result is "served", or the reason why it was not.
+	// result is "served", or the reason why the attempt did not serve the request.
 	result string
-	// after is when it ended, counted from the request's arrival.
+	// after is when the attempt ended, relative to the request's arrival.
 	after clock.Millis
-	// severity is what the choice took the upstream's to be, and age how long
-	// ago that was heard.
+	// severity is the upstream's estimated severity at the time of the choice, and age
+	// the age of the update behind it.
 	severity float64
 	age      clock.Millis
 }
 
-// maxLoggedAttempts is how many tries a log line tells; a request has fewer, but for those
-// that find one upstream after the other gone.
+// maxLoggedAttempts bounds the attempts that a log line lists. Only a request that finds
+// one upstream after another unavailable makes more.
 const maxLoggedAttempts = 8
 
-// attemptLog holds the tries of a request. It is part of the request and takes no memory
-// of its own.
+// attemptLog holds the attempts of a request. It is embedded by value in the request and
+// allocates no memory of its own.
 type attemptLog struct {
 	attempts [maxLoggedAttempts]loggedAttempt
 	count    int
 }
 
-func (t *attemptLog) add(s loggedAttempt) {
-	if t.count < maxLoggedAttempts {
-		t.attempts[t.count] = s
+func (l *attemptLog) add(a loggedAttempt) {
+	if l.count < maxLoggedAttempts {
+		l.attempts[l.count] = a
 	}
-	t.count++
+	l.count++
 }
 
-// attemptFields is one step in a log line.
+// attemptFields is the JSON form of one attempt in a log line.
 type attemptFields struct {
 	Upstream string  `json:"upstream"`
 	Result   string  `json:"result"`
@@ -49,20 +49,22 @@
 	Age      string  `json:"age"`
 }
 
-func (t *attemptLog) fields() []attemptFields {
-	told := make([]attemptFields, 0, min(t.count, maxLoggedAttempts))
-	for _, s := range t.attempts[:min(t.count, maxLoggedAttempts)] {
-		told = append(told, attemptFields{s.upstream, s.result, s.after.String(), s.severity, s.age.String()})
+// fields returns the attempts for a log line.
+func (l *attemptLog) fields() []attemptFields {
+	all := make([]attemptFields, 0, min(l.count, maxLoggedAttempts))
+	for _, a := range l.attempts[:min(l.count, maxLoggedAttempts)] {
+		all = append(all, attemptFields{a.upstream, a.result, a.after.String(), a.severity, a.age.String()})
 	}
-	return told
+	return all
 }
 
-// recordAttempt adds a try to the trail.
+// recordAttempt adds an attempt to the request's log. It also records when a denied retry
+// may be granted.
 func (r *request) recordAttempt(a *attempt, o *result, chosen clock.Millis) {
 	if o.reason == string(wire.ReasonRetryBudget) {
 		r.budgetRetryAfter = max(o.retryAfter, 1)
 	}
-	s := loggedAttempt{
+	logged := loggedAttempt{
 		upstream: a.upstream.Name,
 		result:   o.reason,
 		after:    r.entry.config.Now() - r.started,
@@ -70,14 +72,14 @@
 		age:      max(chosen-a.updatedAt, 0),
 	}
 	if o.served {
-		s.result = string(access.Served)
+		logged.result = string(access.Served)
 	}
-	r.attemptLog.add(s)
+	r.attemptLog.add(logged)
 }
 
-// log leaves a line of what a caller may ask about: a request that was not served, or
-// was later than its route's target. Others leave none; counters and the report
-// have them.
+// log writes a line for a request that its caller may ask about: a request that was not
+// served, that failed or that took longer than its route's latency target. Other requests
+// appear only in the counters and in the report.
 func (r *request) log(record *access.Record, f *finalAnswer) {
 	var message string
 	switch {
@@ -91,7 +93,7 @@
 		return
 	}
 	fields := logrus.Fields{
-		"request":  wire.RequestName(r.label, r.id),
+		"request":  wire.RequestName(r.callerRequestID, r.id),
 		"caller":   r.caller,
 		"service":  record.Service,
 		"route":    record.Route,
@@ -123,10 +125,10 @@
 	r.entry.config.Log.WithFields(fields).Info(message)
 }
 
-// minFailureStatus is the lowest status of an answer that says the server failed.
+// minFailureStatus is the lowest status that means a failure of the backend server.
 const minFailureStatus = 500
 
-// recordNoRetry keeps why a request was not sent again, for its log line.
+// recordNoRetry records for the log why a request is not retried.
 func (r *request) recordNoRetry(d retry.Decision) {
 	r.noRetryReason = d.Reason
 	if d.Reason == retry.TooManyAttempts && r.budgetRetryAfter > 0 {
--- a/entry/budget_test.go
+++ b/entry/budget_test.go
@@ -7,20 +7,20 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// refusesBy is a gate that refuses dispatches and enquiries for a reason, and counts the
-// retries.
-func refusesBy(d *desk, reason wire.Reason, retries *int) {
-	refuse := refuses(d.name, reason)
-	d.hold = func(e *wire.CapacityProbe, told func(*wire.Reservation)) {
+// refuseAll makes a gate refuse all dispatches and probes with the reason. It counts
+// those that are retries.
+func refuseAll(d *fakeGate, reason wire.Reason, retries *int) {
+	refuse := refuseSlot(d.name, reason)
+	d.onProbe = func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
 		if e.Retry {
 			*retries++
 		}
 		refuse(e, func(h *wire.Reservation) {
 			h.RetryAfter = 3 * clock.Second
-			told(h)
+			onReply(h)
 		})
 	}
-	d.answer = func(m *wire.Dispatch) *wire.Reply {
+	d.onDispatch = func(m *wire.Dispatch) *wire.Reply {
 		if m.Retry {
 			*retries++
 		}
@@ -28,24 +28,24 @@
 	}
 }
 
-// Only what has reached an upstream counts against the retry budget: gates that had no
-// free slot were charged like upstreams that shed, and the budget was gone.
-func TestOnlyArrivalsMakeARetry(t *testing.T) {
+// Guards against charging the retry budget for attempts that reached no upstream: gates
+// without a free slot were charged like upstreams that shed, which exhausted the budget.
+func TestOnlyReachedUpstreamCountsAsRetry(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		reason wire.Reason
 		want   bool
-	}{{"shed by the upstream", wire.ReasonShed, true}, {"set aside by the gate", wire.ReasonEjected, false}, {"no room at the gate", wire.ReasonFull, false}} {
+	}{{"shed by the upstream", wire.ReasonShed, true}, {"ejected by the gate", wire.ReasonEjected, false}, {"no free slot at the gate", wire.ReasonFull, false}} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := crew(t)
-			s.join("a")
+			s := newTestService(t)
+			s.addUpstream("a")
 			s.publish()
 			retries := 0
-			refusesBy(s.ways["a"], tt.reason, new(int))
-			s.join("b")
+			refuseAll(s.gates["a"], tt.reason, new(int))
+			s.addUpstream("b")
 			s.publish()
 			s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.45}) // tried last
-			s.ways["b"].answer = func(m *wire.Dispatch) *wire.Reply {
+			s.gates["b"].onDispatch = func(m *wire.Dispatch) *wire.Reply {
 				if m.Retry {
 					retries++
 				}
@@ -61,17 +61,18 @@
 	}
 }
 
-// A gate without room in its quota refuses a retry that another gate has room for.
-func TestRetryDeniedByOneGateIsAskedOfOthers(t *testing.T) {
-	s := crew(t)
+// Guards against giving up after one gate has denied a retry for lack of quota, while
+// another gate still has quota for it.
+func TestRetryDeniedByOneGateIsTriedAtOthers(t *testing.T) {
+	s := newTestService(t)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		s.join(name)
+		s.addUpstream(name)
 	}
 	s.publish()
 	denied := 0
-	refusesBy(s.ways["a"], wire.ReasonShed, new(int))
-	refusesBy(s.ways["b"], wire.ReasonRetryBudget, &denied)
-	refusesBy(s.ways["c"], wire.ReasonRetryBudget, &denied)
+	refuseAll(s.gates["a"], wire.ReasonShed, new(int))
+	refuseAll(s.gates["b"], wire.ReasonRetryBudget, &denied)
+	refuseAll(s.gates["c"], wire.ReasonRetryBudget, &denied)
 	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.2})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
@@ -85,17 +86,17 @@
 	}
 }
 
-// No gate grants a retry of a request that its upstream has shed. Its caller is refused
-// at once, as not run, and told when the budget has room again.
-func TestRetryDeniedByAllIsRefusedAtOnce(t *testing.T) {
-	s := crew(t)
+// No gate grants a retry of a request that its upstream has shed. The entry must refuse
+// the request immediately as not run, and report when the budget allows retries again.
+func TestRetryDeniedByAllGatesIsRefused(t *testing.T) {
+	s := newTestService(t)
 	for _, name := range []string{"a", "b", "c"} {
-		s.join(name)
+		s.addUpstream(name)
 	}
 	s.publish()
-	refusesBy(s.ways["a"], wire.ReasonShed, new(int))
-	refusesBy(s.ways["b"], wire.ReasonRetryBudget, new(int))
-	refusesBy(s.ways["c"], wire.ReasonRetryBudget, new(int))
+	refuseAll(s.gates["a"], wire.ReasonShed, new(int))
+	refuseAll(s.gates["b"], wire.ReasonRetryBudget, new(int))
+	refuseAll(s.gates["c"], wire.ReasonRetryBudget, new(int))
 	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.3})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.3})
@@ -107,75 +108,76 @@
 		t.Errorf("got reason %q, want %q", got, wire.ReasonRetryBudget)
 	}
 	if got := string(response.Header.Peek("Retry-After")); got != "3" && got != "4" && got != "5" {
-		t.Errorf("got Retry-After %q, want the 3 to 4.5 s that the gates said", got)
+		t.Errorf("got Retry-After %q, want 3 to 5: the 3 s that the gates reported plus up to half as jitter", got)
 	}
 }
 
-// The path to an upstream is lost with a request on it. The request goes elsewhere, as a
-// retry, for it may have arrived; the first run is called off, or it would hold a slot for
-// nobody.
-func TestRequestOnALostPathIsSentElsewhere(t *testing.T) {
-	s := crew(t)
-	s.join("a")
-	s.join("b")
+// The path to an upstream is lost while a request is on it. The entry must retry the
+// request elsewhere, as a retry since it may have arrived, and abandon the first run,
+// which would otherwise hold a slot for nobody.
+func TestRequestOnLostPathIsRetriedElsewhere(t *testing.T) {
+	s := newTestService(t)
+	s.addUpstream("a")
+	s.addUpstream("b")
 	s.publish()
-	s.ways["a"].isCut = true
+	s.gates["a"].pathLost = true
 	isRetry := false
-	s.ways["b"].answer = func(m *wire.Dispatch) *wire.Reply {
+	s.gates["b"].onDispatch = func(m *wire.Dispatch) *wire.Reply {
 		isRetry = m.Retry
 		return &wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.Answered, Status: 200, Upstream: wire.Upstream{Name: "b", Share: 1}}
 	}
 	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.45}) // tried last
 	if status, _ := post(s.entry); status != 200 || !isRetry {
-		t.Errorf("got %d, sent as a retry: %v; want it served as one", status, isRetry)
+		t.Errorf("got %d, sent as a retry: %v; want it served as a retry", status, isRetry)
 	}
-	if got := s.ways["a"].abandoned; got != 1 {
-		t.Errorf("got %d runs called off, want 1", got)
+	if got := s.gates["a"].abandoned; got != 1 {
+		t.Errorf("got %d runs abandoned, want 1", got)
 	}
 }
 
-// A read has failed once and may run once more. Placed like a first try, the second one
-// went to an upstream of which nothing had been heard for a second, and failed as well. Its
-// gates are asked first, as for a request that may run once only.
-func TestSecondTryGoesWhereAGateSaysItIsSound(t *testing.T) {
-	s := crew(t)
+// A read has failed once and may run once more. Chosen like a first attempt, the second
+// went to an upstream without an update for a second, and failed as well. The entry must
+// probe the gates first, as it does for a request that may run only once.
+func TestRetryProbesGatesForHealthiest(t *testing.T) {
+	s := newTestService(t)
 	for _, name := range []string{"a", "b", "c"} {
-		s.join(name)
+		s.addUpstream(name)
 	}
 	s.publish()
 	s.entry.UpdateUpstream(wire.Upstream{Name: "a", Share: 1, Severity: 0.01})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "b", Share: 1, Severity: 0.1})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.2})
-	s.ways["a"].answer = func(m *wire.Dispatch) *wire.Reply {
+	s.gates["a"].onDispatch = func(m *wire.Dispatch) *wire.Reply {
 		return &wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.Answered, Status: 500, Upstream: wire.Upstream{Name: "a", Share: 1, Severity: 0.6}}
 	}
-	s.ways["b"].hold = holds("b", 0.9) // it has failed since it was heard of
+	s.gates["b"].onProbe = grantSlot("b", 0.9) // more severe than its last update
 	status, body := post(s.entry)
 	if status != 200 || body != "c" {
 		t.Errorf("got %d %q, want it served by c", status, body)
 	}
-	if got := s.ways["a"].enquired; got != 0 {
-		t.Errorf("got the upstream that failed it asked %d times, want not at all", got)
+	if got := s.gates["a"].probes; got != 0 {
+		t.Errorf("got the upstream that failed the request probed %d times, want 0", got)
 	}
 }
 
-// A read met seven gates without room before the upstream that failed it. The refusals
-// had used up its attempts, though its route allows a second run and others had room.
+// Guards against refusals that use up a request's attempts: a read was refused by seven
+// gates before one upstream failed it, and was then not retried, though its route allows
+// a second run and other upstreams had free slots.
 func TestRefusalsUseUpNoAttempts(t *testing.T) {
-	s := crew(t)
+	s := newTestService(t)
 	for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-		s.join(name)
+		s.addUpstream(name)
 	}
 	s.attempts = 2
 	s.publish()
 	for i, name := range []string{"a", "b", "c", "d", "e", "f"} {
-		refusesBy(s.ways[name], wire.ReasonEjected, new(int))
+		refuseAll(s.gates[name], wire.ReasonEjected, new(int))
 		s.entry.UpdateUpstream(wire.Upstream{Name: name, Share: 1, Severity: 0.01 * float64(i)})
 	}
-	s.ways["g"].answer = func(m *wire.Dispatch) *wire.Reply {
+	s.gates["g"].onDispatch = func(m *wire.Dispatch) *wire.Reply {
 		return &wire.Reply{ID: m.ID, Attempt: m.Attempt, Outcome: wire.Answered, Status: 500, Upstream: wire.Upstream{Name: "g", Share: 1}}
 	}
-	refusesBy(s.ways["h"], wire.ReasonFull, new(int))
+	refuseAll(s.gates["h"], wire.ReasonFull, new(int))
 	s.entry.UpdateUpstream(wire.Upstream{Name: "g", Share: 1, Severity: 0.3})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "h", Share: 1, Severity: 0.4})
 	s.entry.UpdateUpstream(wire.Upstream{Name: "i", Share: 1, Severity: 0.45})
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry takes callers' requests for any service, picks an upstream for
-// each, sends it to the gate beside that upstream, and gives the caller the
-// whole answer. It alone sees the whole service: it holds the floor, spends
-// the retry budget and closes the account of every request.
+// Package entry accepts callers' requests for all services, picks an upstream for each
+// request, sends the request to the gate beside that upstream and returns the complete
+// answer to the caller. Only the entry sees a whole service, so it enforces the floor,
+// spends the retry budget and records the final outcome of every request.
 package entry
 
 import (
@@ -24,32 +24,39 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// GateClient is the way to one node's gates: a peer, or this node itself.
+// GateClient sends messages to the gates of one node, which is a peer or this node
+// itself.
 type GateClient interface {
-	// Dispatch sends a request. After an error nothing was sent.
+	// Dispatch sends a request. If it returns an error, nothing was sent.
 	Dispatch(d *wire.Dispatch, w link.DispatchObserver) error
+	// Resolve asks the gate for the unknown outcome of a dispatch. The gate revokes a
+	// dispatch that has not begun.
 	Resolve(id wire.RequestID, attempt uint8)
+	// Forget drops the observer of a dispatch without a message to the gate.
 	Forget(id wire.RequestID, attempt uint8)
-	// Withdraw takes back a dispatch that still waits for a link, and reports
-	// whether it did.
+	// Withdraw cancels a dispatch that is still waiting for a link, and reports whether
+	// it did.
 	Withdraw(id wire.RequestID, attempt uint8) bool
-	// Abandon says that the caller has left, and forgets the dispatch.
+	// Abandon tells the gate that nobody waits for the outcome, and forgets the dispatch.
 	Abandon(id wire.RequestID, attempt uint8)
-	// EnsureLink asks for an open link, to hear the state of the node's upstreams.
+	// EnsureLink requests an open link, over which the node sends its upstreams' state.
 	EnsureLink()
-	// ProbeCapacity asks the gate for a slot and tells its answer, if one comes, perhaps
-	// after the enquiry's patience; nil where it couldn't be asked. After an error
-	// nothing is asked.
-	ProbeCapacity(e *wire.CapacityProbe, told func(*wire.Reservation)) error
-	// ReleaseReservation lets go of a slot that was asked for.
+	// ProbeCapacity asks the gate for a slot. The gate's answer, if there is one, is
+	// passed to onReply, possibly only after the probe's wait budget; a nil answer means
+	// that the gate couldn't be asked. If ProbeCapacity returns an error, nothing was
+	// asked.
+	ProbeCapacity(e *wire.CapacityProbe, onReply func(*wire.Reservation)) error
+	// ReleaseReservation releases a slot that was asked for.
 	ReleaseReservation(w *wire.ReleaseReservation)
-	// RevokeKey asks the node what it knows of a resend's key. After an error the
-	// waiter isn't told.
-	RevokeKey(v *wire.KeyRevocation, patience clock.Millis, w link.RevocationObserver) error
+	// RevokeKey asks the node for the status of a resend's idempotency key and revokes
+	// the key there if it has not run. If RevokeKey returns an error, it does not notify
+	// w.
+	RevokeKey(v *wire.KeyRevocation, timeout clock.Millis, w link.RevocationObserver) error
+	// ForgetRevocation drops a key revocation that needs no answer any more.
 	ForgetRevocation(id wire.RequestID)
 }
 
-// Recorder takes in accounts and events.
+// Recorder receives request records and events.
 type Recorder interface {
 	RequestReceived()
 	RequestFinished(now clock.Millis, r access.Record)
@@ -59,10 +66,10 @@
 // Config configures an Entry.
 type Config struct {
 	Domain string
-	// Service names what runs beside the node. Requests without another name
-	// of their caller are its own.
+	// Service names the service that runs beside the node. If it is set, it is the caller
+	// of all requests.
 	Service string
-	// Headers are the names that callers know; empty ones stand for
+	// Headers are the header names that callers use; the zero value stands for
 	// DefaultHeaders.
 	Headers     Headers
 	Incarnation uint64
@@ -70,28 +77,28 @@
 	Now         func() clock.Millis
 	Pool        *ants.Pool
 	Recorder    Recorder
-	// GateClient returns the way to the node beside an upstream.
+	// GateClient returns the client for the node beside an upstream.
 	GateClient func(u table.Upstream) GateClient
 	// CrashTracker may be nil.
 	CrashTracker CrashTracker
-	// Quotas may be nil: client accounts have no limits then.
+	// Quotas may be nil: client accounts then have no limits.
 	Quotas Quotas
-	// KeyMargin is by how much the age of an idempotency key may be
-	// understated; 0 means resend.Margin.
+	// KeyMargin is how much older an idempotency key may be than its caller states; 0
+	// means resend.Margin.
 	KeyMargin clock.Millis
 	Log       logrus.FieldLogger
 }
 
-// Entry serves callers. It is safe for concurrent use.
+// Entry serves callers' requests. It is safe for concurrent use.
 type Entry struct {
 	config          Config
 	sequence        atomic.Uint64
 	inFlight        atomic.Int64
 	leaving         atomic.Bool
-	routesChangedAt atomic.Int64 // when the routes changed last
+	routesChangedAt atomic.Int64 // time of the last change of routes
 
 	table        atomic.Pointer[table.Table]
-	callerRates  atomic.Pointer[map[string]float64] // their own rates
+	callerRates  atomic.Pointer[map[string]float64] // rate limits of individual callers
 	services     atomic.Pointer[map[string]*service]
 	splitter     *Splitter
 	failureTimes *failureTimes
@@ -102,11 +109,12 @@
 	rates *limit.Rates
 }
 
-// maxCallers bounds the callers whose rates are remembered; the one heard
-// least lately is forgotten first.
+// maxCallers bounds the callers whose rates are tracked. When it is exceeded, the least
+// recently seen caller is dropped.
 const maxCallers = 50_000
 
-// New returns an entry without a table: it refuses requests until Update.
+// New returns an entry without a table. The entry refuses all requests until the first
+// Update.
 func New(c Config) *Entry {
 	if c.KeyMargin == 0 {
 		c.KeyMargin = resend.Margin
@@ -120,7 +128,7 @@
 	return e
 }
 
-// Update puts a table in force.
+// Update applies a table.
 func (e *Entry) Update(t *table.Table) {
 	old := *e.services.Load()
 	next := make(map[string]*service, len(t.Services))
@@ -145,14 +153,15 @@
 	e.profiles.prune(func(service string) bool { _, ok := next[service]; return ok })
 }
 
-// UpdateUpstream takes in what a gate says of its upstream.
+// UpdateUpstream records the state that a gate reports of its upstream.
 func (e *Entry) UpdateUpstream(u wire.Upstream) {
 	if s, ok := e.serviceOf(u.Name); ok {
 		s.updateUpstream(e.config.Now(), u)
 	}
 }
 
-// serviceOf finds the service of an upstream by its name.
+// serviceOf returns the service of an upstream, or false if the table has no such
+// upstream.
 func (e *Entry) serviceOf(upstream string) (*service, bool) {
 	t := e.table.Load()
 	if t == nil {
@@ -166,39 +175,40 @@
 	return s, found
 }
 
-// HandleWorkRequest takes in a gate's wish for a request.
+// HandleWorkRequest records that a gate asks for a request.
 func (e *Entry) HandleWorkRequest(i *wire.WorkRequest) {
 	if s, ok := e.serviceOf(i.Upstream); ok {
 		s.handleWorkRequest(e.config.Now(), i)
 	}
 }
 
-// UpdatePath takes in whether a node can be reached from here.
+// UpdatePath records whether the path from here to a node is lost.
 func (e *Entry) UpdatePath(node string, lost bool) {
 	for _, s := range *e.services.Load() {
 		s.updatePath(node, lost)
 	}
 }
 
-// UpdateInstance takes in what the instance list says of a node.
+// UpdateInstance records whether the instance list marks a node as leaving.
 func (e *Entry) UpdateInstance(node string, leaving bool) {
 	for _, s := range *e.services.Load() {
 		s.updateInstance(node, leaving)
 	}
 }
 
-// Leave tells callers, with every answer from now on, to open their next
-// connection elsewhere.
+// Leave makes every answer from now on close its connection, so that callers open their
+// next connection to another node.
 func (e *Entry) Leave() {
 	e.leaving.Store(true)
 }
 
-// InFlight returns how many requests are in flight.
+// InFlight returns the number of requests in flight.
 func (e *Entry) InFlight() int {
 	return int(e.inFlight.Load())
 }
 
-// States describes all upstreams as this entry sees them.
+// States returns the state of every upstream as this entry sees it, or nil without a
+// table.
 func (e *Entry) States() []access.UpstreamState {
 	var all []access.UpstreamState
 	t := e.table.Load()
@@ -215,7 +225,8 @@
 	return all
 }
 
-// Serve answers one request of a caller. A full pool refuses at once.
+// Serve answers one request of a caller. If the pool is full, it refuses the request
+// immediately.
 func (e *Entry) Serve(ctx *fasthttp.RequestCtx) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -241,7 +252,7 @@
 	}
 }
 
-// ServeMalformed answers what the HTTP library could not read as a request.
+// ServeMalformed answers a request that the HTTP library could not parse.
 func (e *Entry) ServeMalformed(ctx *fasthttp.RequestCtx, err error) {
 	e.config.Recorder.RequestReceived()
 	r := e.newRequest(ctx)
@@ -253,13 +264,13 @@
 	r.finish(refused(status, reason, 0))
 }
 
-// allow asks the limits: a caller's own, over all services, then the service's.
+// allow applies the caller's own rate limit over all services, then the service's limits.
 func (e *Entry) allow(now clock.Millis, s *table.Service, caller string) limit.Grant {
-	own, has := (*e.callerRates.Load())[caller]
+	rate, ok := (*e.callerRates.Load())[caller]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if has {
-		if grant := e.rates.Allow(now, "", 0, caller, own); !grant.OK {
+	if ok {
+		if grant := e.rates.Allow(now, "", 0, caller, rate); !grant.OK {
 			return grant
 		}
 	}
--- a/entry/failures.go
+++ b/entry/failures.go
@@ -6,11 +6,11 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// maxFailureTimes is how many instants of failed requests are remembered: at ten a
-// second some seconds, longer than a backend server runs one request.
+// maxFailureTimes is how many times of failed requests are retained. At ten failures a
+// second they cover some seconds, longer than a backend server runs one request.
 const maxFailureTimes = 64
 
-// failureTimes remembers when requests that came to this entry failed last.
+// failureTimes retains when the latest failed requests of this entry failed.
 type failureTimes struct {
 	mu    sync.Mutex
 	times [maxFailureTimes]clock.Millis
@@ -24,12 +24,12 @@
 	f.next = (f.next + 1) % maxFailureTimes
 }
 
-// FailedWithin reports whether a request that came to this entry failed within a
-// span. The backend server beside the node makes its calls through this entry:
-// one that failed while it ran a request may be why that failed. A call doesn't
-// say which request it is part of, so others' failures excuse it, too; the runs
-// of an upstream that is failing itself last some milliseconds, in which hardly
-// any falls.
+// FailedWithin reports whether a request to this entry failed between from and to. The
+// backend server beside the node makes its calls through this entry, so a call that
+// failed while the backend server ran a request may be why that request failed. A call
+// doesn't identify the request that it is part of, so calls of other requests excuse a
+// failure, too. The runs of an upstream that itself fails last only some milliseconds, in
+// which hardly any call fails.
 func (e *Entry) FailedWithin(from, to clock.Millis) bool {
 	e.failureTimes.mu.Lock()
 	defer e.failureTimes.mu.Unlock()
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -11,8 +11,8 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// authenticate finds the client account that the request's key belongs to. It returns false
-// where the route asks for a key and there is none that an account holds.
+// authenticate finds the client account that holds the request's key. It returns false if
+// the route requires a key and the request carries none that an account holds.
 func (r *request) authenticate() bool {
 	value, count := headerValue(&r.ctx.Request.Header, fasthttp.HeaderAuthorization)
 	key, ok := r.entry.config.Headers.parseKey(value)
@@ -22,14 +22,16 @@
 	return r.account != nil || !r.table.NeedsKey(r.route)
 }
 
-// parseKey reads the key of a client account from the value of Authorization.
+// parseKey returns the client account's key from the value of the Authorization header,
+// and false if the value has another scheme.
 func (h *Headers) parseKey(value []byte) ([]byte, bool) {
 	scheme, key, ok := bytes.Cut(value, []byte{' '})
 	return bytes.TrimSpace(key), ok && bytes.EqualFold(scheme, []byte(h.KeyScheme))
 }
 
-// isKeyHeader reports whether a header may hold the key of a client account, which no upstream
-// is to see. Where there are no accounts the header is the upstream's own matter.
+// isKeyHeader reports whether a header may hold a client account's key, which must not
+// reach an upstream. If the table has no keys, the header belongs to the upstream and is
+// forwarded.
 func (r *request) isKeyHeader(name, value []byte) bool {
 	if !r.table.HasKeys() || !bytes.EqualFold(name, []byte(fasthttp.HeaderAuthorization)) {
 		return false
@@ -38,7 +40,7 @@
 	return ok || r.table.NeedsKey(r.route)
 }
 
-// accountName is the name of the request's client account, empty without one.
+// accountName returns the name of the request's client account, empty if it has none.
 func (r *request) accountName() string {
 	if r.account == nil {
 		return ""
@@ -46,8 +48,8 @@
 	return r.account.Name
 }
 
-// recordedCaller is whom the record of the request names: the client account, or else what
-// the caller calls itself.
+// recordedCaller returns the caller's name for the request's record: the client account,
+// or the caller's own name if there is no account.
 func (r *request) recordedCaller() string {
 	if r.account == nil {
 		return r.caller
@@ -55,7 +57,7 @@
 	return r.account.Name
 }
 
-// priority ranks the request. An account's own goes before that of the route.
+// priority returns the account's priority, or the route's if the account sets none.
 func (r *request) priority() int {
 	if r.account == nil || r.account.Priority == table.RoutePriority {
 		return r.route.Priority
@@ -63,26 +65,26 @@
 	return r.account.Priority
 }
 
-// Quotas admits requests of client accounts within the quotas that hold for all nodes
-// together.
+// Quotas admits client accounts' requests within quotas that all nodes share.
 type Quotas interface {
-	// Admit waits until it is known whether one more request may be sent, or until left
-	// is closed.
-	Admit(a *table.Account, left <-chan struct{}) Admission
-	// Refund takes back the admission of a request that was not run.
+	// Admit waits until it is known whether the account may send one more request, or
+	// until gone is closed.
+	Admit(a *table.Account, gone <-chan struct{}) Admission
+	// Refund returns the admission of a request that was not run.
 	Refund(a *table.Account)
 }
 
-// Admission is the answer to one request of a client account.
+// Admission is the decision on one request of a client account.
 type Admission struct {
 	OK bool
-	// OverQuota says that the account is over its quota; without it and OK it could not be
-	// found out.
+	// OverQuota means that the account is over its quota. If neither OK nor OverQuota is
+	// set, the quota's state is unknown.
 	OverQuota  bool
 	RetryAfter clock.Millis
 }
 
-// checkQuota asks whether the client account may send one more request.
+// checkQuota charges the request to its client account's quota. If the quota doesn't
+// allow it, checkQuota returns the refusal and false.
 func (r *request) checkQuota() (finalAnswer, bool) {
 	quotas := r.entry.config.Quotas
 	if quotas == nil || r.account == nil || r.route.Public {
@@ -102,7 +104,7 @@
 	}
 }
 
-// refundQuota returns the request's admission where nothing has run.
+// refundQuota returns the request's admission if the request was not run.
 func (r *request) refundQuota(f *finalAnswer) {
 	if r.isCharged && f.outcome == access.NotRun {
 		r.entry.config.Quotas.Refund(r.account)
--- a/entry/identity_test.go
+++ b/entry/identity_test.go
@@ -17,7 +17,7 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// The draws are the same on every run unless -rapid.seed is given.
+// rapid uses the same random seed on every run unless -rapid.seed is given.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -28,20 +28,21 @@
 
 const rightKey = "hotel-key"
 
-// keyed returns an entry whose table has one account, and the dispatches that it makes.
-func keyed(t *testing.T) (*entry.Entry, *[]*wire.Dispatch) {
+// newAccountEntry returns an entry whose table has one client account, and the dispatches
+// that the entry sends.
+func newAccountEntry(t *testing.T) (*entry.Entry, *[]*wire.Dispatch) {
 	t.Helper()
 	var sent []*wire.Dispatch
-	d := &desk{name: "c1"}
-	d.take = func(d *desk, m *wire.Dispatch, w link.DispatchObserver) {
+	d := &fakeGate{name: "c1"}
+	d.handle = func(d *fakeGate, m *wire.Dispatch, w link.DispatchObserver) {
 		sent = append(sent, m)
-		w.Replied(d.serves(m))
+		w.Replied(d.served(m))
 	}
 	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Deadline: clock.Minute, Upstreams: []table.Upstream{
 		{Name: "c1", Node: "c1", Domain: "palermo", Weight: 100, Slots: 9},
 	}}
 	e := entry.New(entry.Config{
-		Domain: "palermo", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: journal{}, Log: logging.Silent(),
+		Domain: "palermo", Now: clock.NewSystem().Now, Pool: newPool(t), Recorder: nopRecorder{}, Log: logging.Silent(),
 		Headers:    entry.DefaultHeaders(),
 		GateClient: func(table.Upstream) entry.GateClient { return d },
 	})
@@ -53,10 +54,11 @@
 	return e, &sent
 }
 
-// Callers send any bytes as their key: parts of a right one, two at once, another scheme. Only
-// the whole key under the right scheme may run a request, and no upstream may be shown it.
+// Callers may send any bytes as their key: parts of a valid key, two keys at once,
+// another scheme. Only the complete key under the right scheme may run a request, and no
+// upstream may receive it.
 func TestOnlyAWholeKeyRunsARequest(t *testing.T) {
-	e, sent := keyed(t)
+	e, sent := newAccountEntry(t)
 	rapid.Check(t, func(t *rapid.T) {
 		piece := rapid.SampledFrom([]string{"Bearer", "bearer", "Token", "Basic", " ", "\t", ",", rightKey, rightKey[:4], "x", "", "\x00", "Bearer " + rightKey})
 		mixed := rapid.Map(rapid.SliceOfN(piece, 0, 5), func(p []string) string { return strings.Join(p, "") })
@@ -76,21 +78,22 @@
 		isRight := len(values) == 1 && isKeyOf(values[0])
 		status := ctx.Response.StatusCode()
 		if isRight != (status == fasthttp.StatusOK) || (!isRight && status != fasthttp.StatusUnauthorized) {
-			t.Fatalf("%q: got %d, want it served only with one whole key", values, status)
+			t.Fatalf("%q: got %d, want 200 with exactly one complete key, otherwise 401", values, status)
 		}
 		if isRight != (len(*sent) == 1) {
-			t.Fatalf("%q: got %d dispatches, want one for a right key and none else", values, len(*sent))
+			t.Fatalf("%q: got %d dispatches, want 1 for a valid key, otherwise 0", values, len(*sent))
 		}
 		for _, d := range *sent {
 			if d.Account != "hotel" || bytes.Contains(d.Headers, []byte(rightKey)) {
-				t.Fatalf("%q: got account %q and headers %q, want hotel's without its key", values, d.Account, d.Headers)
+				t.Fatalf("%q: got account %q and headers %q, want account hotel and no key", values, d.Account, d.Headers)
 			}
 		}
 	})
 }
 
-// isKeyOf says what the header's definition says: a scheme in any letter case, spaces, the key.
-// Spaces before the scheme never come from the wire, where they belong to no value.
+// isKeyOf reports whether the header value is valid: the scheme in any letter case,
+// spaces, the key. Spaces before the scheme never arrive over the network, since HTTP
+// parsing strips them.
 func isKeyOf(value string) bool {
 	scheme, key, ok := strings.Cut(value, " ")
 	return ok && strings.EqualFold(scheme, "Bearer") && strings.TrimSpace(key) == rightKey
--- a/entry/member.go
+++ b/entry/member.go
@@ -16,17 +16,17 @@
 	upstream    table.Upstream
 	gate        GateClient
 	state       wire.Upstream
-	updatedAt   clock.Millis // when state was heard
+	updatedAt   clock.Millis // when state was received
 	unreachable bool
-	leaving     bool // the instance list says that it is leaving
+	leaving     bool // the instance list marks its node as leaving
 	inFlight    int  // dispatches of this entry without an outcome
-	// workRequestUntil is until when its gate's wish for a request stands.
+	// workRequestUntil is when the gate's work request expires; 0 if there is none.
 	workRequestUntil clock.Millis
 }
 
-// verdict is the gate's as last heard. A hold-off that has run out since is a
-// trial: the link may have been closed for want of requests, and then no
-// heartbeat says so.
+// verdict returns the verdict that the gate last reported. If an ejection has ended
+// since, the verdict is Trial: the link may have been closed because it carried no
+// requests, and then no heartbeat reports the change.
 func (m *member) verdict(now clock.Millis) health.State {
 	state := health.State(m.state.State)
 	if state == health.Ejected && now >= m.updatedAt+m.state.Until {
@@ -35,24 +35,26 @@
 	return state
 }
 
-// hasEjectVerdict reports a verdict that the floor decides about.
+// hasEjectVerdict reports whether the gate's verdict is Ejected or Trial. Whether the
+// upstream then leaves use is up to the floor.
 func (m *member) hasEjectVerdict(now clock.Millis) bool {
 	state := m.verdict(now)
 	return state == health.Ejected || state == health.Trial
 }
 
-// isEjected reports a verdict that the floor decides about.
-func (m *member) isEjected(now clock.Millis, brief bool) bool {
-	if brief {
-		return m.severity(now, brief) >= episode.EjectThreshold
+// isEjected reports whether the upstream is to be ejected as far as the floor allows.
+// With short episodes the severity decides, otherwise the gate's verdict.
+func (m *member) isEjected(now clock.Millis, shortEpisodes bool) bool {
+	if shortEpisodes {
+		return m.severity(now, shortEpisodes) >= episode.EjectThreshold
 	}
 	return m.hasEjectVerdict(now)
 }
 
-// severity is the gate's as last heard. That of a brief episode draws back to
-// what is usual while nothing is heard.
-func (m *member) severity(now clock.Millis, brief bool) float64 {
-	if brief {
+// severity returns the severity that the gate last reported. With short episodes it
+// drifts back to the typical value while no update arrives.
+func (m *member) severity(now clock.Millis, shortEpisodes bool) float64 {
+	if shortEpisodes {
 		return episode.Drift(m.state.Severity, now-m.updatedAt)
 	}
 	return m.state.Severity
@@ -69,8 +71,9 @@
 	}
 }
 
-// slowStartShare is the part of its work that slow start grants it. Its gate's last word may be
-// of a hold-off, in which that is none, and which has run out since.
+// slowStartShare returns the share of its normal load that slow start allows the
+// upstream. The gate reports 0 for an ejected upstream; once the ejection has ended, the
+// upstream gets the share of a trial even if no update has arrived since.
 func (m *member) slowStartShare(now clock.Millis) float64 {
 	if m.verdict(now) == health.Trial {
 		return max(m.state.Share, health.TrialShare)
@@ -78,18 +81,18 @@
 	return m.state.Share
 }
 
-// minFailureExcess is the difference between two shares of failures at which it counts:
-// far above the scatter of healthy upstreams, whose shares are about 0.01.
+// minFailureExcess is how far an upstream's failure rate must exceed the service's lowest
+// to count. It is far above the scatter of healthy upstreams, whose rates are about 0.01.
 const minFailureExcess = 0.2
 
-// failureWeight is the part of its work that an upstream gets, given the service's
-// lowest share of failures. It guards against what the verdict leaves alone: when
-// most upstreams of a service are gray at once, that counts as its usual state,
-// and none is set aside. Work still goes where it succeeds, and where all fail
-// alike, as in a fault common to the service, nothing changes.
+// failureWeight returns the share of its normal load that the upstream gets, given the
+// service's lowest failure rate. It covers a case that the verdict does not: if most
+// upstreams of a service fail partially at once, that counts as the service's baseline
+// and none is ejected. Load still moves to upstreams that succeed. If all fail alike, as
+// in a fault common to the service, nothing changes.
 func (m *member) failureWeight(best float64) float64 {
-	own := m.state.Local
-	if excess := own.FailureRate - best; own.Known && excess > minFailureExcess {
+	local := m.state.Local
+	if excess := local.FailureRate - best; local.Known && excess > minFailureExcess {
 		return 1 - min(excess, 1)
 	}
 	return 1
--- a/entry/paces.go
+++ b/entry/profiles.go
@@ -11,16 +11,17 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// maxProfiles bounds the routes whose times are remembered; what is beyond begins anew.
+// maxProfiles bounds the routes that have a latency profile. When it is exceeded, all
+// profiles are discarded and start afresh.
 const maxProfiles = 10_000
 
-// latencyProfiles remembers how long the runs of each route usually take, and how they fail, at all
-// upstreams of a service: a gate that knew its own alone would take a slow one for the usual.
-// It is safe for concurrent use.
+// latencyProfiles records how long the runs of each route take and how they fail, over
+// all upstreams of a service: a gate that saw only its own upstream would take a slow
+// upstream for a typical one. It is safe for concurrent use.
 type latencyProfiles struct {
 	mu      sync.Mutex
 	byRoute map[string]*episode.LatencyProfile
-	// failures is how upstreams fail, by service.
+	// failures maps a service to the ways in which its upstreams fail.
 	failures map[string]*episode.FailureModes
 }
 
@@ -28,22 +29,22 @@
 	return &latencyProfiles{byRoute: map[string]*episode.LatencyProfile{}, failures: map[string]*episode.FailureModes{}}
 }
 
-// routeProfile returns that of a route. The lock is held.
+// routeProfile returns a route's profile and creates it if needed. The caller holds p.mu.
 func (p *latencyProfiles) routeProfile(r *table.Route) *episode.LatencyProfile {
 	key := strings.ToLower(r.Host) + r.Prefix
-	one, ok := p.byRoute[key]
+	profile, ok := p.byRoute[key]
 	if !ok {
 		if len(p.byRoute) >= maxProfiles {
 			clear(p.byRoute)
 		}
-		one = &episode.LatencyProfile{}
-		p.byRoute[key] = one
+		profile = &episode.LatencyProfile{}
+		p.byRoute[key] = profile
 	}
-	return one
+	return profile
 }
 
-// typicalLatency is what the request's run usually takes; nothing is told where upstreams aren't
-// judged by it.
+// typicalLatency returns the typical latency of the request's route. It is zero unless
+// upstreams of the service fail in short episodes, since only their gates judge by it.
 func (r *request) typicalLatency() episode.TypicalLatency {
 	if r.config.Caution != table.ShortEpisodes {
 		return episode.TypicalLatency{}
@@ -51,39 +52,41 @@
 	p := r.entry.profiles
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	usual := p.routeProfile(r.route).Estimate(r.route.LatencyTarget)
+	typical := p.routeProfile(r.route).Estimate(r.route.LatencyTarget)
 	if f, ok := p.failures[r.serviceName]; ok {
-		usual.HangShare = f.Published()
+		typical.HangShare = f.Published()
 	}
-	return usual
+	return typical
 }
 
-// updateProfile takes in how long an upstream took that served the request, or how it failed.
+// updateProfile records how long the upstream took to serve the request, or how it
+// failed.
 func (r *request) updateProfile(o *result) {
-	isStalled := o.reason == string(wire.ReasonHung)
-	if r.config.Caution != table.ShortEpisodes || (o.reply == nil && !isStalled) || (o.reply != nil && o.reply.Replay) {
+	isHung := o.reason == string(wire.ReasonHung)
+	if r.config.Caution != table.ShortEpisodes || (o.reply == nil && !isHung) || (o.reply != nil && o.reply.Replay) {
 		return
 	}
 	p := r.entry.profiles
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if isStalled {
+	if isHung {
 		p.serviceFailures(r.serviceName).AddHung(1)
 		return
 	}
-	pace := p.routeProfile(r.route)
+	profile := p.routeProfile(r.route)
 	switch {
 	case o.served:
-		pace.Observe(o.reply.Took)
+		profile.Observe(o.reply.Took)
 	case o.kind != retry.Failed, o.reason == string(wire.ReasonCallerLeft):
 	case o.reason == string(wire.ReasonTimeout):
-		p.serviceFailures(r.serviceName).AddHung(1 - pace.Estimate(r.route.LatencyTarget).Survival(o.reply.Took))
+		p.serviceFailures(r.serviceName).AddHung(1 - profile.Estimate(r.route.LatencyTarget).Survival(o.reply.Took))
 	case o.reply.Took < episode.ImmediateWindow:
 		p.serviceFailures(r.serviceName).AddImmediate(o.reply.Upstream.Severity)
 	}
 }
 
-// serviceFailures returns how a service fails. The lock is held.
+// serviceFailures returns a service's failure modes and creates them if needed. The
+// caller holds p.mu.
 func (p *latencyProfiles) serviceFailures(service string) *episode.FailureModes {
 	f, ok := p.failures[service]
 	if !ok {
@@ -93,9 +96,9 @@
 	return f
 }
 
-// prune drops the services that a table no longer names.
-func (p *latencyProfiles) prune(named func(service string) bool) {
+// prune drops the services that the table no longer lists.
+func (p *latencyProfiles) prune(isListed func(service string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.failures, func(service string, _ *episode.FailureModes) bool { return !named(service) })
+	maps.DeleteFunc(p.failures, func(service string, _ *episode.FailureModes) bool { return !isListed(service) })
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -15,26 +15,26 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// CrashTracker is what the node knows of requests that crash backend servers.
+// CrashTracker holds what the node knows about requests that crash backend servers.
 type CrashTracker interface {
-	// IsEmpty reports whether nothing is suspected.
+	// IsEmpty reports whether no request is suspected.
 	IsEmpty() bool
 	// MayMatch reports whether a request with the hint may be a suspect.
 	MayMatch(hint uint64) bool
-	// Status says how a request may be sent.
+	// Status returns how a request may be sent.
 	Status(f quarantine.Fingerprint) quarantine.Status
-	// Clear takes in that a request succeeded.
+	// Clear records that a request succeeded.
 	Clear(f quarantine.Fingerprint)
 }
 
-// trialLocks lets one trial of each suspected request run at a time.
+// trialLocks allows one trial at a time for each suspected request.
 type trialLocks struct {
 	mu      sync.Mutex
 	running map[quarantine.Fingerprint]chan struct{}
 }
 
-// acquire takes the turn of a request, or returns a channel that is closed when the trial
-// before it has ended.
+// acquire starts a trial of the request and returns nil. If another trial of the request
+// is running, it returns a channel that is closed when that trial ends.
 func (t *trialLocks) acquire(f quarantine.Fingerprint) (before <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,54 +53,55 @@
 }
 
 func (r *request) quarantineRequest() quarantine.Request {
-	s := quarantine.Request{Caller: r.caller, Method: r.method, URI: string(r.ctx.RequestURI()), Body: r.body}
+	req := quarantine.Request{Caller: r.caller, Method: r.method, URI: string(r.ctx.RequestURI()), Body: r.body}
 	if r.route.Host != "" {
-		s.Host = r.headers.Host()
+		req.Host = r.headers.Host()
 	}
-	return s
+	return req
 }
 
-// quarantineStatus says how the request may be sent. Its fingerprint is worked out only where its
-// hint is that of a suspect.
+// quarantineStatus returns how the request may be sent. It computes the fingerprint only
+// if the request's hint matches a suspect.
 func (r *request) quarantineStatus() quarantine.Status {
 	crashes := r.entry.config.CrashTracker
 	if crashes == nil || crashes.IsEmpty() {
 		return quarantine.Status{}
 	}
-	subject := r.quarantineRequest()
-	if !crashes.MayMatch(subject.Hint()) {
+	req := r.quarantineRequest()
+	if !crashes.MayMatch(req.Hint()) {
 		return quarantine.Status{}
 	}
 	return crashes.Status(r.requestFingerprint())
 }
 
-// requestFingerprint is the request's fingerprint, which is worked out once.
+// requestFingerprint returns the request's fingerprint, computed on first use.
 func (r *request) requestFingerprint() quarantine.Fingerprint {
 	if r.fingerprint == (quarantine.Fingerprint{}) {
-		subject := r.quarantineRequest()
-		r.fingerprint = subject.Fingerprint()
+		req := r.quarantineRequest()
+		r.fingerprint = req.Fingerprint()
 	}
 	return r.fingerprint
 }
 
-// tryAsSuspect sends a request under which backend servers have ended to one upstream, one
-// send at a time. It returns false where the request is to be looked at anew.
+// tryAsSuspect sends a request that is suspected of crashing backend servers to one
+// upstream. Only one send of the request runs at a time. It returns false if the
+// request's status must be checked again.
 func (r *request) tryAsSuspect(now clock.Millis, s quarantine.Status) (finalAnswer, bool) {
-	look := trialFilter{fingerprint: r.fingerprint, tried: append(slices.Clone(r.tried), r.selection.full...), verdict: s.Verdict}
+	filter := trialFilter{fingerprint: r.fingerprint, tried: append(slices.Clone(r.tried), r.selection.fullGates...), verdict: s.Verdict}
 	if s.Verdict == quarantine.Quarantined {
 		if !r.service.hasUntestedVersion(s.Versions) {
-			return r.confirmQuarantine(now, look)
+			return r.confirmQuarantine(now, filter)
 		}
-		look.crashedVersions, look.verdict = s.Versions, quarantine.Suspected
+		filter.crashedVersions, filter.verdict = s.Versions, quarantine.Suspected
 	}
 	if before := r.entry.trialLocks.acquire(r.fingerprint); before != nil {
 		return r.awaitTrial(now, before)
 	}
 	defer r.entry.trialLocks.release(r.fingerprint)
-	if again := r.quarantineStatus(); again.Verdict != s.Verdict {
+	if current := r.quarantineStatus(); current.Verdict != s.Verdict {
 		return finalAnswer{}, false
 	}
-	choice, untried, ok := r.service.chooseTrial(now, look)
+	choice, untried, ok := r.service.chooseTrial(now, filter)
 	switch {
 	case !ok && s.Verdict == quarantine.Quarantined:
 		return r.quarantined(), true
@@ -110,10 +111,11 @@
 	return r.trySuspect(now, choice, untried)
 }
 
-// confirmQuarantine asks a gate about a request that is to be held back. What cleared it may not have
-// come here yet; the gate then runs it.
-func (r *request) confirmQuarantine(now clock.Millis, look trialFilter) (finalAnswer, bool) {
-	choice, _, ok := r.service.chooseTrial(now, look)
+// confirmQuarantine sends a quarantined request to a gate for confirmation. The update
+// that cleared the request may not have reached this node yet; in that case the gate runs
+// the request.
+func (r *request) confirmQuarantine(now clock.Millis, filter trialFilter) (finalAnswer, bool) {
+	choice, _, ok := r.service.chooseTrial(now, filter)
 	if !ok {
 		return r.quarantined(), true
 	}
@@ -128,7 +130,8 @@
 	}
 }
 
-// trySuspect sends the request to an upstream and takes in that it succeeded there.
+// trySuspect sends the request to an upstream and clears the suspicion if the request
+// succeeds there.
 func (r *request) trySuspect(now clock.Millis, a attempt, untried int) (finalAnswer, bool) {
 	result := r.try(now, a, untried)
 	r.recordAttempt(&a, &result, now)
@@ -138,7 +141,8 @@
 	return r.handleResult(result, untried)
 }
 
-// awaitTrial waits for the end of another send's trial.
+// awaitTrial waits for the running trial of the same request, at most for half of the
+// remaining time. It returns false when that trial has ended.
 func (r *request) awaitTrial(now clock.Millis, before <-chan struct{}) (finalAnswer, bool) {
 	timer := time.NewTimer(max(r.deadline-now, 1).Duration() / 2)
 	defer timer.Stop()
@@ -152,23 +156,24 @@
 	}
 }
 
-// quarantined is the final answer to a request that crashes the backend servers which run
-// it. Some have run it, under this id or another: it isn't called not run.
+// quarantined is the final answer to a request that crashes the backend servers that run
+// it. Some backend servers have run the request, under this id or another, so the outcome
+// is Unknown, not NotRun.
 func (*request) quarantined() finalAnswer {
 	return finalAnswer{outcome: access.Unknown, status: fasthttp.StatusBadGateway, reason: string(wire.ReasonQuarantined)}
 }
 
-// trialFilter is what a suspected request looks for.
+// trialFilter selects the upstreams for a trial of a suspected request.
 type trialFilter struct {
 	fingerprint quarantine.Fingerprint
 	tried       []*member
 	verdict     quarantine.Verdict
-	// crashedVersions are versions of the software that crash: another one is looked for. Nil
-	// takes any.
+	// crashedVersions are the software versions that crash; the trial needs another
+	// version. Nil allows any version.
 	crashedVersions []string
 }
 
-// matches reports whether an upstream may be tried.
+// matches reports whether the request may be tried at the upstream.
 func (t *trialFilter) matches(m *member) bool {
 	if t.crashedVersions != nil && (m.upstream.Version == "" || slices.Contains(t.crashedVersions, m.upstream.Version)) {
 		return false
@@ -176,28 +181,28 @@
 	return !slices.Contains(t.tried, m)
 }
 
-// score is an upstream's place for the request, the same at all nodes: sends of it through
-// several entries meet at one gate, where one runs at a time.
+// score ranks an upstream for the request, equally at all nodes. Sends of the request
+// through several entries thus reach the same gate, which runs one at a time.
 func (t *trialFilter) score(upstream string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write(t.fingerprint[:]) // a hash's Write never fails
+	_, _ = hash.Write(t.fingerprint[:]) // Write of a hash never fails
 	_, _ = hash.Write([]byte(upstream))
 	return hash.Sum64()
 }
 
-// chooseTrial picks the upstream for a suspected request. It reports how many others are
-// left.
-func (s *service) chooseTrial(now clock.Millis, look trialFilter) (a attempt, untried int, ok bool) {
+// chooseTrial picks the upstream for a suspected request. The untried result is how many
+// other upstreams match the filter.
+func (s *service) chooseTrial(now clock.Millis, filter trialFilter) (a attempt, untried int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh(now)
 	best, found := uint64(0), -1
 	for i, m := range s.members {
-		if (s.uses[i] != floor.Normal && s.uses[i] != floor.Forced) || !look.matches(m) {
+		if (s.uses[i] != floor.Normal && s.uses[i] != floor.Forced) || !filter.matches(m) {
 			continue
 		}
 		untried++
-		if score := look.score(m.upstream.Name); found < 0 || score > best {
+		if score := filter.score(m.upstream.Name); found < 0 || score > best {
 			best, found = score, i
 		}
 	}
@@ -205,14 +210,15 @@
 		return attempt{}, 0, false
 	}
 	a = s.startAttempt(now, found)
-	a.verdict, a.noWait = look.verdict, true
+	a.verdict, a.noWait = filter.verdict, true
 	return a, untried - 1, true
 }
 
-// hasUntestedVersion reports whether an upstream runs software of another version.
+// hasUntestedVersion reports whether an upstream runs a software version that is not
+// among the given ones.
 func (s *service) hasUntestedVersion(versions []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	look := trialFilter{crashedVersions: versions}
-	return slices.ContainsFunc(s.members, look.matches)
+	filter := trialFilter{crashedVersions: versions}
+	return slices.ContainsFunc(s.members, filter.matches)
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -13,125 +13,126 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Headers between callers and an entry.
+// Header names that callers and entries use.
 const (
-	// HeaderOutcome tells the three final answers apart: served, not-run,
-	// unknown.
+	// HeaderOutcome carries the outcome: served, not-run or unknown.
 	HeaderOutcome = "Fuchsiapick-Outcome"
 	// HeaderReason says why a request was not served.
 	HeaderReason = "Fuchsiapick-Reason"
 	// HeaderRequest carries the request id.
 	HeaderRequest = "Fuchsiapick-Request"
-	// HeaderCaller names the caller; without it the caller is its IP number.
+	// HeaderCaller names the caller; without it the caller is named by its IP address.
 	HeaderCaller = "Fuchsiapick-Caller"
-	// HeaderRetryAfter is when to come back in milliseconds, spread so that
-	// refused callers don't come back as one wave: the standard header's whole
-	// seconds undo the spreading.
+	// HeaderRetryAfter is how long a refused caller should wait, in milliseconds. The
+	// value has jitter, so that callers refused together don't return as one wave. The
+	// standard header's whole seconds undo the jitter.
 	HeaderRetryAfter = "Fuchsiapick-Retry-After"
 	// HeaderDeadline shortens the service's deadline, in milliseconds.
 	HeaderDeadline = "Fuchsiapick-Deadline"
 )
 
-// Headers are the names of those headers that a platform may call otherwise.
+// Headers are the header names and formats that a platform may configure.
 type Headers struct {
-	// Request carries the id that the caller gave the request; it goes on to
-	// the backend server and back. Empty where callers give none.
+	// Request carries the id that the caller gave the request. The id is forwarded to the
+	// backend server and returned. Empty if callers give none.
 	Request string
-	// Deadline carries how many milliseconds the caller will wait.
+	// Deadline carries how long the caller will wait, in milliseconds.
 	Deadline string
-	// KeyScheme stands before the key of a client account in Authorization.
+	// KeyScheme is the scheme in Authorization that precedes a client account's key.
 	KeyScheme string
-	// FractionalSeconds says that callers read fractions of a second in Retry-After: in
-	// whole seconds, those refused together would come back together.
+	// FractionalSeconds means that callers accept fractions of a second in Retry-After.
+	// With whole seconds, callers refused together return together.
 	FractionalSeconds bool
 }
 
-// DefaultHeaders are those of callers that know this project.
+// DefaultHeaders returns the headers that callers use unless a platform has its own.
 func DefaultHeaders() Headers {
 	return Headers{Deadline: HeaderDeadline, KeyScheme: "Bearer"}
 }
 
-// Reasons of the entry itself, beside those that reports know.
+// Reasons that only the entry gives, in addition to those of package access.
 const (
-	// reasonNoAnswer means that neither an answer nor a settlement came in time.
+	// reasonNoAnswer means that neither a reply nor a resolution arrived in time.
 	reasonNoAnswer = "no-answer"
-	// reasonNodeReplaced means that the gate which had the request is gone.
+	// reasonNodeReplaced means that the gate which had the request no longer exists.
 	reasonNodeReplaced = "node-replaced"
 )
 
 const (
 	maxCallerLength = 64
-	// resolveShare is the part of the deadline kept back to ask the gate what
-	// became of a request that got no answer, so that fewer end as unknown.
+	// resolveShare divides the deadline: this fraction is reserved for asking the gate
+	// for the outcome of a request without an answer, so that fewer requests end as
+	// unknown.
 	resolveShare = 8
-	// latencyMultiple is how many times the usual latency a try lasts at least: of
-	// answers as widely spread as those of real services few take longer.
+	// latencyMultiple is the minimum duration of an attempt, as a multiple of the
+	// baseline latency. With the spread of latencies that real services show, few answers
+	// take longer.
 	latencyMultiple = 8
-	// maxResolveTimeout bounds it: a settlement takes one round trip, 2 ms between
-	// failure domains, and the rest is for a busy node.
+	// maxResolveTimeout bounds the time reserved by resolveShare. A resolution takes one
+	// round trip, 2 ms between failure domains; the rest is for a busy node.
 	maxResolveTimeout = clock.Millis(40)
 )
 
-// request is one request of a caller on its way.
+// request is the state of one caller's request.
 type request struct {
-	entry   *Entry
-	ctx     *fasthttp.RequestCtx
-	id      wire.RequestID
-	label   string // the caller's own id of the request
-	caller  string
-	method  string
-	started clock.Millis
+	entry           *Entry
+	ctx             *fasthttp.RequestCtx
+	id              wire.RequestID
+	callerRequestID string // the id that the caller gave the request
+	caller          string
+	method          string
+	started         clock.Millis
 
 	table       *table.Table
 	route       *table.Route
-	account     *table.Account // nil without a key
+	account     *table.Account // nil without a valid key
 	isCharged   bool           // counted against the account's quota
-	serviceName string         // the service that the route leads to
+	serviceName string         // the service that the route selects
 	service     *service
 	config      table.Service
 	baseline    wire.Baseline
-	deadline    clock.Millis // an instant
+	deadline    clock.Millis // a point in time
 	repeatable  bool
 
 	headers       wire.Headers
 	body          []byte
 	tried         []*member
-	attempts      uint8 // numbers given to attempts, asked for or sent
-	sends         int
-	refused       int // attempts that reached no upstream, since the last that did
-	shed          int // attempts that an upstream refused itself
-	ran           int // attempts that an upstream ran, or may have run
+	attempts      uint8 // numbers given to attempts, including those only probed
+	sends         int   // attempts at a chosen upstream, sent or refused by its probe
+	refused       int   // attempts that reached no upstream, since the last that did
+	shed          int   // attempts that the upstream itself refused
+	runs          int   // attempts that an upstream ran or may have run
 	selection     selectionState
 	reservation   reservation
 	attemptLog    attemptLog
-	noRetryReason retry.Reason // of not being sent again
-	waited        clock.Millis // until the last try
-	errorReply    *wire.Reply  // the last upstream's own answer, an error
+	noRetryReason retry.Reason // why the request is not retried
+	waited        clock.Millis // from arrival until the last attempt
+	errorReply    *wire.Reply  // the last upstream's reply, if it is an error
 	forced        bool
-	callerGone    <-chan struct{} // closed when the caller has left
-	// mayHaveRun means that an upstream may have run the request: it can't be
-	// refused as not run any more.
+	callerGone    <-chan struct{} // closed when the caller has closed the connection
+	// mayHaveRun means that an upstream may have run the request, so that its outcome
+	// can't be NotRun any more.
 	mayHaveRun bool
-	// reachedUpstream means that an upstream has got the request, be it to refuse it: each
-	// further dispatch is a retry.
+	// reachedUpstream means that an upstream has received the request, even if it refused
+	// the request. Every further dispatch is then a retry.
 	reachedUpstream bool
-	// budgetRetryAfter is when a retry may be granted that a gate's quota had no room for; 0
-	// without one.
+	// budgetRetryAfter is how long until a gate's quota may allow the retry that the gate
+	// has denied; 0 if no gate denied one.
 	budgetRetryAfter clock.Millis
-	lastUpstream     table.Upstream // tried last
+	lastUpstream     table.Upstream // the upstream of the last attempt
 	idempotency      idempotency
-	// fingerprint is worked out when it is needed first.
+	// fingerprint is computed on first use.
 	fingerprint quarantine.Fingerprint
 }
 
-// finalAnswer is the answer that the caller gets.
+// finalAnswer is the answer to the caller.
 type finalAnswer struct {
 	outcome    access.Outcome
 	status     int
 	reason     string
 	retryAfter clock.Millis
 	reply      *wire.Reply
-	replay     bool // of an earlier send of the same key
+	replay     bool // the reply belongs to an earlier send of the same key
 }
 
 func refused(status int, reason string, after clock.Millis) finalAnswer {
@@ -139,15 +140,15 @@
 }
 
 func (e *Entry) newRequest(ctx *fasthttp.RequestCtx) *request {
-	label, _ := headerValue(&ctx.Request.Header, e.config.Headers.Request)
+	callerRequestID, _ := headerValue(&ctx.Request.Header, e.config.Headers.Request)
 	return &request{
-		entry:   e,
-		ctx:     ctx,
-		id:      wire.RequestID{Entry: e.config.Incarnation, Seq: e.sequence.Add(1)},
-		label:   string(label),
-		caller:  e.callerOf(ctx),
-		method:  string(ctx.Method()),
-		started: e.config.Now(),
+		entry:           e,
+		ctx:             ctx,
+		id:              wire.RequestID{Entry: e.config.Incarnation, Seq: e.sequence.Add(1)},
+		callerRequestID: string(callerRequestID),
+		caller:          e.callerOf(ctx),
+		method:          string(ctx.Method()),
+		started:         e.config.Now(),
 	}
 }
 
@@ -165,8 +166,8 @@
 		return
 	}
 	r.headers = r.forwardedHeaders()
-	// A gate may still hold the body when the caller's connection already
-	// carries the next request in the same buffer.
+	// A gate may still use the body after the caller's connection has reused its buffer
+	// for the next request.
 	r.body = append(r.body, r.ctx.PostBody()...)
 	r.finish(r.run())
 }
@@ -178,9 +179,9 @@
 	}
 	for {
 		now := r.entry.config.Now()
-		if standing := r.quarantineStatus(); standing.Verdict != quarantine.Free {
+		if status := r.quarantineStatus(); status.Verdict != quarantine.Free {
 			r.dropReservation()
-			if answer, done := r.tryAsSuspect(now, standing); done {
+			if answer, done := r.tryAsSuspect(now, status); done {
 				return answer
 			}
 			continue
@@ -198,9 +199,10 @@
 	}
 }
 
-// recountUntried is how many upstreams are left to try after a gate has refused the request by
-// its verdict. The floor may keep that one in use, or another in its place: what was
-// counted before the verdict was known would refuse a request that can be served.
+// recountUntried returns how many upstreams are left to try after a gate has refused the
+// request because its upstream is ejected. Under the floor that upstream, or another in
+// its place, may now be in use. The count from before the verdict was known would refuse
+// a request that can be served.
 func (r *request) recountUntried(a *attempt, o *result, untried int) int {
 	if r.config.Caution == table.ShortEpisodes || o.kind != retry.NotRun || o.reason != string(wire.ReasonEjected) {
 		return untried
@@ -212,7 +214,7 @@
 	return r.service.countUntried(now, r.repeatable, r.tried)
 }
 
-// noUpstreamLeft is the final answer when no upstream is left to try.
+// noUpstreamLeft returns the final answer when no upstream is left to try.
 func (r *request) noUpstreamLeft(now clock.Millis) finalAnswer {
 	if r.budgetRetryAfter > 0 {
 		r.noRetryReason = retry.NoBudget
@@ -221,8 +223,8 @@
 	return r.unserved(access.ReasonNoUpstream, r.service.retryAfter(now))
 }
 
-// unserved is the final answer of a request that no upstream has served: an upstream's
-// own answer, though an error, says more than ours.
+// unserved returns the final answer to a request that no upstream has served. An
+// upstream's own reply, even if it is an error, tells the caller more than a refusal.
 func (r *request) unserved(reason string, after clock.Millis) finalAnswer {
 	switch {
 	case r.errorReply != nil:
@@ -234,8 +236,8 @@
 	}
 }
 
-// handleResult turns the result of a try into the final answer, or lets the next try
-// go on.
+// handleResult returns the final answer that follows from an attempt's result, or false
+// if the request is to be tried again.
 func (r *request) handleResult(o result, untried int) (finalAnswer, bool) {
 	r.recordResult(&o)
 	r.updateProfile(&o)
@@ -250,7 +252,7 @@
 	}
 	if o.kind != retry.NotRun {
 		r.mayHaveRun = true
-		r.ran++
+		r.runs++
 		r.errorReply = nil
 		if o.reply != nil && o.reply.Outcome == wire.Answered {
 			r.errorReply = o.reply
@@ -270,7 +272,7 @@
 	return r.unserved(o.reason, max(decision.RetryAfter, o.retryAfter)), true
 }
 
-// retryAttempt describes the last try for the decision on another one.
+// retryAttempt describes the last attempt for the retry decision.
 func (r *request) retryAttempt(o *result, untried int) retry.Attempt {
 	return retry.Attempt{
 		Result:         o.kind,
@@ -279,7 +281,7 @@
 		Attempts:       r.sends,
 		Refused:        r.refused,
 		Shed:           r.shed,
-		Runs:           r.ran,
+		Runs:           r.runs,
 		MaxRuns:        r.route.MaxAttempts,
 		Remaining:      r.deadline - r.entry.config.Now(),
 		RetryAfter:     o.retryAfter,
@@ -287,7 +289,8 @@
 	}
 }
 
-// recordResult takes in how far a try got. One that reached an upstream begins a new search.
+// recordResult records how far an attempt got. An attempt that reached an upstream
+// restarts the search for a slot.
 func (r *request) recordResult(o *result) {
 	if o.kind == retry.NotRun && !o.shed {
 		r.refused++
@@ -300,8 +303,8 @@
 	}
 }
 
-// unknown is said when an upstream may have run the request and its outcome
-// can't be learned.
+// unknown is the final answer when an upstream may have run the request and the outcome
+// can't be determined.
 func (r *request) unknown(reason string) finalAnswer {
 	status := fasthttp.StatusBadGateway
 	if reason == string(wire.ReasonTimeout) || reason == reasonNoAnswer {
@@ -310,7 +313,7 @@
 	return finalAnswer{outcome: access.Unknown, status: status, reason: reason}
 }
 
-// finish writes the answer and closes the account.
+// finish writes the answer and records the finished request.
 func (r *request) finish(f finalAnswer) {
 	r.dropReservation()
 	r.write(&f)
--- a/entry/resend.go
+++ b/entry/resend.go
@@ -16,26 +16,26 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Headers of requests that a caller may send again.
+// Header names of requests that a caller may send again.
 const (
-	// HeaderKey names what must run at most once.
+	// HeaderKey carries the key of an operation that must run at most once.
 	HeaderKey = "Idempotency-Key"
 	// HeaderResend marks a resend: "<number>; age=<seconds>".
 	HeaderResend = "Fuchsiapick-Resend"
-	// HeaderReplay is true on the answer of an earlier send of the same key.
+	// HeaderReplay is true if the answer is that of an earlier send of the same key.
 	HeaderReplay = "Fuchsiapick-Replay"
 )
 
-// idempotency is what a caller says of a request that it may send again. Without a key
-// it is zero.
+// idempotency is what a caller states about a request that it may send again. It is zero
+// for a request without a key.
 type idempotency struct {
 	key    string
 	digest resend.Digest
 	resend resend.Header
 }
 
-// checkResend decides about a keyed request before it goes anywhere. It returns
-// false for one that runs. A repeatable request needs no key: it may run again.
+// checkResend decides on a keyed request before any dispatch. It returns false if the
+// request is to run. A repeatable request needs no key, since it may run again.
 func (r *request) checkResend() (finalAnswer, bool) {
 	if r.repeatable {
 		return finalAnswer{}, false
@@ -53,32 +53,33 @@
 	}
 }
 
-// parseIdempotency reads key and mark. It returns resend.ErrMark for malformed ones, for
-// two of one kind, and for a mark without a key: such a request passed over as
-// unmarked would lose its caller's protection in silence.
+// parseIdempotency reads the headers HeaderKey and HeaderResend. It returns
+// resend.ErrMalformed if a value is malformed, if a header occurs twice or if
+// HeaderResend comes without a key. Treating such a request as a first send would
+// silently drop the protection that its caller asked for.
 func parseIdempotency(request *fasthttp.Request) (idempotency, error) {
 	key, keys := headerValue(&request.Header, HeaderKey)
-	mark, marks := headerValue(&request.Header, HeaderResend)
-	if keys+marks == 0 {
+	value, resends := headerValue(&request.Header, HeaderResend)
+	if keys+resends == 0 {
 		return idempotency{}, nil
 	}
-	if keys != 1 || marks > 1 {
-		return idempotency{}, errors.Annotatef(resend.ErrMalformed, "%d keys and %d marks", keys, marks)
+	if keys != 1 || resends > 1 {
+		return idempotency{}, errors.Annotatef(resend.ErrMalformed, "%d Idempotency-Key and %d Fuchsiapick-Resend headers", keys, resends)
 	}
 	s := idempotency{key: string(key), digest: digestOf(request)}
 	if err := resend.CheckKey(s.key); err != nil {
 		return idempotency{}, errors.Trace(err)
 	}
-	if marks == 0 {
+	if resends == 0 {
 		return s, nil
 	}
 	var err error
-	s.resend, err = resend.ParseHeader(string(mark))
+	s.resend, err = resend.ParseHeader(string(value))
 	return s, errors.Trace(err)
 }
 
-// headerValue returns the last value of a header field and how many there are. Names
-// compare without regard to case, which a proxy on the way may change.
+// headerValue returns the last value of a header field and the number of its occurrences.
+// Names compare case-insensitively, because a proxy on the way may change their case.
 func headerValue(header *fasthttp.RequestHeader, name string) (value []byte, count int) {
 	if name == "" {
 		return nil, 0
@@ -92,8 +93,8 @@
 	return value, count
 }
 
-// digestOf tells a request from others under the same key. Neither a method nor
-// a request target can hold a line break.
+// digestOf returns a digest that distinguishes requests with the same key. Line feeds
+// separate the parts, since neither a method nor a request target can contain one.
 func digestOf(request *fasthttp.Request) resend.Digest {
 	hash := sha256.New()
 	hash.Write(request.Header.Method())
@@ -104,7 +105,7 @@
 	return resend.Digest(hash.Sum(nil)[:len(resend.Digest{})])
 }
 
-// setKey gives a dispatch the request's key.
+// setKey sets a dispatch's idempotency key.
 func (r *request) setKey(now clock.Millis, d *wire.Dispatch) {
 	if r.idempotency.key == "" {
 		return
@@ -113,11 +114,13 @@
 	d.LeaseSpan = now - r.started + d.Budget
 }
 
-// resolveResend asks all nodes that may have had the key, and decides.
+// resolveResend asks all nodes that may have received the key, and decides whether the
+// resend runs. It returns the final answer, or false if the resend is to run.
 func (r *request) resolveResend() (finalAnswer, bool) {
 	now := r.entry.config.Now()
 	age := r.idempotency.resend.Age + now - r.started
-	version := r.entry.table.Load().Version // before the nodes: at most as new as they
+	// Read before the nodes are asked, so that the version is not newer than theirs.
+	version := r.entry.table.Load().Version
 	reach := resend.MaxAge(age, r.entry.config.KeyMargin)
 	nodes := r.service.keyNodes(now, reach)
 	all := r.lookupKey(now, nodes)
@@ -141,7 +144,7 @@
 	case resend.Refuse:
 		return refused(fasthttp.StatusUnprocessableEntity, string(decision.Reason), 0), true
 	default:
-		return undecided(string(decision.Reason), decision.RetryAfter), true
+		return unresolvedAnswer(string(decision.Reason), decision.RetryAfter), true
 	}
 }
 
@@ -151,8 +154,9 @@
 	return finalAnswer{outcome: access.Served, status: v.Status, reply: reply, replay: true}
 }
 
-// undecided ends a send of a key that an earlier send may have run.
-func undecided(reason string, after clock.Millis) finalAnswer {
+// unresolvedAnswer is the final answer to a send whose key may have run with an earlier
+// send.
+func unresolvedAnswer(reason string, after clock.Millis) finalAnswer {
 	status := fasthttp.StatusBadGateway
 	switch reason {
 	case string(resend.ReasonRunning), string(resend.ReasonSuperseded), string(wire.ReasonKeyRevoked):
@@ -161,14 +165,15 @@
 	return finalAnswer{outcome: access.Unknown, status: status, reason: reason, retryAfter: after}
 }
 
-// lookupResult is one node's answer; voided is nil without one.
+// lookupResult is one node's answer; reply is nil if there is none.
 type lookupResult struct {
 	node       int
 	reply      *wire.KeyRevocationReply
-	receivedAt clock.Millis // when it was heard
+	receivedAt clock.Millis // when reply arrived
 }
 
-// answer is what the node said, with the reach of its memory as of now.
+// answer returns the node's answer, with the period that the node's records cover
+// extended to now.
 func (a *lookupResult) answer(now clock.Millis) resend.LookupResult {
 	if a.reply == nil {
 		return resend.LookupResult{}
@@ -181,46 +186,47 @@
 	}
 }
 
-// lookupWaiter hands one node's answer on. There is room for those of all nodes.
+// lookupWaiter passes on one node's answer. The channel answers has room for one answer
+// of each node.
 type lookupWaiter struct {
 	node    int
 	now     func() clock.Millis
 	answers chan<- lookupResult
 }
 
-// NotSent takes in that the node is out of reach.
+// NotSent records that the node is unreachable.
 func (a lookupWaiter) NotSent() {
 	a.answers <- lookupResult{node: a.node}
 }
 
-// Revoked takes in what a node knows.
+// Revoked records the node's answer.
 func (a lookupWaiter) Revoked(v *wire.KeyRevocationReply) {
 	a.answers <- lookupResult{node: a.node, reply: v, receivedAt: a.now()}
 }
 
-// lookupKey puts the question to all nodes at once and waits until all have answered,
-// one answer settles it, or half of the deadline is over: the rest is for the
-// run.
+// lookupKey asks all nodes for the key at the same time. It waits until all have
+// answered, until one answer is definite or until half of the remaining time has passed;
+// the rest is for the run.
 func (r *request) lookupKey(now clock.Millis, nodes []GateClient) []lookupResult {
-	patience := max((r.deadline-now)/2, 1)
-	question := &wire.KeyRevocation{
+	timeout := max((r.deadline-now)/2, 1)
+	revocation := &wire.KeyRevocation{
 		ID: r.id, Caller: r.caller, Service: r.config.Name,
 		Key: r.idempotency.key, Digest: r.idempotency.digest[:], Number: r.idempotency.resend.Number,
 	}
-	channel := make(chan lookupResult, len(nodes))
-	open := 0
+	results := make(chan lookupResult, len(nodes))
+	pending := 0
 	for i, node := range nodes {
-		if node.RevokeKey(question, patience, lookupWaiter{i, r.entry.config.Now, channel}) == nil {
+		if node.RevokeKey(revocation, timeout, lookupWaiter{i, r.entry.config.Now, results}) == nil {
 			defer node.ForgetRevocation(r.id)
-			open++
+			pending++
 		}
 	}
 	all := make([]lookupResult, len(nodes))
-	timer := time.NewTimer(patience.Duration())
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
-	for ; open > 0; open-- {
+	for ; pending > 0; pending-- {
 		select {
-		case a := <-channel:
+		case a := <-results:
 			all[a.node] = a
 			if a.reply != nil && resend.Definite([]resend.LookupResult{a.answer(a.receivedAt)}) {
 				return all
@@ -232,8 +238,9 @@
 	return all
 }
 
-// keyRefusal is the final answer to a dispatch that its gate refused for its key, or
-// false. No other gate is tried: the key is decided.
+// keyRefusal returns the final answer to a dispatch that its gate refused because of the
+// key, or false. No other gate is tried, since the refusal concerns the key and not the
+// gate.
 func (r *request) keyRefusal(o *result) (finalAnswer, bool) {
 	if r.idempotency.key == "" {
 		return finalAnswer{}, false
@@ -242,26 +249,26 @@
 	case wire.ReasonKeyReused:
 		return refused(fasthttp.StatusUnprocessableEntity, o.reason, 0), true
 	case wire.ReasonKeyRunning:
-		return undecided(o.reason, max(o.retryAfter, clock.Second)), true
+		return unresolvedAnswer(o.reason, max(o.retryAfter, clock.Second)), true
 	case wire.ReasonKeyRevoked:
-		// The resend that goes first may have run by now.
-		return undecided(o.reason, clock.Second), true
+		// The resend that takes precedence may have run by now.
+		return unresolvedAnswer(o.reason, clock.Second), true
 	case wire.ReasonReplyNotKept:
-		return undecided(o.reason, 0), true
+		return unresolvedAnswer(o.reason, 0), true
 	default:
 		return finalAnswer{}, false
 	}
 }
 
-// updateMembership takes in which nodes a table edit names for the service.
-func (s *service) updateMembership(now clock.Millis, c table.Service, target func(u table.Upstream) GateClient) {
+// updateMembership records which nodes a table lists for the service.
+func (s *service) updateMembership(now clock.Millis, c table.Service, gateClient func(u table.Upstream) GateClient) {
 	nodes := make([]string, 0, len(c.Upstreams))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range c.Upstreams {
 		if !slices.Contains(nodes, u.Node) {
 			nodes = append(nodes, u.Node)
-			s.nodes[u.Node] = target(u)
+			s.nodes[u.Node] = gateClient(u)
 		}
 	}
 	s.membership.Update(now, nodes)
@@ -272,27 +279,27 @@
 	}
 }
 
-// keyNodes returns the ways to the nodes that may have had a key first sent at
-// most that long ago.
+// keyNodes returns clients for the nodes that may have received a key first sent at most
+// reach ago.
 func (s *service) keyNodes(now, reach clock.Millis) []GateClient {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	names := s.membership.Nodes(now, reach)
-	targets := make([]GateClient, 0, len(names))
+	clients := make([]GateClient, 0, len(names))
 	for _, name := range names {
-		targets = append(targets, s.nodes[name])
+		clients = append(clients, s.nodes[name])
 	}
-	return targets
+	return clients
 }
 
-// recordRouteChange takes in whether a table edit changes which service a request goes
-// to. Keys of before may have run at another service's nodes.
-func (e *Entry) recordRouteChange(old, fresh *table.Table) {
+// recordRouteChange records the time of a table update that changes which service a
+// request goes to. Older keys may have run at another service's nodes.
+func (e *Entry) recordRouteChange(old, updated *table.Table) {
 	same := func(a, b table.Route) bool {
 		return a.Host == b.Host && a.Prefix == b.Prefix && a.Service == b.Service &&
 			slices.Equal(a.Shares, b.Shares) && slices.Equal(a.Repeatable, b.Repeatable)
 	}
-	if old == nil || !slices.EqualFunc(old.Routes, fresh.Routes, same) {
+	if old == nil || !slices.EqualFunc(old.Routes, updated.Routes, same) {
 		e.routesChangedAt.Store(int64(e.config.Now()))
 	}
 }
--- a/entry/restart_test.go
+++ b/entry/restart_test.go
@@ -12,13 +12,13 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// An upstream that was set aside is another process now, under the same name. What its
-// gate said of the one before must not keep requests from it.
-func TestAnotherProcessIsAnotherUpstream(t *testing.T) {
+// An ejected upstream is replaced by another process under the same name. The state that
+// the gate of the old process reported must not keep requests from the new one.
+func TestRestartedUpstreamStartsAfresh(t *testing.T) {
 	log := logging.Silent()
 	e := entry.New(entry.Config{
 		Now: clock.NewSystem().Now, Recorder: access.New(access.Config{}), Log: log,
-		GateClient: func(table.Upstream) entry.GateClient { return &desk{} },
+		GateClient: func(table.Upstream) entry.GateClient { return &fakeGate{} },
 	})
 	listed := func(started int64) *table.Table {
 		return table.Index(table.Table{Services: []table.Service{{
@@ -34,6 +34,6 @@
 	before := e.States()[0].State
 	e.Update(listed(2))
 	if after := e.States()[0].State; after == before {
-		t.Errorf("got %s before and after, want what was heard forgotten", after)
+		t.Errorf("got state %s before and after the restart, want the old state dropped", after)
 	}
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -19,18 +19,18 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// baselineInterval is how often the median over a service's gates is worked out
-// anew: often against the seconds in which a common fault spreads, seldom
-// against the requests in between.
+// baselineInterval is how often the median over a service's gates is recomputed. It is
+// short compared to the seconds in which a common fault spreads, and long compared to the
+// time between requests.
 const baselineInterval = clock.Millis(200)
 
-// service is this entry's view of one service.
+// service is the state of one service as this entry sees it.
 type service struct {
 	log      logrus.FieldLogger
 	recorder Recorder
 
 	seed               uint64
-	watchOffset        int // where among the members the watched ones begin
+	watchOffset        int // index of the first watched member
 	mu                 sync.Mutex
 	config             table.Service
 	members            []*member
@@ -41,24 +41,24 @@
 	domain             string
 	retryBudget        *retry.Budget
 	baseline           health.Baseline
-	lowestFailureShare float64 // the lowest share of failures in view
+	lowestFailureShare float64 // lowest failure rate among the upstreams in the baseline
 	baselineAt         clock.Millis
 	dirty              bool
-	recheckAt          clock.Millis // when the first hold-off ends; 0 without one
+	recheckAt          clock.Millis // when the first ejection ends; 0 if none does
 	uses               []floor.Use
-	reach              episode.LinkCount
+	linkCount          episode.LinkCount
 	membership         *resend.Membership
-	nodes              map[string]GateClient // the ways to the roster's
+	nodes              map[string]GateClient // clients for the nodes in membership
 
 	candidates   []choice.Candidate
 	floorMembers []floor.Member
 	baselines    []health.Baseline
 }
 
-func newService(c table.Service, domain string, seed uint64, journal Recorder, log logrus.FieldLogger) *service {
+func newService(c table.Service, domain string, seed uint64, recorder Recorder, log logrus.FieldLogger) *service {
 	return &service{
 		log:                log.WithField("service", c.Name),
-		recorder:           journal,
+		recorder:           recorder,
 		seed:               seed,
 		config:             c,
 		byName:             map[string]*member{},
@@ -77,9 +77,9 @@
 	return retry.Config{Share: c.RetryRatio, GateQuotas: c.RetryWindow > 0, Seed: seed}
 }
 
-// update puts a table edit in force. What is known of upstreams that stay is
-// kept; one that started again under its name is another.
-func (s *service) update(c table.Service, target func(u table.Upstream) GateClient) {
+// update applies a table. The state of upstreams that stay in the table is kept; an
+// upstream that was restarted under its name counts as a new one.
+func (s *service) update(c table.Service, gateClient func(u table.Upstream) GateClient) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.RetryWindow != s.config.RetryWindow || c.RetryRatio != s.config.RetryRatio {
@@ -92,7 +92,7 @@
 	for _, u := range c.Upstreams {
 		m, ok := old[u.Name]
 		if !ok || m.upstream.Node != u.Node || m.upstream.Started != u.Started {
-			m = &member{gate: target(u), state: wire.Upstream{Share: 1}}
+			m = &member{gate: gateClient(u), state: wire.Upstream{Share: 1}}
 		}
 		m.upstream = u
 		s.members = append(s.members, m)
@@ -102,27 +102,27 @@
 	s.dirty = true
 }
 
-// attempt is a choice of an upstream for one try at a request.
+// attempt is one attempt to send a request to a chosen upstream.
 type attempt struct {
 	member *member
-	// upstream is as the table had it at the choice: an edit may follow.
+	// upstream is the table's entry at the time of the choice; a table update may follow.
 	upstream table.Upstream
 	forced   bool
-	// number is that of the attempt, by which its gate knows it; 0 until it has
-	// one.
+	// number identifies the attempt to its gate; 0 until it is assigned.
 	number uint8
-	// noWait means that it asks for a free slot and doesn't wait; isHeld that a
-	// slot is kept for it.
+	// noWait means that the request doesn't wait if no slot is free, isReserved that a
+	// slot is reserved for it.
 	noWait, isReserved bool
-	// verdict is what is known of the request that the gate is told.
+	// verdict is the request's quarantine verdict to send to the gate.
 	verdict quarantine.Verdict
-	// severity is what the upstream's was taken for, heard when it was told.
+	// severity is the upstream's estimated severity at the time of the choice, based on
+	// the update received at updatedAt.
 	severity  float64
 	updatedAt clock.Millis
 }
 
-// choose picks the upstream for the next try. It reports how many usable ones
-// were not tried before.
+// choose picks the upstream for the next attempt. The untried result is how many other
+// usable upstreams have not been tried.
 func (s *service) choose(now clock.Millis, repeatable bool, tried []*member) (a attempt, untried int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	return s.newAttempt(now, i), untried - 1, true
 }
 
-// countUntried counts the upstreams that a request may still be sent to.
+// countUntried returns how many upstreams the request may still be sent to.
 func (s *service) countUntried(now clock.Millis, repeatable bool, tried []*member) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +158,7 @@
 	return count
 }
 
-// isForced reports whether the floor keeps an upstream in use in spite of its verdict.
+// isForced reports whether the floor keeps an upstream in use despite its verdict.
 func (s *service) isForced(now clock.Millis, m *member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,9 +167,8 @@
 	return i >= 0 && s.uses[i] == floor.Forced
 }
 
-// usable says whether a request may go to an upstream. One that is back for
-// trial gets repeatable requests only: should it still be sick, another can
-// serve them again.
+// usable reports whether a request may go to an upstream. An upstream on trial gets
+// repeatable requests only: if it still fails, another upstream can serve them.
 func (s *service) usable(now clock.Millis, i int, repeatable bool) bool {
 	switch s.uses[i] {
 	case floor.Normal, floor.Forced:
@@ -181,10 +180,11 @@
 	}
 }
 
-// refresh works out the floor and the baseline where something changed.
+// refresh updates the floor and the baseline if they may have changed. The caller holds
+// s.mu.
 func (s *service) refresh(now clock.Millis) {
 	if s.config.Caution == table.ShortEpisodes {
-		s.applyFloor(now) // severities drift without news
+		s.applyFloor(now) // severities drift between updates
 		return
 	}
 	if s.dirty || (s.recheckAt > 0 && now >= s.recheckAt) {
@@ -198,66 +198,69 @@
 }
 
 const (
-	// watchedUpstreams is how many upstreams of a service an entry keeps in view while
-	// it has requests for it. An entry whose requests all stay in its own
-	// failure domain would otherwise know the figures of that domain alone, and
-	// take a fault of it for the usual state of the service.
+	// watchedUpstreams is how many upstreams of a service an entry keeps links to while
+	// it has requests for the service. Otherwise an entry whose requests all stay in its
+	// own failure domain would know the state of that domain alone, and take a fault of
+	// the domain for the service's baseline.
 	watchedUpstreams = 8
-	// viewWindow is how old what was heard of others may be to count as in view.
+	// viewWindow is the maximum age of an update from an unwatched upstream that counts
+	// towards the baseline.
 	viewWindow = 10 * clock.Second
 )
 
-// updateBaseline works out what is usual, from the upstreams in view.
+// updateBaseline computes the service's baseline from the watched and recently updated
+// upstreams.
 func (s *service) updateBaseline(now clock.Millis) {
 	s.baselines = s.baselines[:0]
 	s.keepWatchedLinks(now, watchedUpstreams)
 	for i, m := range s.members {
 		if s.isWatched(i, watchedUpstreams) || now-m.updatedAt < viewWindow {
-			own := m.state.Local.ToHealth()
-			own.Age += now - m.updatedAt
-			s.baselines = append(s.baselines, own)
+			baseline := m.state.Local.ToHealth()
+			baseline.Age += now - m.updatedAt
+			s.baselines = append(s.baselines, baseline)
 		}
 	}
 	s.baseline = health.Median(s.baselines)
 	s.lowestFailureShare = 1
-	for _, own := range s.baselines {
-		if own.Known {
-			s.lowestFailureShare = min(s.lowestFailureShare, own.Failed)
+	for _, baseline := range s.baselines {
+		if baseline.Known {
+			s.lowestFailureShare = min(s.lowestFailureShare, baseline.Failed)
 		}
 	}
 }
 
-// isWatched reports whether an upstream is among the few that this entry keeps in view.
-// Entries differ in which these are.
-func (s *service) isWatched(i, few int) bool {
-	return (i+s.watchOffset)%len(s.members) < few
+// isWatched reports whether member i is among the count members that this entry keeps
+// links to. Which members these are differs between entries.
+func (s *service) isWatched(i, count int) bool {
+	return (i+s.watchOffset)%len(s.members) < count
 }
 
-// keepWatchedLinks asks for links to the watched upstreams that weren't heard of lately.
-func (s *service) keepWatchedLinks(now clock.Millis, few int) {
+// keepWatchedLinks requests links to the watched upstreams that have sent no recent
+// update.
+func (s *service) keepWatchedLinks(now clock.Millis, count int) {
 	for i, m := range s.members {
-		if s.isWatched(i, few) && now-m.updatedAt >= watchInterval {
+		if s.isWatched(i, count) && now-m.updatedAt >= watchInterval {
 			m.gate.EnsureLink()
 		}
 	}
 }
 
-// watchInterval is the age of what was heard of an upstream at which its link is
-// asked for: two heartbeats.
+// watchInterval is the age of an upstream's last update, two heartbeats, from which its
+// link is requested.
 const watchInterval = clock.Second
 
 func (s *service) applyFloor(now clock.Millis) {
 	s.floorMembers = s.floorMembers[:0]
 	s.recheckAt = 0
-	brief := s.config.Caution == table.ShortEpisodes
+	shortEpisodes := s.config.Caution == table.ShortEpisodes
 	for _, m := range s.members {
 		if end := m.updatedAt + m.state.Until; m.verdict(now) == health.Ejected && (s.recheckAt == 0 || end < s.recheckAt) {
 			s.recheckAt = end
 		}
 		s.floorMembers = append(s.floorMembers, floor.Member{
 			Capacity:    float64(m.upstream.Weight * m.upstream.Slots),
-			Ejected:     m.isEjected(now, brief),
-			Severity:    m.severity(now, brief),
+			Ejected:     m.isEjected(now, shortEpisodes),
+			Severity:    m.severity(now, shortEpisodes),
 			Leaving:     m.state.Leaving || m.leaving,
 			Unreachable: m.unreachable || m.state.Down,
 		})
@@ -283,7 +286,7 @@
 	})
 }
 
-// updateUpstream takes in what a gate says of its upstream.
+// updateUpstream records the state that a gate reports of its upstream.
 func (s *service) updateUpstream(now clock.Millis, u wire.Upstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,13 +301,13 @@
 	}
 }
 
-// updatePath takes in whether a node can be reached from here.
+// updatePath records whether the path from here to a node is lost.
 func (s *service) updatePath(node string, isLost bool) {
 	s.updateMembers(node, func(m *member) { m.unreachable = isLost })
 }
 
-// updateInstance takes in what the instance list says of a node. The list lags, so a
-// live link that says leaving stands whatever the list says.
+// updateInstance records whether the instance list marks a node as leaving. The list
+// lags, so a gate's own report that it is leaving stands regardless of the list.
 func (s *service) updateInstance(node string, leaving bool) {
 	s.updateMembers(node, func(m *member) { m.leaving = leaving })
 }
@@ -320,8 +323,8 @@
 	}
 }
 
-// endAttempt gives back the place of a dispatch and feeds the retry budget with
-// what a gate said, if one did.
+// endAttempt ends an attempt. If the gate replied, it also records in the retry budget
+// whether the gate refused for load.
 func (s *service) endAttempt(now clock.Millis, m *member, o *result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -337,19 +340,20 @@
 	return s.retryBudget.Decide(now, a)
 }
 
-// spreadRetryAfter lengthens the span until callers who are refused together come back.
+// spreadRetryAfter adds jitter to the time after which a refused caller may retry.
 func (s *service) spreadRetryAfter(span clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.retryBudget.AddJitter(span)
 }
 
-// startRequest counts a request and returns the service as the table has it.
+// startRequest counts a request towards the retry budget. It returns the service's
+// configuration and its baseline, aged to now.
 func (s *service) startRequest(now clock.Millis) (table.Service, wire.Baseline) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryBudget.RecordRequest(now)
-	told := s.baseline
-	told.Age += now - s.baselineAt
-	return s.config, wire.NewBaseline(told)
+	baseline := s.baseline
+	baseline.Age += now - s.baselineAt
+	return s.config, wire.NewBaseline(baseline)
 }
--- a/entry/spread.go
+++ b/entry/splitter.go
@@ -9,30 +9,31 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Splitter deals the requests of routes with several services out in proportion
-// to the weights. It steps through the unit interval by the golden ratio: after
-// any number of requests each share is off by a request or two, where a draw at
-// random would be off by the square root of their number.
+// Splitter divides the requests of routes with several services in proportion to the
+// services' weights. It steps through the unit interval by the golden ratio: after any
+// number of requests each share is off by a request or two, whereas a random choice would
+// be off by the square root of their number.
 type Splitter struct {
 	mu     sync.Mutex
 	random *rand.Rand
-	points map[string]float64 // by route; they outlive table edits
+	points map[string]float64 // by route; kept across table updates
 }
 
 // goldenStep is the fractional part of the golden ratio.
 const goldenStep = 0.6180339887498949
 
-// maxSplitRoutes bounds the routes that are remembered; what is beyond begins anew.
+// maxSplitRoutes bounds the routes that have a point. When it is exceeded, all points are
+// discarded and start afresh.
 const maxSplitRoutes = 10_000
 
-// NewSplitter returns a spread that begins at points of its own.
+// NewSplitter returns a splitter whose routes start at points drawn from seed.
 func NewSplitter(seed uint64) *Splitter {
 	return &Splitter{random: rand.New(rand.NewPCG(seed, 1)), points: map[string]float64{}}
 }
 
-// PickService returns the service that the route's next request goes to. It stays
-// with its share also where that is short of room: the operators' proportions
-// would otherwise shift with the load.
+// PickService returns the service for the route's next request. It follows the weights
+// even if a service is short of slots, because otherwise load would shift the proportions
+// that operators set.
 func (s *Splitter) PickService(r *table.Route) string {
 	if len(r.Shares) == 0 {
 		return r.Service
@@ -51,7 +52,7 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// nextPoint returns the route's next point, from 0 up to 1.
+// nextPoint returns the route's next point, in [0, 1).
 func (s *Splitter) nextPoint(r *table.Route) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/spread_test.go
+++ b/entry/splitter_test.go
@@ -8,10 +8,10 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Operators move a tenth of a route's requests to another service, and each of
-// 24 entries sees few of them. Dealt out by chance, 300 requests would miss the
-// share by several in a hundred; operators would read that as a slip.
-func TestSharesAreKeptInSmallNumbers(t *testing.T) {
+// Operators move a tenth of a route's requests to another service, and each of 24 entries
+// sees few of them. Assigned at random, 300 requests would miss the share by several
+// percent, which operators would take for a fault.
+func TestSharesHoldForFewRequests(t *testing.T) {
 	route := &table.Route{Host: "a.example", Prefix: "/x/", Shares: []table.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "off", Weight: 0}}}
 	counts := map[string]int{}
 	for seed := range uint64(24) {
@@ -25,12 +25,12 @@
 		t.Errorf("got %.3f of the requests for the new service, want 0.1 within 0.04", got)
 	}
 	if counts["off"] > 0 {
-		t.Errorf("got %d requests for a share without weight, want none", counts["off"])
+		t.Errorf("got %d requests for a share of weight 0, want none", counts["off"])
 	}
 }
 
-// A table edit comes with each upstream that joins; the proportions go on.
-func TestSharesOutliveEdits(t *testing.T) {
+// Each upstream that joins causes a table update. The split must continue across updates.
+func TestSharesSurviveTableEdits(t *testing.T) {
 	s := entry.NewSplitter(1)
 	counts := map[string]int{}
 	for range 200 {
--- a/entry/view.go
+++ b/entry/states.go
@@ -6,7 +6,7 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// states describes the upstreams for the report.
+// states returns the state of each upstream for the report.
 func (s *service) states(now clock.Millis) []access.UpstreamState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,8 +28,8 @@
 	return all
 }
 
-// retryAfter is when a caller may find an upstream again: when the first
-// hold-off ends, at least a second.
+// retryAfter returns how long until a caller may find an upstream in use again: when the
+// first ejection ends, but at least one second.
 func (s *service) retryAfter(now clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -9,24 +9,24 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// A busy machine slowed an upstream for half a second, and it was set aside. After five
-// seconds its gate offered it for trial, beside one that had room for all requests: it
-// got none, and its trial lasted until it ran out after half a minute. The share of work
-// that is told of a trial was none, which stands for one that must not be chosen.
-func TestTrialGetsRequestsBesideUpstreamsWithRoom(t *testing.T) {
+// A busy machine slowed an upstream for half a second, and its gate ejected it. On trial
+// five seconds later, beside an upstream with room for all requests, it got none until
+// the trial expired after half a minute: its gate reports a share of 0 for a trial, which
+// the choice took for an upstream to avoid.
+func TestUpstreamOnTrialGetsRequests(t *testing.T) {
 	tests := []struct {
 		name  string
 		heard wire.Upstream
 	}{
 		{"on trial", wire.Upstream{Name: "b", State: uint8(health.Trial), Severity: 0.6, Until: clock.Minute}},
-		{"hold-off over since it was heard", wire.Upstream{Name: "b", State: uint8(health.Ejected), Severity: 0.6}},
+		{"ejection over since the last update", wire.Upstream{Name: "b", State: uint8(health.Ejected), Severity: 0.6}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := crew(t)
+			s := newTestService(t)
 			s.service.Caution = table.Fast
-			s.join("a")
-			s.join("b")
+			s.addUpstream("a")
+			s.addUpstream("b")
 			s.publish()
 			s.entry.UpdateUpstream(tt.heard)
 			const sent = 200
@@ -34,7 +34,7 @@
 				if status, _ := post(s.entry); status != 200 {
 					t.Fatalf("got %d, want 200", status)
 				}
-				if s.ways["b"].dispatched > 0 {
+				if s.gates["b"].dispatched > 0 {
 					return
 				}
 			}
@@ -43,27 +43,27 @@
 	}
 }
 
-// One of two upstreams is set aside already, and the gate of the other sets it aside, too,
-// at the moment when a request comes. The floor keeps the less sick of them in use from
-// then on, and the request could be served there; it was refused, for when it was sent no
-// other was left.
-func TestRefusedByTheLastUpstreamInUseIsServedUnderTheFloor(t *testing.T) {
+// One of two upstreams is ejected, and the gate of the other ejects it when a request
+// arrives. From then on the floor keeps the one of lower severity in use, which could
+// serve the request. The request was refused, because the count of untried upstreams
+// dated from before the second ejection.
+func TestRequestIsServedUnderFloorAfterLastEjection(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		severity float64 // of the last one
+		severity float64 // of the last upstream in use
 		want     string
-	}{{"the last one is kept", 0.5, "a"}, {"the other one is kept", 0.7, "b"}} {
+	}{{"the last upstream is kept", 0.5, "a"}, {"the other upstream is kept", 0.7, "b"}} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := crew(t)
+			s := newTestService(t)
 			s.service.Caution, s.service.Floor = table.Fast, 0.5
 			for _, name := range []string{"a", "b"} {
-				s.join(name)
-				s.ways[name].told = s.entry.UpdateUpstream
-				s.ways[name].verdict = &wire.Upstream{Name: name, State: uint8(health.Ejected), Severity: 0.6, Until: clock.Minute}
+				s.addUpstream(name)
+				s.gates[name].publish = s.entry.UpdateUpstream
+				s.gates[name].verdict = &wire.Upstream{Name: name, State: uint8(health.Ejected), Severity: 0.6, Until: clock.Minute}
 			}
-			s.ways["a"].verdict.Severity = tt.severity
+			s.gates["a"].verdict.Severity = tt.severity
 			s.publish()
-			s.entry.UpdateUpstream(*s.ways["b"].verdict)
+			s.entry.UpdateUpstream(*s.gates["b"].verdict)
 			status, body := post(s.entry)
 			if status != 200 || body != tt.want {
 				t.Errorf("got %d %q, want it served by %s", status, body, tt.want)
--- a/entry/waiter.go
+++ b/entry/waiter.go
@@ -8,18 +8,18 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// eventKind says what a waiter was told of its dispatch.
+// eventKind is what a waiter receives about its dispatch.
 type eventKind uint8
 
 const (
 	replied eventKind = iota
 	revoked
 	gateReplaced
-	unsent
+	notSent
 	pathLost
-	stalled // most likely the run comes to no end
+	hung // the run will most likely never finish
 	expired
-	callerGone // the caller has left
+	callerGone // the caller has closed the connection
 )
 
 type event struct {
@@ -27,8 +27,8 @@
 	reply *wire.Reply
 }
 
-// waiter receives what becomes of one dispatch. A dispatch ends with one reply
-// or settlement; the second place is for one notice.
+// waiter receives the events of one dispatch. A dispatch ends with one reply or
+// resolution; the channel has room for one notice beside it.
 type waiter struct {
 	events chan event
 }
@@ -37,43 +37,44 @@
 	return &waiter{events: make(chan event, 2)}
 }
 
-// Replied takes in the gate's whole answer.
+// Replied receives the gate's complete reply.
 func (w *waiter) Replied(r *wire.Reply) {
 	w.put(event{kind: replied, reply: r})
 }
 
-// Resolved takes in a settlement.
-func (w *waiter) Resolved(isVoided bool) {
-	if isVoided {
+// Resolved receives the gate's resolution: the dispatch is revoked, or the gate that had
+// it has been replaced.
+func (w *waiter) Resolved(isRevoked bool) {
+	if isRevoked {
 		w.put(event{kind: revoked})
 		return
 	}
 	w.put(event{kind: gateReplaced})
 }
 
-// NotSent takes in that nothing was sent.
+// NotSent receives the notice that the dispatch was not sent.
 func (w *waiter) NotSent() {
-	w.put(event{kind: unsent})
+	w.put(event{kind: notSent})
 }
 
-// PathLost takes in that the path is lost for now.
+// PathLost receives the notice that the path is lost for now.
 func (w *waiter) PathLost() {
 	w.putNotice(pathLost)
 }
 
-// Hung takes in that the run most likely comes to no end.
+// Hung receives the notice that the run is most likely hung.
 func (w *waiter) Hung() {
-	w.putNotice(stalled)
+	w.putNotice(hung)
 }
 
-// putNotice puts what leaves room for the outcome.
+// putNotice adds a notice only if the channel still has room for the outcome after it.
 func (w *waiter) putNotice(kind eventKind) {
 	if len(w.events) == 0 {
 		w.put(event{kind: kind})
 	}
 }
 
-// poll returns an event that has come.
+// poll returns a pending event, or false if there is none.
 func (w *waiter) poll() (event, bool) {
 	select {
 	case e := <-w.events:
@@ -86,15 +87,15 @@
 func (w *waiter) put(e event) {
 	select {
 	case w.events <- e:
-	default: // the entry has its outcome and isn't listening any more
+	default: // the entry already has the outcome and reads no more events
 	}
 }
 
 var timerPool = sync.Pool{New: func() any { return time.NewTimer(time.Hour) }}
 
-// next waits for the next event, at most for the span, or until the caller has
-// left.
-func (w *waiter) next(span clock.Millis, left <-chan struct{}) event {
+// next returns the next event. It returns an expired event after span, and a callerGone
+// event when gone is closed.
+func (w *waiter) next(span clock.Millis, gone <-chan struct{}) event {
 	timer, _ := timerPool.Get().(*time.Timer)
 	timer.Reset(span.Duration())
 	defer timerPool.Put(timer)
@@ -102,7 +103,7 @@
 	case e := <-w.events:
 		timer.Stop()
 		return e
-	case <-left:
+	case <-gone:
 		timer.Stop()
 		return event{kind: callerGone}
 	case <-timer.C:
--- a/entry/invitation_test.go
+++ b/entry/workrequest_test.go
@@ -11,14 +11,13 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Traffic begins, and an upstream that nobody has chosen asks for a request. Of the
-// retries that all nodes share this one's part is hardly one, and none of it is earned
-// yet. Kept for that reason, the invitations of a third of the upstreams were followed
-// by nobody for 2 s, and the rest of the service got all the work.
-func TestInvitationsAreFollowedFromTheFirstRequest(t *testing.T) {
-	s := crew(t)
+// Guards against ignoring work requests until the node's small share of the retries is
+// earned: the work requests of a third of the upstreams then went unanswered for 2 s
+// after traffic began, and the other upstreams got all requests.
+func TestWorkRequestsAreFollowedFromFirstRequest(t *testing.T) {
+	s := newTestService(t)
 	for _, name := range []string{"a", "b", "c"} {
-		s.join(name)
+		s.addUpstream(name)
 	}
 	s.publish()
 	s.entry.UpdateUpstream(wire.Upstream{Name: "c", Share: 1, Severity: 0.4})
@@ -26,65 +25,65 @@
 	if status, _ := post(s.entry); status != 200 {
 		t.Fatalf("got %d, want 200", status)
 	}
-	if s.ways["c"].dispatched != 1 {
-		t.Errorf("got %d requests for the one that asked, want 1", s.ways["c"].dispatched)
+	if s.gates["c"].dispatched != 1 {
+		t.Errorf("got %d requests for the upstream with a work request, want 1", s.gates["c"].dispatched)
 	}
 }
 
-// Nobody chooses the upstreams of a failure domain without callers, so that no entry that
-// has requests has a link to them, and their gates can invite none: they got nothing for
-// ten seconds. An entry keeps links to some, whatever it chooses.
-func TestEntriesKeepLinksToUpstreamsThatTheyDoNotChoose(t *testing.T) {
-	s := crew(t)
+// Guards against upstreams that get no requests for ten seconds: in a failure domain
+// without callers no entry with requests had a link to them, so their gates could send no
+// work requests. An entry keeps links to some upstreams regardless of its choices.
+func TestEntryKeepsLinksToUpstreamsItDoesNotChoose(t *testing.T) {
+	s := newTestService(t)
 	for i := range 20 {
-		s.join(fmt.Sprint("u", i))
+		s.addUpstream(fmt.Sprint("u", i))
 	}
 	s.publish()
 	if status, _ := post(s.entry); status != 200 {
 		t.Fatalf("got %d, want 200", status)
 	}
 	kept := 0
-	for _, d := range s.ways {
-		if d.kept > 0 && d.dispatched == 0 {
+	for _, d := range s.gates {
+		if d.linkRequests > 0 && d.dispatched == 0 {
 			kept++
 		}
 	}
 	if kept < 2 || kept > 10 {
-		t.Errorf("got links to %d of 20 upstreams kept beside the one chosen, want some", kept)
+		t.Errorf("got links to %d of 20 upstreams besides the chosen one, want 2 to 10", kept)
 	}
 }
 
-// crews is an entry of a node that has run for long, before one service whose requests
-// may be repeated.
-type crews struct {
+// testService is an entry on a long-running node, with one service whose requests are
+// repeatable.
+type testService struct {
 	entry   *entry.Entry
 	service table.Service
-	// attempts is the route's bound on runs.
+	// attempts is the route's limit on runs.
 	attempts int
-	ways     map[string]*desk
+	gates    map[string]*fakeGate
 }
 
-func crew(t *testing.T) *crews {
+func newTestService(t *testing.T) *testService {
 	t.Helper()
-	c := &crews{ways: map[string]*desk{}, service: table.Service{
+	c := &testService{gates: map[string]*fakeGate{}, service: table.Service{
 		Name: "conferme", Caution: table.ShortEpisodes, Floor: 0.3, Deadline: clock.Minute,
 		RetryRatio: 0.2, RetryWindow: 10 * clock.Second, ExtraRetries: 1,
 	}}
 	system := clock.NewSystem().Now
 	c.entry = entry.New(entry.Config{
 		Domain: "catania", Now: func() clock.Millis { return system() + clock.Hour },
-		Pool: newPool(t), Recorder: journal{}, Log: logging.Silent(),
-		GateClient: func(u table.Upstream) entry.GateClient { return c.ways[u.Name] },
+		Pool: newPool(t), Recorder: nopRecorder{}, Log: logging.Silent(),
+		GateClient: func(u table.Upstream) entry.GateClient { return c.gates[u.Name] },
 	})
 	return c
 }
 
-func (c *crews) join(name string) {
-	c.ways[name] = &desk{name: name}
+func (c *testService) addUpstream(name string) {
+	c.gates[name] = &fakeGate{name: name}
 	c.service.Upstreams = append(c.service.Upstreams, table.Upstream{Name: name, Node: name, Domain: "catania", Weight: 100, Slots: 7})
 }
 
-func (c *crews) publish() {
+func (c *testService) publish() {
 	c.entry.Update(table.Index(table.Table{
 		Services: []table.Service{c.service},
 		Routes:   []table.Route{{Prefix: "/", Service: "conferme", Timeout: clock.Minute, LatencyTarget: clock.Second, MaxAttempts: c.attempts, Repeatable: []string{table.AnyMethod}}},
