--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -7,20 +7,20 @@
 	"fuchsiapick.example/fuchsiapick/rendezvous"
 )
 
-// Addresses that differ in their last digit must not come first for the same keys: one node
-// would carry the work of many.
-func TestKeysSpreadOverLikeNodes(t *testing.T) {
+// Addresses that differ only in their last digit have similar FNV hashes. Without mixing, the
+// same node would come first for the keys of many and carry their load.
+func TestKeysSpreadOverSimilarNodes(t *testing.T) {
 	const nodes, keys = 30, 9000
 	counts := make([]int, nodes)
 	for k := range keys {
-		best, most := 0, uint64(0)
+		first, highest := 0, uint64(0)
 		for n := range nodes {
 			score := rendezvous.Score(fmt.Sprintf("account-%d", k), fmt.Sprintf("10.0.0.%d:7000", n))
-			if score > most {
-				best, most = n, score
+			if score > highest {
+				first, highest = n, score
 			}
 		}
-		counts[best]++
+		counts[first]++
 	}
 	for n, got := range counts {
 		if want := keys / nodes; got < want*7/10 || got > want*13/10 {
@@ -29,8 +29,8 @@
 	}
 }
 
-// Nodes of two builds must agree on who comes first.
-func TestScoresStayTheSame(t *testing.T) {
+// Nodes of different builds must compute the same ranking, so the scores must not change.
+func TestScoresAreStable(t *testing.T) {
 	if got, want := rendezvous.Score("hotel", "10.0.0.1:7000"), uint64(0xb39ce1559837b87f); got != want {
 		t.Errorf("got %#x, want %#x", got, want)
 	}
