--- a/gate/backend.go
+++ b/gate/backend.go
@@ -14,31 +14,31 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Faults of a call to the backend server.
+// Errors of a call to the backend server.
 const (
 	// ErrRefused means that no connection could be opened: the backend server
-	// got nothing.
+	// received nothing.
 	ErrRefused   = errors.ConstError("backend server refused the connection")
-	ErrTimeout   = errors.ConstError("backend server didn't answer in time")
-	ErrTruncated = errors.ConstError("backend server's answer broke off")
-	// ErrCrashed means that the answer broke off since the backend server's process
-	// ended. Do doesn't return it: the gate finds out.
-	ErrCrashed  = errors.ConstError("backend server ended while it ran the request")
-	ErrTooLarge = errors.ConstError("backend server's answer is over the bound")
-	// ErrMismatchedReply means an answer that isn't the backend server's answer to
-	// this request: without its seal, under another id or recoded.
-	ErrMismatchedReply = errors.ConstError("backend server's answer isn't the request's own")
-	// ErrCancelled means that the caller has left.
-	ErrCancelled = errors.ConstError("the caller has left")
+	ErrTimeout   = errors.ConstError("backend server didn't respond in time")
+	ErrTruncated = errors.ConstError("backend server's response was truncated")
+	// ErrCrashed means that the response was truncated because the backend server's
+	// process ended. Do doesn't return it: the gate detects the crash.
+	ErrCrashed  = errors.ConstError("backend server's process ended while it ran the request")
+	ErrTooLarge = errors.ConstError("backend server's response is too large")
+	// ErrMismatchedReply means a response that isn't the backend server's response to
+	// this request: it has no seal, another request id or a content encoding.
+	ErrMismatchedReply = errors.ConstError("backend server's response doesn't belong to the request")
+	// ErrCancelled means that the caller has disconnected.
+	ErrCancelled = errors.ConstError("the caller has disconnected")
 )
 
-// Headers between a gate and a backend server that knows this project.
+// Headers between a gate and a backend server that supports this project's headers.
 const (
 	// HeaderRequest carries the request id.
 	HeaderRequest = "Fuchsiapick-Request"
-	// HeaderDeadline carries what is left of the deadline in milliseconds.
+	// HeaderDeadline carries the time until the deadline in milliseconds.
 	HeaderDeadline = "Fuchsiapick-Deadline"
-	// HeaderBackend marks, with the value "shed", an answer 429 or 503 of a
+	// HeaderBackend, with the value "shed", marks a 429 or 503 response of a
 	// backend server that did not begin the request.
 	HeaderBackend = "Fuchsiapick-Backend"
 	// HeaderCaller carries the caller's name.
@@ -50,7 +50,7 @@
 
 // Call is one request to the backend server.
 type Call struct {
-	// ID is what the backend server knows the request by.
+	// ID is the request id that the backend server receives.
 	ID     string
 	Caller string
 	// Account is the client account's name, empty without one.
@@ -60,20 +60,22 @@
 	Headers  wire.Headers
 	Body     []byte
 	Deadline clock.Millis
-	// Repeatable requests may use a connection that was used before.
+	// Repeatable requests may use any idle connection, others only one that was in use
+	// a moment ago.
 	Repeatable bool
 }
 
-// Response is a whole answer of the backend server.
+// Response is a complete response of the backend server.
 type Response struct {
 	Status  int
 	Headers wire.Headers
 	Body    []byte
-	// Shed means that the backend server says it did not begin the request.
+	// Shed means that the backend server states that it did not begin the request.
 	Shed bool
-	// Overloaded means that it refused for load, whatever it began.
+	// Overloaded means that the backend server refused the request for load, whether it
+	// began the request or not.
 	Overloaded bool
-	// RetryAfter is when the backend server says to come back; 0 if it doesn't.
+	// RetryAfter is the delay that the backend server asks for; 0 if it names none.
 	RetryAfter clock.Millis
 }
 
@@ -81,20 +83,20 @@
 type HTTPConfig struct {
 	Address        string
 	MaxConnections int
-	// MaxBody bounds an answer's body in bytes.
+	// MaxBody limits the body of a response, in bytes.
 	MaxBody int
-	// Headers are the names that the backend server knows; empty ones stand
-	// for DefaultHeaders.
+	// Headers are the header names that the backend server uses; the zero value
+	// stands for DefaultHeaders.
 	Headers Headers
-	// Instance is the name of the upstream that is meant.
+	// Instance is the name of the upstream that may run the requests.
 	Instance string
 }
 
 // HTTP calls a backend server over HTTP/1.1. It is safe for concurrent use.
 //
-// It writes and reads on connections of its own: an HTTP client library sends a
-// request again when its connection broke, takes what is left of an earlier
-// answer for the next, and can't be told that the caller has left.
+// It manages its own connections, because an HTTP client library resends a request
+// when the connection breaks, takes the rest of an earlier response for the next one,
+// and can't be notified that the caller has disconnected.
 type HTTP struct {
 	config HTTPConfig
 
@@ -107,7 +109,7 @@
 
 const connectTimeout = clock.Second
 
-// NewHTTP returns a backend that opens connections as requests need them.
+// NewHTTP returns a backend that opens connections on demand.
 func NewHTTP(c HTTPConfig) *HTTP {
 	if c.Headers == (Headers{}) {
 		c.Headers = DefaultHeaders()
@@ -115,22 +117,21 @@
 	return &HTTP{config: c, busy: map[*backendConn]struct{}{}}
 }
 
-// Close drops the connections that are idle, and each other one after its
-// answer.
+// Close closes the idle connections, and each busy connection after its response.
 func (h *HTTP) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
 	for _, c := range h.idle {
 		h.open--
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // an idle connection has no request in flight
 	}
 	h.idle = nil
 }
 
-// Do sends a request and returns the whole answer. It returns one of the errors
-// above. At the deadline, or when the context ends, it closes the connection,
-// which is how a backend server learns that the request is cancelled.
+// Do sends a request and returns the complete response, or one of the errors above
+// except ErrCrashed. At the deadline, or when the context ends, Do closes the
+// connection, which is how a backend server learns that the request is cancelled.
 func (h *HTTP) Do(ctx context.Context, c *Call) (Response, error) {
 	deadline := time.Now().Add(c.Deadline.Duration())
 	conn, err := h.acquire(ctx, deadline, c.Repeatable)
@@ -149,22 +150,23 @@
 		h.discard(conn)
 		return Response{}, h.classifyError(ctx, conn, err)
 	}
-	answer := h.newResponse(c.Method, response)
+	result := h.newResponse(c.Method, response)
 	h.release(conn, response)
-	return answer, nil
+	return result, nil
 }
 
-// classifyError says why an exchange ended without a whole answer.
+// classifyError returns the error for an exchange that ended without a complete
+// response.
 func (*HTTP) classifyError(ctx context.Context, conn *backendConn, err error) error {
-	var network net.Error
+	var netErr net.Error
 	switch {
 	case conn.isObsolete.Load():
-		return errors.Annotate(ErrTruncated, "the backend server started again")
+		return errors.Annotate(ErrTruncated, "the backend server was restarted")
 	case errors.Is(err, ErrMismatchedReply), errors.Is(err, ErrTooLarge):
 		return errors.Trace(err)
 	case ctx.Err() != nil:
 		return errors.Annotate(ErrCancelled, err.Error())
-	case errors.Is(err, fasthttp.ErrTimeout), errors.As(err, &network) && network.Timeout():
+	case errors.Is(err, fasthttp.ErrTimeout), errors.As(err, &netErr) && netErr.Timeout():
 		return errors.Annotate(ErrTimeout, err.Error())
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return errors.Annotate(ErrTooLarge, err.Error())
@@ -173,15 +175,15 @@
 	}
 }
 
-// probeTimeout is many times what a probe takes on today's upstreams, 25 ms.
+// probeTimeout is many times the duration of a probe on current upstreams, 25 ms.
 const probeTimeout = clock.Second
 
-// Probe asks a health endpoint and reports an answer 2xx.
+// Probe requests a health endpoint and reports whether the response is a 2xx.
 func (h *HTTP) Probe(path string) bool {
 	ctx := context.Background()
 	conn, err := h.acquire(ctx, time.Now().Add(probeTimeout.Duration()), true)
 	if err != nil {
-		return false // a refusal shows with the next request too
+		return false // the next request meets a refused connection, too
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -225,40 +227,39 @@
 }
 
 func (h *HTTP) newResponse(method string, response *fasthttp.Response) Response {
-	a := Response{Status: response.StatusCode()}
-	a.Body = append(a.Body, response.Body()...)
+	r := Response{Status: response.StatusCode()}
+	r.Body = append(r.Body, response.Body()...)
 	for name, value := range response.Header.All() {
 		if !wire.IsHopByHop(name) {
-			a.Headers = a.Headers.Add(name, value)
+			r.Headers = r.Headers.Add(name, value)
 		}
 	}
 	if length := response.Header.ContentLength(); method == fasthttp.MethodHead && length >= 0 {
-		// It has no body whose length could tell.
-		a.Headers = a.Headers.Add([]byte(fasthttp.HeaderContentLength), strconv.AppendInt(nil, int64(length), 10))
+		// The response to a HEAD request has no body that gives the length.
+		r.Headers = r.Headers.Add([]byte(fasthttp.HeaderContentLength), strconv.AppendInt(nil, int64(length), 10))
 	}
 	value, _ := headerValue(response, fasthttp.HeaderRetryAfter)
-	after, told := parseRetryAfter(value)
-	a.RetryAfter = after
-	limited := a.Status == fasthttp.StatusTooManyRequests
-	unavailable := a.Status == fasthttp.StatusServiceUnavailable
-	a.Shed = h.config.Headers.notRun(response)
-	a.Overloaded = (a.Shed && (limited || unavailable)) || limited || (unavailable && told)
-	return a
+	retryAfter, hasRetryAfter := parseRetryAfter(value)
+	r.RetryAfter = retryAfter
+	limited := r.Status == fasthttp.StatusTooManyRequests
+	unavailable := r.Status == fasthttp.StatusServiceUnavailable
+	r.Shed = h.config.Headers.notRun(response)
+	r.Overloaded = (r.Shed && (limited || unavailable)) || limited || (unavailable && hasRetryAfter)
+	return r
 }
 
-// parseRetryAfter reads the header's form in seconds, the one that servers under
-// load use.
-func parseRetryAfter(text []byte) (clock.Millis, bool) {
-	if len(text) == 0 {
+// parseRetryAfter parses a Retry-After value in seconds, the form that overloaded
+// servers use. It returns false for any other value.
+func parseRetryAfter(value []byte) (clock.Millis, bool) {
+	if len(value) == 0 {
 		return 0, false
 	}
-	seconds, err := strconv.ParseFloat(string(text), 64)
+	seconds, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || seconds < 0 || seconds > float64(maxRetryAfter) {
 		return 0, false
 	}
 	return clock.FromDuration(time.Duration(seconds * float64(time.Second))), true
 }
 
-// maxRetryAfter is the longest that a backend server's word is taken for, in
-// seconds.
+// maxRetryAfter is the longest delay accepted from a backend server, in seconds.
 const maxRetryAfter = 3600
--- a/gate/backend_test.go
+++ b/gate/backend_test.go
@@ -11,9 +11,9 @@
 	"fuchsiapick.example/fuchsiapick/gate"
 )
 
-// answering starts a server that reads a request on each connection, writes
-// the text and closes the connection, or keeps it open and silent.
-func answering(t *testing.T, text string, silent bool) string {
+// startRawServer starts a server that reads a request on each connection, writes the text and
+// closes the connection. A silent server writes only when the test ends. It returns the address.
+func startRawServer(t *testing.T, text string, silent bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,23 +54,23 @@
 	return listener.Addr().String()
 }
 
-// Only a connection that could not be opened proves that the backend server
-// got nothing. Were a broken answer taken for that, a payroll entry would be
-// sent a second time elsewhere.
-func TestBackendFaults(t *testing.T) {
+// Only a connection that could not be opened proves that the backend server received
+// nothing. If a truncated response counted as proof, too, a payroll entry would be sent
+// a second time to another upstream.
+func TestBackendErrors(t *testing.T) {
 	tests := []struct {
 		name    string
 		address string
 		want    error
 	}{
 		{"nothing listens", closedPort(t), gate.ErrRefused},
-		{"closes without an answer", answering(t, "", false), gate.ErrTruncated},
-		{"half a header", answering(t, "HTTP/1.1 200 OK\r\nConte", false), gate.ErrTruncated},
-		{"half a body", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", false), gate.ErrTruncated},
-		{"no HTTP", answering(t, "220 ready\r\n\r\n", false), gate.ErrTruncated},
-		{"silent", answering(t, "", true), gate.ErrTimeout},
-		{"body over the bound", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", false), gate.ErrTooLarge},
-		{"whole", answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false), nil},
+		{"closes without a response", startRawServer(t, "", false), gate.ErrTruncated},
+		{"half a header", startRawServer(t, "HTTP/1.1 200 OK\r\nConte", false), gate.ErrTruncated},
+		{"half a body", startRawServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", false), gate.ErrTruncated},
+		{"no HTTP", startRawServer(t, "220 ready\r\n\r\n", false), gate.ErrTruncated},
+		{"silent", startRawServer(t, "", true), gate.ErrTimeout},
+		{"body over the limit", startRawServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n", false), gate.ErrTooLarge},
+		{"whole", startRawServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false), nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -84,9 +84,9 @@
 	}
 }
 
-// A backend server closes the connection on a request that must run once. The
-// HTTP library may not send it again by itself on a new connection.
-func TestBackendIsSentARequestOnce(t *testing.T) {
+// A backend server closes the connection on a request that must run only once. The
+// request must not be sent again on a new connection.
+func TestBackendReceivesARequestOnce(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -120,21 +120,23 @@
 	}
 }
 
-func TestBackendTellsShedLoad(t *testing.T) {
+// Only the marked response proves that a request didn't run; an overloaded backend server
+// may also respond 429, or 503 with Retry-After, after it began the request.
+func TestBackendReportsShedLoad(t *testing.T) {
 	tests := []struct {
 		name, text       string
 		shed, overloaded bool
 		after            clock.Millis
 	}{
 		{"marked", "HTTP/1.1 503 X\r\nFuchsiapick-Backend: shed\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n", true, true, 2000},
-		{"503 that says when", "HTTP/1.1 503 X\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, true, 3000},
+		{"503 with Retry-After", "HTTP/1.1 503 X\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, true, 3000},
 		{"503 alone", "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", false, false, 0},
 		{"429", "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", false, true, 0},
-		{"mark on another status", "HTTP/1.1 500 X\r\nFuchsiapick-Backend: shed\r\nContent-Length: 0\r\n\r\n", false, false, 0},
+		{"marked, but another status", "HTTP/1.1 500 X\r\nFuchsiapick-Backend: shed\r\nContent-Length: 0\r\n\r\n", false, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			backend := gate.NewHTTP(gate.HTTPConfig{Address: answering(t, tt.text, false), MaxConnections: 1, MaxBody: 1000})
+			backend := gate.NewHTTP(gate.HTTPConfig{Address: startRawServer(t, tt.text, false), MaxConnections: 1, MaxBody: 1000})
 			defer backend.Close()
 			got, err := backend.Do(t.Context(), &gate.Call{Method: "GET", URI: "/x", Deadline: clock.Second})
 			if err != nil {
--- /dev/null
+++ b/gate/capacity_probe.go
@@ -0,0 +1,124 @@
+package gate
+
+import (
+	"time"
+
+	"fuchsiapick.example/fuchsiapick/clock"
+	"fuchsiapick.example/fuchsiapick/lease"
+	"fuchsiapick.example/fuchsiapick/limit"
+	"fuchsiapick.example/fuchsiapick/wire"
+)
+
+// reservationTTL is how long a slot stays reserved for a dispatch: about ten round trips
+// between failure domains (2 ms each), plus time for a large body.
+const reservationTTL = 40 * clock.Millis(1)
+
+// waiter is a capacity probe that waits for a slot.
+type waiter struct {
+	key     lease.Key
+	probe   *wire.CapacityProbe
+	respond func(*wire.Reservation)
+	timer   *time.Timer
+}
+
+// ProbeCapacity reserves a slot for a request that the entry sends after the reservation
+// arrives, immediately or once a slot is free. A request can thus wait at several gates
+// while its body crosses to another failure domain only once. The respond function is
+// called once, or never if the reservation is released while the probe waits.
+func (g *Gate) ProbeCapacity(probe *wire.CapacityProbe, respond func(*wire.Reservation)) {
+	now := g.config.Now()
+	w := &waiter{key: probe.ID.Key(probe.Attempt), probe: probe, respond: respond}
+	g.mu.Lock()
+	g.recordSender(probe.ID.Entry, probe.Repeatable)
+	reason, retryAfter := g.refusalReason(now, lease.Fresh, newAdmission(probe))
+	if reason == "" {
+		var isWaiting bool
+		reason, retryAfter, isWaiting = g.requestSlot(now, w)
+		if isWaiting {
+			expired := g.refuseExpired(now) // the probe may have taken the place of an expired waiter
+			g.mu.Unlock()
+			callAll(expired)
+			return
+		}
+	}
+	reservation := g.newReservation(now, w, reason)
+	reservation.RetryAfter = retryAfter
+	g.mu.Unlock()
+	respond(reservation)
+}
+
+// requestSlot acquires a slot or queues the probe. It returns the reason and the retry delay
+// of a refusal, and whether the probe waits. It is called with the gate's lock held.
+func (g *Gate) requestSlot(now clock.Millis, w *waiter) (reason wire.Reason, retryAfter clock.Millis, isWaiting bool) {
+	g.lastTicket++
+	request := limit.Request{
+		Ticket: g.lastTicket, Deadline: now + w.probe.Budget, Until: now + w.probe.WaitBudget, Priority: w.probe.Priority,
+	}
+	switch decision := g.slots.Acquire(now, request); decision.Result {
+	case limit.Run:
+		g.reserve(w.key)
+		return "", 0, false
+	case limit.Wait:
+		g.waiters[request.Ticket] = w
+		w.timer = time.AfterFunc((w.probe.WaitBudget + 1).Duration(), g.expireWaiters)
+		return "", 0, true
+	case limit.Late:
+		return wire.ReasonDeadlineTooShort, decision.RetryAfter, false
+	default:
+		return wire.ReasonFull, decision.RetryAfter, false
+	}
+}
+
+// newReservation returns the response to a capacity probe: a reserved slot, or a refusal if
+// reason isn't empty. It is called with the gate's lock held.
+func (g *Gate) newReservation(now clock.Millis, w *waiter, reason wire.Reason) *wire.Reservation {
+	return &wire.Reservation{
+		ID: w.probe.ID, Attempt: w.probe.Attempt,
+		Reserved: reason == "", Reason: reason, Time: now, Upstream: g.status(now),
+	}
+}
+
+// ReleaseReservation releases the reserved slot of a request that found a slot elsewhere or was
+// given up, or removes its capacity probe from the queue.
+func (g *Gate) ReleaseReservation(r *wire.ReleaseReservation) {
+	key := r.ID.Key(r.Attempt)
+	g.mu.Lock()
+	for ticket, w := range g.waiters {
+		if w.key == key {
+			w.timer.Stop()
+			delete(g.waiters, ticket)
+			g.slots.Cancel(ticket)
+		}
+	}
+	var calls []func()
+	if g.takeReservation(key) {
+		calls = g.releaseSlot(g.config.Now())
+	}
+	g.mu.Unlock()
+	callAll(calls)
+}
+
+// reserve holds an acquired slot until its dispatch arrives or reservationTTL has passed. It
+// is called with the gate's lock held.
+func (g *Gate) reserve(key lease.Key) {
+	g.reservations[key] = time.AfterFunc(reservationTTL.Duration(), func() {
+		g.mu.Lock()
+		var calls []func()
+		if g.takeReservation(key) {
+			calls = g.releaseSlot(g.config.Now())
+		}
+		g.mu.Unlock()
+		callAll(calls)
+	})
+}
+
+// takeReservation removes a dispatch's reservation and reports whether there was one; the
+// caller then owns the slot. It is called with the gate's lock held.
+func (g *Gate) takeReservation(key lease.Key) bool {
+	timer, ok := g.reservations[key]
+	if ok {
+		timer.Stop()
+		delete(g.reservations, key)
+	}
+	return ok
+}
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -18,32 +18,36 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// CrashTracker is what the node knows of requests that crash backend servers. Its methods must
-// not block.
+// CrashTracker holds what the node knows about requests that crash backend servers. Its
+// methods must not block.
 type CrashTracker interface {
-	// Status says how a dispatch's request may be sent.
+	// Status returns the quarantine status of a dispatch's request.
 	Status(d *wire.Dispatch) quarantine.Status
-	// RecordCrash takes in the end of a backend server's process under its runs.
+	// RecordCrash records that a backend server's process ended while it ran requests.
 	RecordCrash(e quarantine.Crash)
-	// RecordSuccess takes in that a dispatch's run came to its end and didn't fail.
+	// RecordSuccess records that a dispatch's run finished and didn't fail.
 	RecordSuccess(d *wire.Dispatch)
-	// RecordInconclusive takes in that a trial neither ended the process nor succeeded.
+	// RecordInconclusive records that a trial neither crashed the process nor succeeded.
 	RecordInconclusive(e quarantine.Crash)
 }
 
 const (
-	// goneTimeout bounds the connection that tells whether a backend server is still
-	// there. The kernel beside it refuses one within microseconds.
+	// goneTimeout limits the connection attempt that checks whether a backend server is
+	// still listening. The backend server runs beside this node, where the kernel refuses
+	// a connection within microseconds.
 	goneTimeout = 100 * clock.Millis(1)
-	// recoveryInterval is how often a gate looks whether a backend server that crashed is back.
+	// recoveryInterval is how often a gate checks whether a crashed backend server is back.
 	recoveryInterval = 100 * clock.Millis(1)
-	// truncatedWindow is how long after a run broke off the end of the process is the cause.
+	// truncatedWindow is how long after a truncated response the end of the process counts
+	// as its cause.
 	truncatedWindow = 500 * clock.Millis(1)
-	// recheckDelay is how long after the first of them the address is tried once more.
+	// recheckDelay is how long after the first truncated response the address is checked
+	// once more.
 	recheckDelay = 50 * clock.Millis(1)
-	// maxNameLength bounds, in bytes, what is told of the id that a caller gave its request.
+	// maxNameLength limits, in bytes, the part of a caller's request id that a crash report
+	// carries.
 	maxNameLength = 64
-	// maxTruncated bounds the runs that are remembered for that.
+	// maxTruncated limits the truncated runs that are retained for the recheck.
 	maxTruncated = quarantine.MaxSuspects
 )
 
@@ -52,36 +56,37 @@
 	dialer := net.Dialer{Timeout: goneTimeout.Duration()}
 	conn, err := dialer.DialContext(context.Background(), "tcp", h.config.Address)
 	if err == nil {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // nothing was sent on the connection
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// crashState is what a gate knows of the ends of its backend server's process.
+// crashState is what a gate knows about crashes of its backend server's process.
 type crashState struct {
-	// isDown says that nothing listens at the backend server's address.
+	// isDown means that nothing listens at the backend server's address.
 	isDown bool
-	// id is that of the last End, 0 without one; isExplained that a request was found
-	// which crashes those that run it.
+	// id is the last crash's, 0 without a crash; isExplained means that the crash is
+	// attributed to a request that crashes the backend servers running it.
 	id          uint64
 	isExplained bool
-	// truncated are runs whose answers broke off though the address took a connection: a
-	// process that ends may close it last.
+	// truncated are runs whose responses were truncated while the address still accepted a
+	// connection: a process that ends may close its listener last.
 	truncated []truncatedRun
 }
 
-// truncatedRun is a run whose answer broke off.
+// truncatedRun is a run whose response was truncated.
 type truncatedRun struct {
 	at      clock.Millis
 	suspect quarantine.Suspect
 }
 
-// detectCrash finds out whether the process has ended under a run that got no answer. All runs
-// of a process end with it: the first one tells of all.
+// detectCrash checks whether a run got no response because the process has ended. It returns
+// ErrCrashed for a truncated response whose process is gone, else err. All runs of a process
+// end with it, so the first of them to return reports the crash for all.
 func (g *Gate) detectCrash(j *job, err error) error {
-	isTorn := errors.Is(err, ErrTruncated)
-	if !isTorn && !errors.Is(err, ErrRefused) {
+	isTruncated := errors.Is(err, ErrTruncated)
+	if !isTruncated && !errors.Is(err, ErrRefused) {
 		return err
 	}
 	g.mu.Lock()
@@ -89,27 +94,27 @@
 	g.mu.Unlock()
 	isGone := !isPlanned && (isKnown || g.config.Backend.IsGone())
 	g.mu.Lock()
-	refused := g.recordIncomplete(j, isTorn && !isPlanned, isGone)
+	refused := g.recordIncomplete(j, isTruncated && !isPlanned, isGone)
 	g.mu.Unlock()
 	callAll(refused)
-	if !isTorn || !isGone {
+	if !isTruncated || !isGone {
 		return err
 	}
 	return errors.Annotate(ErrCrashed, err.Error())
 }
 
-// recordIncomplete takes in a run that got no answer, and whether the process is gone. The gate's
-// lock is held; what it returns is done without it.
-func (g *Gate) recordIncomplete(j *job, isTorn, isGone bool) []func() {
+// recordIncomplete records a run that got no response, and whether the process is gone. It is
+// called with the gate's lock held and returns the calls to make after the lock is released.
+func (g *Gate) recordIncomplete(j *job, isTruncated, isGone bool) []func() {
 	now := g.config.Now()
 	g.crash.truncated = slices.DeleteFunc(g.crash.truncated, func(t truncatedRun) bool { return now-t.at > truncatedWindow })
 	switch {
 	case isGone && !g.crash.isDown:
-		if isTorn || len(g.crash.truncated) > 0 {
+		if isTruncated || len(g.crash.truncated) > 0 {
 			g.recordCrash(now)
 		}
 		return g.recordDown(now)
-	case isTorn && !isGone && len(g.crash.truncated) < maxTruncated:
+	case isTruncated && !isGone && len(g.crash.truncated) < maxTruncated:
 		g.crash.truncated = append(g.crash.truncated, truncatedRun{now, newSuspect(now, j)})
 		if len(g.crash.truncated) == 1 {
 			time.AfterFunc(recheckDelay.Duration(), g.recheckCrash)
@@ -118,7 +123,7 @@
 	return nil
 }
 
-// recheckCrash looks again whether the process has ended under runs that broke off.
+// recheckCrash checks again whether the process has ended after truncated responses.
 func (g *Gate) recheckCrash() {
 	if !g.config.Backend.IsGone() {
 		return
@@ -132,9 +137,10 @@
 	callAll(refused)
 }
 
-// recordDown takes in that nothing listens at the backend server's address. Entries are told
-// at once, and what waits is refused, for other upstreams have time for it still. The
-// gate's lock is held; the refusals are answered without it.
+// recordDown records that nothing listens at the backend server's address. It notifies entries
+// immediately and refuses the waiters, since there is still time to send them to other
+// upstreams. It is called with the gate's lock held and returns the calls that send the
+// refusals after the lock is released.
 func (g *Gate) recordDown(now clock.Millis) []func() {
 	if g.crash.isDown {
 		return nil
@@ -145,44 +151,46 @@
 	return g.refuseWaiters(now, g.slots.Flush(), wire.ReasonConnectionRefused)
 }
 
-// notifyChange asks for news of the gate to be told at once.
+// notifyChange requests that the gate's new status be sent to entries immediately.
 func (g *Gate) notifyChange() {
 	if g.config.OnChange != nil {
 		g.config.OnChange()
 	}
 }
 
-// recordCrash tells of a crash and what ran under it. The gate's lock is held.
+// recordCrash records a crash and reports the requests that ran then. It is called with the
+// gate's lock held.
 func (g *Gate) recordCrash(now clock.Millis) {
-	end := g.newCrash(now)
+	crash := g.newCrash(now)
 	runs := len(g.crash.truncated)
 	for _, t := range g.crash.truncated {
-		end.Suspects = append(end.Suspects, t.suspect)
+		crash.Suspects = append(crash.Suspects, t.suspect)
 	}
-	g.crash = crashState{id: end.ID}
+	g.crash = crashState{id: crash.ID}
 	for _, j := range g.jobs {
 		if !j.running || j.generation != g.generation {
 			continue
 		}
 		runs++
 		if !g.hasSucceeded(j.dispatch) {
-			end.Suspects = append(end.Suspects, newSuspect(now, j))
+			crash.Suspects = append(crash.Suspects, newSuspect(now, j))
 		}
 	}
-	// Of too many those are told that ran shortest: a run that lasts has not crashed it.
-	slices.SortFunc(end.Suspects, func(a, b quarantine.Suspect) int { return cmp.Compare(a.Elapsed, b.Elapsed) })
-	end.Suspects = end.Suspects[:min(len(end.Suspects), quarantine.MaxSuspects)]
+	// Of too many suspects those with the shortest runs are reported: a run that has lasted
+	// long has not crashed the process.
+	slices.SortFunc(crash.Suspects, func(a, b quarantine.Suspect) int { return cmp.Compare(a.Elapsed, b.Elapsed) })
+	crash.Suspects = crash.Suspects[:min(len(crash.Suspects), quarantine.MaxSuspects)]
 	g.recordEvent(access.Event{At: now, Kind: access.Crashed, Reason: string(wire.ReasonCrashed)})
 	g.log.WithField("runs", runs).Warn("backend server crashed under its runs")
-	if g.config.Crashes != nil && len(end.Suspects) > 0 {
-		g.config.Crashes.RecordCrash(end)
+	if g.config.Crashes != nil && len(crash.Suspects) > 0 {
+		g.config.Crashes.RecordCrash(crash)
 	}
 }
 
-// newCrash is an End of this upstream without suspects.
+// newCrash returns a crash of this upstream without suspects.
 func (g *Gate) newCrash(now clock.Millis) quarantine.Crash {
 	return quarantine.Crash{
-		ID:      rand.Uint64() | 1, // 0 stands for none
+		ID:      rand.Uint64() | 1, // 0 means no crash
 		Service: g.service.Name, Upstream: g.upstream.Name, Version: g.upstream.Version,
 		Upstreams: len(g.service.Upstreams), At: now,
 	}
@@ -197,7 +205,8 @@
 	}
 }
 
-// checkRecovery looks whether the backend server is back.
+// checkRecovery checks whether the backend server listens again, and schedules another check
+// if it doesn't.
 func (g *Gate) checkRecovery() {
 	isGone := g.config.Backend.IsGone()
 	g.mu.Lock()
@@ -214,25 +223,25 @@
 	}
 }
 
-// Name is the upstream's.
+// Name returns the upstream's name.
 func (g *Gate) Name() string {
 	return g.config.Upstream.Name
 }
 
-// ClearCrashEvidence takes in that a request was found which crashes the backend servers that run
-// it, and the crashes that it is to blame for.
-func (g *Gate) ClearCrashEvidence(ends []uint64) {
+// ClearCrashEvidence resets the verdict if the upstream's last crash is among the given ones,
+// the ids of crashes attributed to a request that crashes the backend servers running it.
+func (g *Gate) ClearCrashEvidence(crashes []uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.crash.isExplained || !slices.Contains(ends, g.crash.id) {
+	if g.crash.isExplained || !slices.Contains(crashes, g.crash.id) {
 		return
 	}
 	g.crash.isExplained = true
 	g.resetDetector(g.config.Now())
 }
 
-// resetDetector forgets what the crash said against an upstream that is back: the request was to
-// blame. The gate's lock is held.
+// resetDetector discards the evidence of an explained crash once the upstream is back, since the
+// request caused the crash. It is called with the gate's lock held.
 func (g *Gate) resetDetector(now clock.Millis) {
 	if g.crash.isDown || !g.crash.isExplained {
 		return
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -17,21 +17,22 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// broken is a backend server that breaks off all its answers when it is told to.
-type broken struct {
-	held
+// truncatingBackend is a backend server that truncates all its responses: one for each value
+// received from end, or all when end is closed.
+type truncatingBackend struct {
+	blockingBackend
 	isGone bool
-	// closing, if it isn't nil, is closed when nothing listens any more.
+	// closing, if not nil, is closed when the process stops listening.
 	closing chan struct{}
 }
 
-func (b *broken) Do(_ context.Context, c *gate.Call) (gate.Response, error) {
+func (b *truncatingBackend) Do(_ context.Context, c *gate.Call) (gate.Response, error) {
 	b.begun <- c.ID
 	<-b.end
 	return gate.Response{}, gate.ErrTruncated
 }
 
-func (b *broken) IsGone() bool {
+func (b *truncatingBackend) IsGone() bool {
 	select {
 	case <-b.closing:
 		return true
@@ -40,28 +41,28 @@
 	}
 }
 
-// retainedReply holds the events that were noted.
-type retainedReply struct {
+// eventRecorder retains the kinds of the recorded events.
+type eventRecorder struct {
 	mu    sync.Mutex
 	kinds []access.EventKind
 }
 
-func (k *retainedReply) RecordEvent(e access.Event) {
+func (k *eventRecorder) RecordEvent(e access.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.kinds = append(k.kinds, e.Kind)
 }
 
-func (k *retainedReply) count(kind access.EventKind) int {
+func (k *eventRecorder) count(kind access.EventKind) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(slices.DeleteFunc(slices.Clone(k.kinds), func(other access.EventKind) bool { return other != kind }))
 }
 
-// Three runs break off at once. Unless the lines tell a process that ended from a
-// connection that broke, and which requests ran there, a request that crashes its
-// backend servers can't be found.
-func TestACrashIsToldFromABrokenConnection(t *testing.T) {
+// Three responses are truncated at the same time. The log must distinguish a crashed process
+// from broken connections and name the requests that ran, or a request that crashes backend
+// servers can't be identified.
+func TestCrashIsDistinguishedFromBrokenConnections(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		isGone     bool
@@ -72,14 +73,14 @@
 		{"connections broken", false, wire.ReasonTruncated, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, isGone: tt.isGone}
-			log, told := logging.Silent(), make(lineHook, 8)
-			log.AddHook(told)
-			journal := &retainedReply{}
+			b := &truncatingBackend{blockingBackend: blockingBackend{begun: make(chan string, 8), end: make(chan struct{})}, isGone: tt.isGone}
+			log, entries := logging.Silent(), make(logHook, 8)
+			log.AddHook(entries)
+			events := &eventRecorder{}
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 3},
-				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: journal, Keys: gate.NewKeyStore(now), Log: log,
+				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: events, Keys: gate.NewKeyStore(now), Log: log,
 			})
 			replies := make(chan *wire.Reply, 3)
 			for seq := range uint64(3) {
@@ -92,15 +93,15 @@
 					t.Errorf("got reason %s, want %s", got.Reason, tt.wantReason)
 				}
 			}
-			if got := journal.count(access.Crashed); got != tt.wantEvents {
-				t.Errorf("got %d crashes noted, want %d", got, tt.wantEvents)
+			if got := events.count(access.Crashed); got != tt.wantEvents {
+				t.Errorf("got %d crash events, want %d", got, tt.wantEvents)
 			}
 			runs, crashes := 0, 0
 			for runs < 3 {
-				switch one := <-told; one.Message {
+				switch entry := <-entries; entry.Message {
 				case "request not answered by the backend server":
 					runs++
-					if got, want := one.Data["fingerprint"], fingerprintOf(dispatch(0, "")); got != want {
+					if got, want := entry.Data["fingerprint"], fingerprintOf(dispatch(0, "")); got != want {
 						t.Errorf("got fingerprint %v, want %s", got, want)
 					}
 				case "backend server crashed under its runs":
@@ -108,21 +109,21 @@
 				}
 			}
 			if crashes != tt.wantEvents {
-				t.Errorf("got %d lines of a crash, want %d", crashes, tt.wantEvents)
+				t.Errorf("got %d log lines of a crash, want %d", crashes, tt.wantEvents)
 			}
 		})
 	}
 }
 
-// lineHook hands on log lines as they are written.
-type lineHook chan *logrus.Entry
+// logHook sends log entries to a channel as they are written.
+type logHook chan *logrus.Entry
 
-// Levels takes in all lines.
-func (lineHook) Levels() []logrus.Level { return logrus.AllLevels }
+// Levels returns all levels.
+func (logHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire hands on a line.
-func (h lineHook) Fire(one *logrus.Entry) error {
-	h <- one
+// Fire sends an entry to the channel.
+func (h logHook) Fire(entry *logrus.Entry) error {
+	h <- entry
 	return nil
 }
 
@@ -131,56 +132,56 @@
 	return subject.Fingerprint().String()
 }
 
-// said is what a node knows of all requests.
-type said struct {
-	mu       sync.Mutex
-	standing quarantine.Status
-	// asked, if not nil, gets one for each question.
-	asked chan struct{}
-	// succeeded and missed count what the gate told.
-	succeeded, missed int
-	// ended, if not nil, gets the ends that the gate told.
-	ended chan quarantine.Crash
+// fakeCrashTracker reports the same status for all requests and counts what the gate records.
+type fakeCrashTracker struct {
+	mu     sync.Mutex
+	status quarantine.Status
+	// statusCalls, if not nil, receives a value for each call of Status.
+	statusCalls chan struct{}
+	// succeeded and inconclusive count the recorded runs.
+	succeeded, inconclusive int
+	// crashes, if not nil, receives the recorded crashes.
+	crashes chan quarantine.Crash
 }
 
-func (s *said) Status(*wire.Dispatch) quarantine.Status {
+func (s *fakeCrashTracker) Status(*wire.Dispatch) quarantine.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asked != nil {
-		s.asked <- struct{}{}
+	if s.statusCalls != nil {
+		s.statusCalls <- struct{}{}
 	}
-	return s.standing
+	return s.status
 }
 
-func (s *said) RecordCrash(e quarantine.Crash) {
-	if s.ended != nil {
-		s.ended <- e
+func (s *fakeCrashTracker) RecordCrash(e quarantine.Crash) {
+	if s.crashes != nil {
+		s.crashes <- e
 	}
 }
 
-func (s *said) RecordSuccess(*wire.Dispatch) {
+func (s *fakeCrashTracker) RecordSuccess(*wire.Dispatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.succeeded++
 }
 
-func (s *said) RecordInconclusive(quarantine.Crash) {
+func (s *fakeCrashTracker) RecordInconclusive(quarantine.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.missed++
+	s.inconclusive++
 }
 
-func (s *said) say(standing quarantine.Status) {
+func (s *fakeCrashTracker) setStatus(standing quarantine.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.standing = standing
+	s.status = standing
 }
 
-// Guards against suspected requests running beside each other: an end would then speak
-// against all of them.
+// Guards against two suspected requests running at the same time: a crash would then be evidence
+// against both of them.
 func TestSuspectsRunOneAtATime(t *testing.T) {
-	s := &said{standing: quarantine.Status{Verdict: quarantine.Suspected}, asked: make(chan struct{}, 16)}
-	g, h := gateOf(t, gate.Config{
+	s := &fakeCrashTracker{status: quarantine.Status{Verdict: quarantine.Suspected}, statusCalls: make(chan struct{}, 16)}
+	g, h := newGateFromConfig(t, gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 4}, Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 4)
@@ -189,12 +190,12 @@
 	}
 	first := <-h.begun
 	for range 3 {
-		<-s.asked
+		<-s.statusCalls
 	}
-	s.say(quarantine.Status{IsCleared: true}) // by the first one's end
+	s.setStatus(quarantine.Status{IsCleared: true}) // before the first one ends
 	g.Handle(dispatch(1000, "harmless"), func(r *wire.Reply) { replies <- r })
 	if got := <-h.begun; got != "harmless" {
-		t.Errorf("got %s begun beside the suspect %s, want only the harmless one", got, first)
+		t.Errorf("%s began while the suspect %s ran, want only the harmless request to begin", got, first)
 	}
 	h.end <- struct{}{}
 	h.end <- struct{}{}
@@ -203,15 +204,15 @@
 	close(h.end)
 	for range 4 {
 		if got := <-replies; got.Outcome != wire.Answered {
-			t.Errorf("got outcome %v %q, want all answered", got.Outcome, got.Reason)
+			t.Errorf("got outcome %v, reason %q; want all requests answered", got.Outcome, got.Reason)
 		}
 	}
 }
 
-// Guards against a request that is held back reaching the backend server through an entry
-// that hasn't heard of it.
-func TestAQuarantinedRequestIsNotRun(t *testing.T) {
-	s := &said{standing: quarantine.Status{Verdict: quarantine.Quarantined, Versions: []string{"v1"}}}
+// Guards against a quarantined request reaching the backend server through an entry that doesn't
+// know of the quarantine yet.
+func TestQuarantinedRequestIsNotRun(t *testing.T) {
+	s := &fakeCrashTracker{status: quarantine.Status{Verdict: quarantine.Quarantined, Versions: []string{"v1"}}}
 	for _, tt := range []struct {
 		name    string
 		entry   quarantine.Verdict
@@ -224,7 +225,7 @@
 		{"another version, on trial", quarantine.Suspected, "v2", true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g, h := gateOf(t, gate.Config{
+			g, h := newGateFromConfig(t, gate.Config{
 				Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes},
 				Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1, Version: tt.version}, Crashes: s,
 			})
@@ -235,22 +236,22 @@
 			g.Handle(d, func(r *wire.Reply) { replies <- r })
 			got := <-replies
 			if isRun := got.Outcome == wire.Answered; isRun != tt.wantRun || (!isRun && got.Reason != wire.ReasonQuarantined) {
-				t.Errorf("got outcome %v %q, want run %t", got.Outcome, got.Reason, tt.wantRun)
+				t.Errorf("got outcome %v, reason %q; want run %t", got.Outcome, got.Reason, tt.wantRun)
 			}
 		})
 	}
 }
 
-// Guards against requests waiting for a backend server whose process has ended, to be
-// refused by its address when their turn comes and no time is left for another.
+// Guards against requests that wait for a backend server whose process has ended: they would be
+// refused only when they get a slot, with no time left for another upstream.
 func TestWaitersAreRefusedWhenTheProcessEnds(t *testing.T) {
-	b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, isGone: true}
+	b := &truncatingBackend{blockingBackend: blockingBackend{begun: make(chan string, 8), end: make(chan struct{})}, isGone: true}
 	now := clock.NewSystem().Now
-	told := make(chan struct{}, 8)
+	changed := make(chan struct{}, 8)
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
-		OnChange: func() { told <- struct{}{} },
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
+		OnChange: func() { changed <- struct{}{} },
 	})
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-b.begun
@@ -258,72 +259,73 @@
 	g.Handle(dispatch(2, "waits"), func(r *wire.Reply) { replies <- r })
 	close(b.end)
 	if got := <-replies; got.Outcome != wire.NotRun || got.Reason != wire.ReasonConnectionRefused {
-		t.Errorf("got outcome %v %q for the one that waits, want it refused", got.Outcome, got.Reason)
+		t.Errorf("got outcome %v, reason %q for the waiting request, want it refused", got.Outcome, got.Reason)
 	}
-	<-told
+	<-changed
 	if got := g.Status(); !got.Down {
-		t.Errorf("got %+v, want it down", got)
+		t.Errorf("got status %+v, want the upstream down", got)
 	}
 	g.Handle(dispatch(3, "later"), func(r *wire.Reply) { replies <- r })
 	if got := <-replies; got.Reason != wire.ReasonConnectionRefused {
-		t.Errorf("got reason %q for a later one, want %q", got.Reason, wire.ReasonConnectionRefused)
+		t.Errorf("got reason %q for a later request, want %q", got.Reason, wire.ReasonConnectionRefused)
 	}
 }
 
-// answers is a backend server that gives the same answer to all.
-type answers struct {
-	held
-	answer gate.Response
-	err    error
+// fixedBackend is a backend server that returns the same response to all requests.
+type fixedBackend struct {
+	blockingBackend
+	response gate.Response
+	err      error
 }
 
-func (a *answers) Do(context.Context, *gate.Call) (gate.Response, error) {
-	return a.answer, a.err
+func (a *fixedBackend) Do(context.Context, *gate.Call) (gate.Response, error) {
+	return a.response, a.err
 }
 
-// Guards against a deadly request being cleared by a backend server in an episode, which
-// fails all it gets at once, and against trials without end that show nothing.
-func TestAFailureClearsNobody(t *testing.T) {
+// Guards against clearing a request that crashes backend servers because a backend server in a
+// failure episode answered it with an immediate failure, and against endless trials that prove
+// nothing.
+func TestFailureDoesNotClearASuspect(t *testing.T) {
 	for _, tt := range []struct {
 		name                      string
-		answer                    gate.Response
+		response                  gate.Response
 		err                       error
 		wantSucceeded, wantMissed int
 	}{
 		{"success", gate.Response{Status: 200}, nil, 1, 0},
-		{"the caller's fault", gate.Response{Status: 404}, nil, 1, 0},
+		{"caller's fault", gate.Response{Status: 404}, nil, 1, 0},
 		{"failure", gate.Response{Status: 500}, nil, 0, 1},
 		{"shed", gate.Response{Status: 503, Shed: true}, nil, 0, 1},
-		{"no answer in time", gate.Response{}, gate.ErrTimeout, 0, 1},
+		{"no response in time", gate.Response{}, gate.ErrTimeout, 0, 1},
 		{"nothing sent", gate.Response{}, gate.ErrRefused, 0, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &said{standing: quarantine.Status{Verdict: quarantine.Suspected}}
+			s := &fakeCrashTracker{status: quarantine.Status{Verdict: quarantine.Suspected}}
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
-				Incarnation: incarnation, Now: now, Backend: &answers{answer: tt.answer, err: tt.err}, Pool: newPool(t), Journal: nobody{},
+				Incarnation: incarnation, Now: now, Backend: &fixedBackend{response: tt.response, err: tt.err}, Pool: newPool(t), Journal: discardRecorder{},
 				Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
 			})
 			replies := make(chan *wire.Reply, 1)
 			g.Handle(dispatch(1, "suspect"), func(r *wire.Reply) { replies <- r })
 			<-replies
-			if s.succeeded != tt.wantSucceeded || s.missed != tt.wantMissed {
-				t.Errorf("got %d successes and %d misses told, want %d and %d", s.succeeded, s.missed, tt.wantSucceeded, tt.wantMissed)
+			if s.succeeded != tt.wantSucceeded || s.inconclusive != tt.wantMissed {
+				t.Errorf("got %d successes and %d inconclusive trials, want %d and %d", s.succeeded, s.inconclusive, tt.wantSucceeded, tt.wantMissed)
 			}
 		})
 	}
 }
 
-// Guards against the one request that crashed a process being left out of what ran there,
-// since its connection broke off a moment before the address was closed.
-func TestACrashIsFoundThoughTheAddressClosesLast(t *testing.T) {
-	b := &broken{held: held{begun: make(chan string, 8), end: make(chan struct{})}, closing: make(chan struct{})}
-	s := &said{ended: make(chan quarantine.Crash, 2)}
+// Guards against missing the request that crashed a process in the list of suspects, because its
+// connection broke a moment before the address was closed.
+func TestCrashIsDetectedWhenTheListenerClosesLast(t *testing.T) {
+	b := &truncatingBackend{blockingBackend: blockingBackend{begun: make(chan string, 8), end: make(chan struct{})}, closing: make(chan struct{})}
+	s := &fakeCrashTracker{crashes: make(chan quarantine.Crash, 2)}
 	now := clock.NewSystem().Now
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 2},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 2)
 	for _, name := range []string{"first", "second"} {
@@ -332,13 +334,13 @@
 	}
 	b.end <- struct{}{}
 	if got := <-replies; got.Reason != wire.ReasonTruncated {
-		t.Errorf("got reason %q while the address is open, want %q", got.Reason, wire.ReasonTruncated)
+		t.Errorf("got reason %q while the address accepts connections, want %q", got.Reason, wire.ReasonTruncated)
 	}
 	close(b.closing)
-	end := <-s.ended
+	crash := <-s.crashes
 	var got []string
-	for _, one := range end.Suspects {
-		got = append(got, one.Request)
+	for _, suspect := range crash.Suspects {
+		got = append(got, suspect.Request)
 	}
 	slices.Sort(got)
 	if want := []string{"first", "second"}; !slices.Equal(got, want) {
--- a/gate/journal.go
+++ b/gate/events.go
@@ -10,12 +10,15 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
+// recordEvent records an event with the names of the service, upstream and node. It is called
+// with the gate's lock held.
 func (g *Gate) recordEvent(e access.Event) {
 	e.Service, e.Upstream, e.Node = g.service.Name, g.upstream.Name, g.upstream.Node
 	g.config.Journal.RecordEvent(e)
 }
 
-// recordState journals a change of the verdict.
+// recordState records and logs a change of the detector's state. It is called with the gate's
+// lock held.
 func (g *Gate) recordState(now clock.Millis) {
 	s := g.detector.Status(now)
 	g.publishLevel(s.Severity)
@@ -23,10 +26,10 @@
 		return
 	}
 	g.state = s.State
-	e := access.Event{At: now, Kind: kindOf(s.State), Reason: s.Evidence.Reason}
+	e := access.Event{At: now, Kind: eventKind(s.State), Reason: s.Evidence.Reason}
 	if s.State == health.Ejected {
 		e.Until = s.Until
-		e.Evidence = evidenceOf(s.Evidence)
+		e.Evidence = toEvidence(s.Evidence)
 	}
 	g.recordEvent(e)
 	g.log.WithFields(logrus.Fields{
@@ -36,21 +39,21 @@
 	}).Info("verdict changed")
 }
 
-// publishLevel tells entries at once of a severity that changes where they send. The
-// next heartbeat or reply may be a second away, in which 24 entries would give
-// a failing upstream some ten more requests.
+// publishLevel notifies entries immediately of a severity that changes where they send
+// requests. The next heartbeat or reply may be a second away, and in that second 24 entries
+// would send a failing upstream about ten more requests.
 func (g *Gate) publishLevel(severity float64) {
 	if g.service.Caution != table.ShortEpisodes {
 		return
 	}
-	before := g.level
+	previous := g.level
 	g.level = episode.LevelOf(severity)
-	if g.config.OnChange != nil && episode.ShouldAnnounce(before, g.level) {
+	if g.config.OnChange != nil && episode.ShouldAnnounce(previous, g.level) {
 		g.config.OnChange()
 	}
 }
 
-func kindOf(s health.State) access.EventKind {
+func eventKind(s health.State) access.EventKind {
 	switch s {
 	case health.Ejected:
 		return access.Ejected
@@ -63,7 +66,7 @@
 	}
 }
 
-func evidenceOf(e health.Evidence) access.Evidence {
+func toEvidence(e health.Evidence) access.Evidence {
 	return access.Evidence{
 		Outcomes:        e.Outcomes,
 		Failed:          e.Failed,
--- a/gate/exchange.go
+++ b/gate/exchange.go
@@ -15,18 +15,17 @@
 )
 
 const (
-	// defaultIdleTimeout is shorter than the keep-alive of common HTTP servers, so
-	// that a request seldom meets a connection that the other side is closing.
+	// defaultIdleTimeout is shorter than the keep-alive timeout of common HTTP servers, so
+	// that a request is seldom sent on a connection that the server is closing.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is taken from the span that a backend server announces: its
-	// clock began earlier, and the request needs time to arrive.
+	// idleMargin is subtracted from the keep-alive timeout that a backend server
+	// announces: its timer started earlier, and the request needs time to arrive.
 	idleMargin = 500 * time.Millisecond
-	// recentUseWindow is how long after an answer a connection counts as one that the
-	// other side can't have forgotten: servers and what stands between keep
-	// idle connections for seconds.
+	// recentUseWindow is how long after a response the other side certainly still has a
+	// connection open: servers, and proxies between, keep idle connections for seconds.
 	recentUseWindow = 250 * time.Millisecond
-	// maxLateResponses bounds the late answers to earlier requests that are passed
-	// over on one connection.
+	// maxLateResponses limits the responses that are read for one request: those to earlier
+	// requests on the connection are skipped.
 	maxLateResponses = 4
 	bufferSize       = 4 << 10
 )
@@ -37,18 +36,18 @@
 
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// lastUsed is when the last answer on it ended, until when an idle one is given
-	// up.
+	// lastUsed is when the last response on the connection ended; idleUntil is until when
+	// an idle connection may be used again.
 	lastUsed, idleUntil time.Time
-	// isObsolete says that the process at the other side is gone.
+	// isObsolete means that the process at the other side is gone.
 	isObsolete atomic.Bool
 }
 
-// acquire returns a connection: an idle one that still stands, else a new one. A
-// connection that the other side has forgotten resets what is sent next, and
-// whether that ran can't be known: a request that may run once only is put on
-// one that was in use a moment ago, or on a new one. The price is a connection's
-// setup, about 1 ms.
+// acquire returns an idle connection that is still open, else a new one. If the other
+// side has already dropped a connection, the next request on it is reset, and whether
+// that request ran is unknown. A request that isn't repeatable therefore uses a
+// connection that was in use a moment ago, or a new one, which costs the connection
+// setup of about 1 ms.
 func (h *HTTP) acquire(ctx context.Context, deadline time.Time, repeatable bool) (*backendConn, error) {
 	conn, ok := h.acquireIdle(repeatable)
 	if conn != nil {
@@ -85,7 +84,7 @@
 }
 
 // acquireIdle returns an idle connection that is fit for the request, or nil and
-// whether a new one may be opened, which is counted then.
+// whether a new connection may be opened; that one is then counted as open.
 func (h *HTTP) acquireIdle(repeatable bool) (*backendConn, bool) {
 	now := time.Now()
 	h.mu.Lock()
@@ -95,14 +94,14 @@
 		conn := h.idle[last]
 		recent := now.Sub(conn.lastUsed) < recentUseWindow
 		if !repeatable && !recent && h.open < h.config.MaxConnections {
-			break // it stays for others
+			break // the connection stays available to repeatable requests
 		}
 		h.idle = h.idle[:last]
 		if (repeatable || recent) && now.Before(conn.idleUntil) && conn.isIdle() {
 			return conn, true
 		}
 		h.open--
-		_ = conn.Close() // nothing is under way on it
+		_ = conn.Close() // an idle connection has no request in flight
 	}
 	if h.open >= h.config.MaxConnections {
 		return nil, false
@@ -111,19 +110,20 @@
 	return nil, true
 }
 
-// discard closes a connection whose state isn't known.
+// discard closes a connection whose state is unknown.
 func (h *HTTP) discard(conn *backendConn) {
 	h.mu.Lock()
 	h.open--
 	delete(h.busy, conn)
 	h.mu.Unlock()
-	_ = conn.Close() // what was to be read is given up
+	_ = conn.Close() // unread bytes are discarded
 }
 
-// release keeps a connection for the next request if the answer leaves it fit.
+// release keeps a connection for the next request if the response allows it, else closes
+// the connection.
 func (h *HTTP) release(conn *backendConn, response *fasthttp.Response) {
 	length := response.Header.ContentLength()
-	framed := length >= 0 || length == -1 // by length or in chunks
+	framed := length >= 0 || length == -1 // by content length or chunked
 	if response.Header.ConnectionClose() || !framed || conn.reader.Buffered() > 0 || conn.isObsolete.Load() {
 		h.discard(conn)
 		return
@@ -135,27 +135,28 @@
 	delete(h.busy, conn)
 	if h.closed {
 		h.open--
-		_ = conn.Close() // nothing is under way on it
+		_ = conn.Close() // an idle connection has no request in flight
 		return
 	}
 	h.idle = append(h.idle, conn)
 }
 
-// idleTimeout is how long an idle connection is used again: less than the backend
-// server says, if it does.
+// idleTimeout returns how long a connection may be used again after a response: at most
+// defaultIdleTimeout, and idleMargin less than the Keep-Alive timeout in the response, if
+// there is one.
 func idleTimeout(response *fasthttp.Response) time.Duration {
 	value, ok := headerValue(response, "Keep-Alive")
 	if !ok {
 		return defaultIdleTimeout
 	}
-	_, text, ok := bytes.Cut(value, []byte("timeout="))
+	_, timeout, ok := bytes.Cut(value, []byte("timeout="))
 	if !ok {
 		return defaultIdleTimeout
 	}
-	if end := bytes.IndexByte(text, ','); end >= 0 {
-		text = text[:end]
+	if end := bytes.IndexByte(timeout, ','); end >= 0 {
+		timeout = timeout[:end]
 	}
-	seconds, err := strconv.Atoi(string(bytes.TrimSpace(text)))
+	seconds, err := strconv.Atoi(string(bytes.TrimSpace(timeout)))
 	if err != nil {
 		return defaultIdleTimeout
 	}
@@ -163,7 +164,7 @@
 }
 
 // isIdle reports whether the other side has neither closed an idle connection
-// nor sent anything on it: such bytes belong to no request.
+// nor sent bytes on it, which would belong to no request.
 func (c *backendConn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -185,12 +186,12 @@
 	return err == nil && quiet
 }
 
-// exchange sends a request and reads its answer, within the connection's
-// deadline. The end of the context breaks it off.
+// exchange sends a request and reads its response, within the connection's
+// deadline. It ends early with an error when the context ends.
 func (c *backendConn) exchange(ctx context.Context, h *HTTP, request *fasthttp.Request, response *fasthttp.Response, id string) error {
 	stop := func() bool { return true }
 	if ctx.Done() != nil {
-		// A deadline in the past ends reads and writes that are under way.
+		// A deadline in the past ends pending reads and writes.
 		stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 		defer stop()
 	}
@@ -202,23 +203,23 @@
 	}
 	for range maxLateResponses {
 		if err := response.ReadLimitBody(c.reader, h.config.MaxBody); err != nil {
-			return errors.Annotate(err, "reading the answer")
+			return errors.Annotate(err, "reading the response")
 		}
-		if own, err := h.matches(response, id); own || err != nil {
+		if ok, err := h.matches(response, id); ok || err != nil {
 			if !stop() && err == nil {
-				// The caller left while the last byte came: the connection is being
-				// broken off and isn't fit for another request.
+				// The caller disconnected while the last byte arrived: the connection gets
+				// a deadline in the past and isn't fit for another request.
 				response.SetConnectionClose()
 			}
 			return err
 		}
 	}
-	return errors.Annotatef(ErrMismatchedReply, "%d answers to other requests", maxLateResponses)
+	return errors.Annotatef(ErrMismatchedReply, "%d responses to other requests", maxLateResponses)
 }
 
-// matches reports whether an answer is the request's own, and an error if it can't
-// be passed on. An answer under another id is a late one to an earlier request
-// on the connection: the request's own still comes.
+// matches reports whether a response belongs to the request. It returns an error if the
+// response must not be passed on. A response with another id is a late one to an earlier
+// request on the connection: the expected response is still to come.
 func (h *HTTP) matches(response *fasthttp.Response, id string) (bool, error) {
 	names := &h.config.Headers
 	if names.Instance == "" || id == "" {
@@ -227,17 +228,17 @@
 	echoed, ok := headerValue(response, names.Request)
 	switch {
 	case !ok && names.notRun(response):
-		return true, nil // a refusal before the request was read
+		return true, nil // refused before the request was read
 	case !ok:
-		return false, errors.Annotate(ErrMismatchedReply, "it has no request id")
+		return false, errors.Annotate(ErrMismatchedReply, "the response has no request id")
 	case string(echoed) != id:
 		return false, nil
 	}
 	if _, ok := headerValue(response, fasthttp.HeaderContentEncoding); ok {
-		return false, errors.Annotate(ErrMismatchedReply, "its body is recoded")
+		return false, errors.Annotate(ErrMismatchedReply, "the response body has a content encoding")
 	}
 	if _, ok := headerValue(response, names.Seal); !ok && response.StatusCode() < fasthttp.StatusBadRequest {
-		return false, errors.Annotate(ErrMismatchedReply, "a success without a seal")
+		return false, errors.Annotate(ErrMismatchedReply, "a successful response has no seal")
 	}
 	return true, nil
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate is the only way to the backend server beside a node. It admits,
-// queues briefly, runs or refuses each request, sees every outcome, and from
-// these decides whether the backend server is set aside.
+// Package gate controls all access to the backend server beside a node. It admits,
+// queues briefly, runs or refuses each request, observes every outcome, and decides
+// from the outcomes whether the backend server is ejected.
 package gate
 
 import (
@@ -24,20 +24,21 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Backend runs one request at the backend server, errors as HTTP.Do returns
-// them.
+// Backend runs requests at the backend server.
 type Backend interface {
+	// Do runs one request. It returns the errors that HTTP.Do returns.
 	Do(ctx context.Context, c *Call) (Response, error)
-	// Probe asks the backend server's health endpoint.
+	// Probe reports whether the backend server's health endpoint responds 2xx.
 	Probe(path string) bool
 	// IsGone reports whether the backend server's process has ended.
 	IsGone() bool
-	// ResetConnections takes in that the backend server is another process from now on.
+	// ResetConnections drops the connections to the previous process after the backend
+	// server was restarted.
 	ResetConnections()
 	Close()
 }
 
-// Detector holds the verdict on the upstream.
+// Detector decides from outcomes whether the upstream is in use, ejected or recovering.
 type Detector interface {
 	Admit(now clock.Millis, repeatable bool) bool
 	Observe(now clock.Millis, o health.Observation) bool
@@ -47,7 +48,7 @@
 	OverdueAfter() clock.Millis
 }
 
-// newDetector returns the judge that a service's caution asks for.
+// newDetector returns the failure detector for a service's caution setting.
 func newDetector(caution table.Caution, seed uint64) Detector {
 	if caution == table.ShortEpisodes {
 		return episode.NewDetector()
@@ -55,7 +56,7 @@
 	return health.New(health.Config{Caution: caution, Seed: seed})
 }
 
-// Journal takes in what the gate decides.
+// Journal records the gate's decisions.
 type Journal interface {
 	RecordEvent(e access.Event)
 }
@@ -75,26 +76,26 @@
 	Backend     Backend
 	Pool        *ants.Pool
 	Journal     Journal
-	// OnChange is told of news that entries should hear at once; it may be nil
-	// and must not block.
+	// OnChange is called when the gate's status should be sent to entries immediately. It
+	// may be nil and must not block.
 	OnChange func()
 	// DependencyFailed reports whether a call that the backend server made through this
-	// node failed within a span: what failed then may not be its own fault. It
-	// may be nil.
+	// node failed within a time span: the backend server's failures in that span may not
+	// be its own fault. It may be nil.
 	DependencyFailed func(from, to clock.Millis) bool
-	// RequestWork asks an entry, or any one for entry 0, for a request, and returns
-	// false where it can't be reached. It may be nil and must not block.
-	RequestWork func(entry uint64, i *wire.WorkRequest) bool
-	// OnHung tells an entry that a run most likely comes to no end. It may be nil and must
+	// RequestWork asks an entry, or any entry if entry is 0, for a request, and returns
+	// false if the entry can't be reached. It may be nil and must not block.
+	RequestWork func(entry uint64, r *wire.WorkRequest) bool
+	// OnHung notifies an entry that a run has most likely hung. It may be nil and must
 	// not block.
-	OnHung func(entry uint64, s *wire.HungRun)
+	OnHung func(entry uint64, r *wire.HungRun)
 	// Crashes may be nil.
 	Crashes CrashTracker
 	// Refusals may be nil.
 	Refusals RefusalRecorder
 	// Keys is shared by all gates of a node.
 	Keys *KeyStore
-	// Previous is the gate that an upstream of this name had before; nil without.
+	// Previous is the gate that an upstream of this name had before, or nil.
 	Previous *Gate
 	Log      logrus.FieldLogger
 }
@@ -114,28 +115,29 @@
 	slots    *limit.Slots
 	quota    *retry.Quota
 	jobs     map[uint64]*job
-	// waiters are the enquiries that wait, by ticket, and holds the slots kept for
-	// dispatches that were announced.
+	// waiters are the queued capacity probes by ticket. reservations are the timers of
+	// slots reserved for dispatches that have not arrived yet.
 	waiters      map[uint64]*waiter
 	reservations map[lease.Key]*time.Timer
 	lastTicket   uint64
-	// senders are the entries that lately sent what may be repeated; invited counts
-	// the invitations that they got.
+	// senders are the entries that recently sent repeatable requests; workRequests counts
+	// the work requests made.
 	senders       []uint64
 	workRequests  int
-	leaving       bool // for good since endedAt, as the node is shutting down or has another gate
+	leaving       bool // permanent since endedAt: the node shuts down or has replaced this gate
 	endedAt       clock.Millis
-	listedLeaving bool // as the instance list says
+	listedLeaving bool // the instance list marks the instance as leaving
 	leavingSince  clock.Millis
 	state         health.State
 	level         episode.Level
-	// generation counts the processes that the upstream has been.
+	// generation counts the restarts of the upstream's process.
 	generation int
 	crash      crashState
-	// succeeded holds marks of requests that succeeded in this process.
+	// succeeded is a hash table, without chaining, of requests that succeeded in this
+	// process.
 	succeeded []uint64
-	// trialTicket is the ticket of the suspected request that runs, parked those that wait
-	// for its end, each with a slot.
+	// trialTicket is the ticket of the suspected request that runs, 0 if none does. parked
+	// are the suspected requests that wait for its end; each holds a slot.
 	trialTicket uint64
 	parked      []*job
 }
@@ -143,27 +145,28 @@
 // job is one dispatch that waits for a slot or runs.
 type job struct {
 	dispatch *wire.Dispatch
-	answer   func(*wire.Reply)
+	respond  func(*wire.Reply)
 	key      lease.Key
 	ticket   uint64
 	deadline clock.Millis
 	running  bool
 	overdue  bool
-	// run is the judge's own of it, nil where that keeps none.
+	// run is the detector's record of the run, nil if the detector keeps none.
 	run *episode.Run
-	// generation is the upstream's when the run began. One of a process that is gone holds
-	// no slot, and speaks for or against nobody.
+	// generation is the upstream's when the run began. A run of an earlier generation holds
+	// no slot, and its outcome doesn't count for or against the current process.
 	generation int
 	began      clock.Millis
-	// isTrial says that it runs as a suspect, beside no other one.
+	// isTrial means that the request is suspected and runs while no other suspect does.
 	isTrial bool
 	timer   *time.Timer
-	// cancel breaks off the call; it is set while it runs.
+	// cancel ends the call early; it is set while a repeatable request runs.
 	cancel  context.CancelFunc
-	refusal *wire.Reply // when its key may not run here
+	refusal *wire.Reply // the reply if the idempotency key may not run here
 }
 
-// New returns a gate that admits requests.
+// New returns a gate that admits requests. If RequestWork is set, the gate starts to check
+// whether the upstream needs requests.
 func New(c Config) *Gate {
 	g := &Gate{
 		config:       c,
@@ -173,8 +176,8 @@
 		upstream:     c.Upstream,
 		dedup:        lease.NewDeduplicator[*wire.Reply](c.Incarnation),
 		detector:     newDetector(c.Service.Caution, c.Seed),
-		slots:        limit.NewSlots(slotsOf(&c.Service, &c.Upstream, c.Seed)),
-		quota:        retry.NewQuota(c.Now(), quotaOf(&c.Service)),
+		slots:        limit.NewSlots(slotsConfig(&c.Service, &c.Upstream, c.Seed)),
+		quota:        retry.NewQuota(c.Now(), quotaConfig(&c.Service)),
 		jobs:         map[uint64]*job{},
 		waiters:      map[uint64]*waiter{},
 		reservations: map[lease.Key]*time.Timer{},
@@ -186,11 +189,11 @@
 	return g
 }
 
-// queuePerSlot is how many places there are in a queue for each slot where
-// requests wait at several gates at once: most of the places are given up again.
+// queuePerSlot is the number of queue positions per slot for services whose requests wait at
+// several gates at once: most of the positions are given up again.
 const queuePerSlot = 3
 
-func slotsOf(s *table.Service, u *table.Upstream, seed uint64) limit.SlotsConfig {
+func slotsConfig(s *table.Service, u *table.Upstream, seed uint64) limit.SlotsConfig {
 	c := limit.SlotsConfig{Slots: u.Slots, Queue: s.Queue, Seed: seed}
 	if s.Caution == table.ShortEpisodes {
 		c.Queue = max(c.Queue, queuePerSlot*u.Slots)
@@ -198,17 +201,17 @@
 	return c
 }
 
-func quotaOf(s *table.Service) retry.QuotaConfig {
+func quotaConfig(s *table.Service) retry.QuotaConfig {
 	return retry.QuotaConfig{Share: s.RetryRatio, Extra: s.ExtraRetries, Window: s.RetryWindow, Upstreams: len(s.Upstreams)}
 }
 
-// Handle takes in a dispatch. The answer function is called once, or never for
-// a duplicate, whose first copy is answered.
-func (g *Gate) Handle(d *wire.Dispatch, answer func(*wire.Reply)) {
+// Handle runs, queues or refuses a dispatch. It calls respond once, or never for a
+// duplicate: only the first copy gets a reply.
+func (g *Gate) Handle(d *wire.Dispatch, respond func(*wire.Reply)) {
 	now := g.config.Now()
 	key := d.ID.Key(d.Attempt)
-	if before, ok := g.previous.Load().findGate(key); ok {
-		before.Handle(d, answer)
+	if previous, ok := g.previous.Load().findGate(key); ok {
+		previous.Handle(d, respond)
 		return
 	}
 	g.mu.Lock()
@@ -222,39 +225,40 @@
 	if reply, ok := g.keyRefusal(now, d); ok && verdict == lease.Fresh {
 		g.recordReply(now, &job{key: key}, reply)
 		g.mu.Unlock()
-		answer(reply)
+		respond(reply)
 		return
 	}
 	if g.takeReservation(key) {
-		g.runReserved(now, key, verdict, d, answer)
+		g.runReserved(now, key, verdict, d, respond)
 		return
 	}
 	if d.Verdict == uint8(quarantine.Quarantined) && g.quarantineAdmission(d) == quarantine.Refuse {
-		g.refuse(now, key, d, answer, wire.ReasonQuarantined, 0) // at once, and not after a wait for a slot
+		g.refuse(now, key, d, respond, wire.ReasonQuarantined, 0) // before the dispatch waits for a slot
 		return
 	}
-	reason, after := g.refusalReason(now, verdict, admission{isRepeatable: d.Repeatable, isRetry: d.Retry, isForced: d.Forced})
+	reason, retryAfter := g.refusalReason(now, verdict, admission{isRepeatable: d.Repeatable, isRetry: d.Retry, isForced: d.Forced})
 	if reason != "" {
-		g.refuse(now, key, d, answer, reason, after)
+		g.refuse(now, key, d, respond, reason, retryAfter)
 		return
 	}
-	g.schedule(now, key, d, answer)
+	g.schedule(now, key, d, respond)
 }
 
-// updateBaseline takes over the service's baseline as the entry sees it.
+// updateBaseline applies the service's baseline that a dispatch carries from its entry.
 func (g *Gate) updateBaseline(d *wire.Dispatch) {
 	if d.Baseline.Known {
 		g.detector.SetBaseline(d.Baseline.ToHealth())
 	}
 }
 
-// runReserved runs a dispatch in the slot that was kept for it. It was admitted when
-// that was asked for; what can have changed since ends it. It unlocks the gate.
-func (g *Gate) runReserved(now clock.Millis, key lease.Key, verdict lease.Verdict, d *wire.Dispatch, answer func(*wire.Reply)) {
-	until := min(now+d.Budget, d.Lease)
-	if verdict == lease.Fresh && !g.isLeaving() && !g.crash.isDown && now < until {
+// runReserved runs a dispatch in the slot reserved for it. The capacity probe was admitted
+// when the slot was reserved, so runReserved refuses the dispatch only for conditions that
+// can have changed since. It is called with the gate's lock held and unlocks the gate.
+func (g *Gate) runReserved(now clock.Millis, key lease.Key, verdict lease.Verdict, d *wire.Dispatch, respond func(*wire.Reply)) {
+	deadline := min(now+d.Budget, d.Lease)
+	if verdict == lease.Fresh && !g.isLeaving() && !g.crash.isDown && now < deadline {
 		g.lastTicket++
-		j := &job{dispatch: d, answer: answer, key: key, ticket: g.lastTicket, deadline: until}
+		j := &job{dispatch: d, respond: respond, key: key, ticket: g.lastTicket, deadline: deadline}
 		g.jobs[j.ticket] = j
 		g.mu.Unlock()
 		g.start(j)
@@ -268,97 +272,98 @@
 	case g.crash.isDown:
 		reason = wire.ReasonConnectionRefused
 	}
-	g.refuse(now, key, d, answer, reason, 0)
+	g.refuse(now, key, d, respond, reason, 0)
 	callAll(calls)
 }
 
-// schedule gives a dispatch a slot, a place in the queue, or a refusal. It
-// unlocks the gate.
-func (g *Gate) schedule(now clock.Millis, key lease.Key, d *wire.Dispatch, answer func(*wire.Reply)) {
+// schedule starts a dispatch in a free slot, queues it or refuses it. It is called with the
+// gate's lock held and unlocks the gate.
+func (g *Gate) schedule(now clock.Millis, key lease.Key, d *wire.Dispatch, respond func(*wire.Reply)) {
 	g.lastTicket++
-	j := &job{dispatch: d, answer: answer, key: key, ticket: g.lastTicket, deadline: min(now+d.Budget, d.Lease)}
-	patience := j.deadline
+	j := &job{dispatch: d, respond: respond, key: key, ticket: g.lastTicket, deadline: min(now+d.Budget, d.Lease)}
+	waitUntil := j.deadline
 	if d.NoQueue {
-		patience = now
+		waitUntil = now
 	}
-	offer := g.slots.Acquire(now, limit.Request{Ticket: j.ticket, Deadline: j.deadline, Until: patience, Priority: d.Priority})
-	switch offer.Result {
+	decision := g.slots.Acquire(now, limit.Request{Ticket: j.ticket, Deadline: j.deadline, Until: waitUntil, Priority: d.Priority})
+	switch decision.Result {
 	case limit.Run:
 		g.jobs[j.ticket] = j
 		g.mu.Unlock()
 		g.start(j)
 	case limit.Wait:
 		g.jobs[j.ticket] = j
-		j.timer = time.AfterFunc((patience - now + 1).Duration(), g.expireWaiters)
-		late := g.refuseExpired(now) // whose place it may have taken
+		j.timer = time.AfterFunc((waitUntil - now + 1).Duration(), g.expireWaiters)
+		expired := g.refuseExpired(now) // the dispatch may have taken the place of an expired waiter
 		g.mu.Unlock()
-		callAll(late)
+		callAll(expired)
 	case limit.Late:
-		g.refuse(now, key, d, answer, wire.ReasonDeadlineTooShort, offer.RetryAfter)
+		g.refuse(now, key, d, respond, wire.ReasonDeadlineTooShort, decision.RetryAfter)
 	default:
-		g.refuse(now, key, d, answer, wire.ReasonFull, offer.RetryAfter)
+		g.refuse(now, key, d, respond, wire.ReasonFull, decision.RetryAfter)
 	}
 }
 
-// Update puts a table edit in force.
+// Update applies a change of the service or the upstream in the table.
 func (g *Gate) Update(s table.Service, u table.Upstream) {
 	g.mu.Lock()
 	if s.Caution != g.service.Caution {
 		g.detector = newDetector(s.Caution, g.config.Seed)
 	}
-	before, started := g.isLeaving(), g.upstream.Started
+	wasLeaving, started := g.isLeaving(), g.upstream.Started
 	g.service, g.upstream = s, u
-	g.quota.Adjust(quotaOf(&s))
-	late := g.startLeaving(before, "zero weight")
-	late = append(late, g.refuseExpired(g.config.Now())...) // first: a new slot must not go to one of them
+	g.quota.Adjust(quotaConfig(&s))
+	calls := g.startLeaving(wasLeaving, "zero weight")
+	calls = append(calls, g.refuseExpired(g.config.Now())...) // first, so that no new slot goes to an expired waiter
 	now := g.config.Now()
-	late = append(late, g.startWaiters(now, g.slots.Resize(slotsOf(&s, &u, g.config.Seed)))...)
+	calls = append(calls, g.startWaiters(now, g.slots.Resize(slotsConfig(&s, &u, g.config.Seed)))...)
 	if started != u.Started {
-		late = append(late, g.restart(now)...)
+		calls = append(calls, g.restart(now)...)
 	}
 	g.mu.Unlock()
-	callAll(late)
+	callAll(calls)
 }
 
-// ProbeHealth asks the backend server's health endpoint, if the table names one, and
-// takes the result in. It blocks for the answer.
+// ProbeHealth requests the backend server's health endpoint, if the table names one and the
+// detector records probes, and passes the result to the detector. It blocks until the
+// response arrives or the probe times out.
 func (g *Gate) ProbeHealth() {
 	g.mu.Lock()
 	path := g.service.ProbePath
-	judge, heeds := g.detector.(probeRecorder)
+	recorder, usesProbes := g.detector.(probeRecorder)
 	g.mu.Unlock()
-	if path == "" || !heeds {
+	if path == "" || !usesProbes {
 		return
 	}
 	ok := g.config.Backend.Probe(path)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	judge.RecordProbe(now, ok)
+	recorder.RecordProbe(now, ok)
 	g.recordState(now)
 }
 
-// probeRecorder is a judge that heeds probes. Each takes 25 ms of a slot, and where health
-// answers say that all is well in an episode, too, they are in vain.
+// probeRecorder is a detector that uses health probes. A probe takes 25 ms of a slot, and is
+// useless where the health endpoint reports success during a failure episode, too.
 type probeRecorder interface {
 	RecordProbe(now clock.Millis, ok bool)
 }
 
-// Pending returns how many requests wait or run.
+// Pending returns the number of dispatches that wait or run.
 func (g *Gate) Pending() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.jobs)
 }
 
-// Close lets go of the backend server's connections.
+// Close closes the connections to the backend server.
 func (g *Gate) Close() {
 	g.config.Backend.Close()
 }
 
-// Serves reports whether the gate is that of a service's upstream at an
-// address. An edit of either needs a gate of its own: what was learned is of
-// another backend server.
+// Serves reports whether the gate belongs to the given service and upstream address. If
+// either changes in the table, the upstream needs a new gate: the state of this one belongs
+// to another backend server.
 func (g *Gate) Serves(service, address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -14,16 +14,16 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// held is a backend server whose requests end when they are let go, or when
-// their callers leave.
-type held struct {
+// blockingBackend is a backend server whose requests end when the test releases them with end,
+// or when their contexts end.
+type blockingBackend struct {
 	begun chan string
 	end   chan struct{}
-	// isFailing says that they end with a failure.
+	// isFailing means that released requests get a 500.
 	isFailing bool
 }
 
-func (h *held) Do(ctx context.Context, c *gate.Call) (gate.Response, error) {
+func (h *blockingBackend) Do(ctx context.Context, c *gate.Call) (gate.Response, error) {
 	h.begun <- c.ID
 	select {
 	case <-h.end:
@@ -36,42 +36,42 @@
 	}
 }
 
-func (*held) Probe(string) bool { return true }
-func (*held) IsGone() bool      { return false }
-func (*held) Close()            {}
-func (*held) ResetConnections() {}
+func (*blockingBackend) Probe(string) bool { return true }
+func (*blockingBackend) IsGone() bool      { return false }
+func (*blockingBackend) Close()            {}
+func (*blockingBackend) ResetConnections() {}
 
-type nobody struct{}
+type discardRecorder struct{}
 
-func (nobody) RecordEvent(access.Event) {}
+func (discardRecorder) RecordEvent(access.Event) {}
 
 const incarnation = 7
 
-// guarded returns a gate of one slot before a backend server that holds requests.
-func guarded(t *testing.T) (*gate.Gate, *held, table.Service, table.Upstream) {
+// newGate returns a gate with one slot and its blocking backend server.
+func newGate(t *testing.T) (*gate.Gate, *blockingBackend, table.Service, table.Upstream) {
 	t.Helper()
-	return guardedWith(t, func() {})
+	return newGateOnChange(t, func() {})
 }
 
-// guardedWith tells news of the gate to changed.
-func guardedWith(t *testing.T, changed func()) (*gate.Gate, *held, table.Service, table.Upstream) {
+// newGateOnChange returns a gate like newGate whose OnChange is changed.
+func newGateOnChange(t *testing.T, changed func()) (*gate.Gate, *blockingBackend, table.Service, table.Upstream) {
 	t.Helper()
 	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4}
 	u := table.Upstream{Name: "c1", Weight: 100, Slots: 1}
-	g, h := gateOf(t, gate.Config{Service: s, Upstream: u, OnChange: changed})
+	g, h := newGateFromConfig(t, gate.Config{Service: s, Upstream: u, OnChange: changed})
 	return g, h, s, u
 }
 
-// gateAfter returns a gate of an upstream that had another one before.
-func gateAfter(t *testing.T, before *gate.Gate, s table.Service, u table.Upstream) (*gate.Gate, *held) {
+// newGateWithPrevious returns a gate of an upstream that had a previous gate.
+func newGateWithPrevious(t *testing.T, previous *gate.Gate, s table.Service, u table.Upstream) (*gate.Gate, *blockingBackend) {
 	t.Helper()
-	return gateOf(t, gate.Config{Service: s, Upstream: u, Previous: before})
+	return newGateFromConfig(t, gate.Config{Service: s, Upstream: u, Previous: previous})
 }
 
-func gateOf(t *testing.T, c gate.Config) (*gate.Gate, *held) {
+func newGateFromConfig(t *testing.T, c gate.Config) (*gate.Gate, *blockingBackend) {
 	t.Helper()
-	h := &held{begun: make(chan string, 8), end: make(chan struct{})}
-	c.Incarnation, c.Now, c.Backend, c.Pool, c.Journal, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), nobody{}, logging.Silent()
+	h := &blockingBackend{begun: make(chan string, 8), end: make(chan struct{})}
+	c.Incarnation, c.Now, c.Backend, c.Pool, c.Journal, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), discardRecorder{}, logging.Silent()
 	c.Keys = gate.NewKeyStore(c.Now)
 	return gate.New(c), h
 }
@@ -83,11 +83,11 @@
 	}
 }
 
-// A confirmation waits for a slot of an upstream that then reports its leaving.
-// Sent to it when the slot gets free, it reaches an upstream that was to get no
-// new work, perhaps as that ends; refused at once, it has time for another.
+// A request waits for a slot of an upstream that then begins to leave. If it were sent when
+// the slot becomes free, it would reach an upstream that must get no new requests and may be
+// shutting down. Refused immediately, it has time for another upstream.
 func TestWaitersAreRefusedWhenTheUpstreamLeaves(t *testing.T) {
-	g, h, s, u := guarded(t)
+	g, h, s, u := newGate(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	replies := make(chan *wire.Reply, 1)
@@ -95,35 +95,35 @@
 	u.Weight = 0
 	g.Update(s, u)
 	if got := <-replies; got.Outcome != wire.NotRun || got.Reason != wire.ReasonLeaving {
-		t.Errorf("got %v, %s; want it not run, as the upstream leaves", got.Outcome, got.Reason)
+		t.Errorf("got outcome %v, reason %s; want the request not run, since the upstream leaves", got.Outcome, got.Reason)
 	}
 	close(h.end)
 	if len(h.begun) > 0 {
-		t.Errorf("got request %s begun after the leaving, want none", <-h.begun)
+		t.Errorf("request %s began after the upstream left, want none", <-h.begun)
 	}
 }
 
-// enquire asks for a slot and waits for the answer.
-func enquire(g *gate.Gate, e *wire.CapacityProbe) *wire.Reservation {
-	answers := make(chan *wire.Reservation, 1)
-	g.ProbeCapacity(e, func(h *wire.Reservation) { answers <- h })
-	return <-answers
+// probeCapacity sends a capacity probe and waits for the reservation.
+func probeCapacity(g *gate.Gate, probe *wire.CapacityProbe) *wire.Reservation {
+	reservations := make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(probe, func(r *wire.Reservation) { reservations <- r })
+	return <-reservations
 }
 
-// A gate keeps the slot that it promised: another request that comes in between
-// must not take it, or the body would have crossed between domains for nothing.
-func TestPromisedSlotIsKept(t *testing.T) {
-	g, h, _, _ := guarded(t)
+// A reserved slot must not go to another request that arrives before the reserved one, or the
+// body of the reserved one would cross between failure domains in vain.
+func TestReservedSlotIsNotGivenToAnotherRequest(t *testing.T) {
+	g, h, _, _ := newGate(t)
 	first := dispatch(1, "first")
-	if got := enquire(g, &wire.CapacityProbe{ID: first.ID, Attempt: 1, Upstream: "c1", Budget: clock.Second}); !got.Reserved {
-		t.Fatalf("got no slot (%s), want it kept", got.Reason)
+	if got := probeCapacity(g, &wire.CapacityProbe{ID: first.ID, Attempt: 1, Upstream: "c1", Budget: clock.Second}); !got.Reserved {
+		t.Fatalf("got no slot (%s), want it reserved", got.Reason)
 	}
 	replies := make(chan *wire.Reply, 1)
 	other := dispatch(2, "other")
-	other.NoQueue = true // it asks for a free slot and doesn't wait
+	other.NoQueue = true // the dispatch is refused if no slot is free
 	g.Handle(other, func(r *wire.Reply) { replies <- r })
 	if got := <-replies; got.Outcome != wire.NotRun || got.Reason != wire.ReasonFull {
-		t.Errorf("got %v, %s for another request, want it refused as full", got.Outcome, got.Reason)
+		t.Errorf("got outcome %v, reason %s for another request, want it refused as full", got.Outcome, got.Reason)
 	}
 	g.Handle(first, func(*wire.Reply) {})
 	if got := <-h.begun; got != "first" {
@@ -132,23 +132,23 @@
 	close(h.end)
 }
 
-// The entry that asked for a slot dies before it sends. The slot must not stay
-// taken: with three slots, three such entries would end an upstream's use.
-func TestPromisedSlotIsGivenBack(t *testing.T) {
-	g, h, _, _ := guarded(t)
-	enquire(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 9, Seq: 1}, Attempt: 1, Upstream: "c1", Budget: clock.Second})
-	g.Handle(dispatch(2, "next"), func(*wire.Reply) {}) // it waits until the promise is over
+// An entry crashes after it reserved a slot and before it sends the request. If the slot
+// stayed reserved, three such entries would block an upstream with three slots for good.
+func TestReservationExpires(t *testing.T) {
+	g, h, _, _ := newGate(t)
+	probeCapacity(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 9, Seq: 1}, Attempt: 1, Upstream: "c1", Budget: clock.Second})
+	g.Handle(dispatch(2, "next"), func(*wire.Reply) {}) // the dispatch waits until the reservation expires
 	if got := <-h.begun; got != "next" {
 		t.Errorf("got %s begun, want next", got)
 	}
 	close(h.end)
 }
 
-// A caller leaves. What may run again is broken off, to free its slot; what may
-// run once only goes on, for its caller meant it.
-func TestAbandonBreaksOffWhatMayRunAgain(t *testing.T) {
+// A caller disconnects. A repeatable run is cancelled to free its slot. Any other run goes on,
+// because the caller wanted its effect.
+func TestAbandonCancelsRepeatableRuns(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
-		g, h, _, _ := guarded(t)
+		g, h, _, _ := newGate(t)
 		replies := make(chan *wire.Reply, 1)
 		d := dispatch(1, "first")
 		d.Repeatable = repeatable
@@ -165,13 +165,13 @@
 	}
 }
 
-// A backend server takes requests and answers none in time, with a good health
-// answer. Each ends at its route's timeout, which is shorter than what any service
-// could be given in general: without the route's own word of what is overdue,
-// nothing speaks against the server, and it goes on taking what it will not serve.
-func TestRunsBeyondTheirTargetAreEvidence(t *testing.T) {
+// A backend server accepts requests and answers none in time, while its health endpoint
+// reports success. Each run ends at its route's timeout, which is shorter than any general
+// threshold for overdue runs. Unless the threshold follows the route's typical latency, there
+// is no evidence against the backend server, and it keeps getting requests.
+func TestOverdueRunsRaiseTheSeverity(t *testing.T) {
 	changed := make(chan struct{}, 8)
-	g, h, _, _ := guardedWith(t, func() { changed <- struct{}{} })
+	g, h, _, _ := newGateOnChange(t, func() { changed <- struct{}{} })
 	before := g.Status().Severity
 	d := dispatch(1, "first")
 	d.MedianTime = 1
@@ -184,94 +184,94 @@
 	close(h.end)
 }
 
-func waiting(seq uint64) *wire.CapacityProbe {
+func newCapacityProbe(seq uint64) *wire.CapacityProbe {
 	return &wire.CapacityProbe{
 		ID: wire.RequestID{Entry: 5, Seq: seq}, Attempt: 1, Upstream: "c1", Budget: clock.Hour, WaitBudget: clock.Hour,
 	}
 }
 
-func waiveOf(e *wire.CapacityProbe) *wire.ReleaseReservation {
-	return &wire.ReleaseReservation{ID: e.ID, Attempt: e.Attempt, Upstream: e.Upstream}
+func releaseOf(probe *wire.CapacityProbe) *wire.ReleaseReservation {
+	return &wire.ReleaseReservation{ID: probe.ID, Attempt: probe.Attempt, Upstream: probe.Upstream}
 }
 
-// Requests wait for a slot here and at other gates. One that found a slot elsewhere
-// must leave the queue, or the slot that gets free is kept for it in vain while the
-// next one waits on.
-func TestWaivedPlaceIsPassedOver(t *testing.T) {
-	g, h, _, _ := guarded(t)
+// Requests wait for a slot at several gates. A request that found a slot elsewhere must leave
+// the queue, or the next free slot is reserved for it in vain while another request waits.
+func TestReleasedWaiterIsSkipped(t *testing.T) {
+	g, h, _, _ := newGate(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	first, second := make(chan *wire.Reservation, 1), make(chan *wire.Reservation, 1)
-	g.ProbeCapacity(waiting(2), func(h *wire.Reservation) { first <- h })
-	g.ProbeCapacity(waiting(3), func(h *wire.Reservation) { second <- h })
-	g.ReleaseReservation(waiveOf(waiting(2)))
+	g.ProbeCapacity(newCapacityProbe(2), func(h *wire.Reservation) { first <- h })
+	g.ProbeCapacity(newCapacityProbe(3), func(h *wire.Reservation) { second <- h })
+	g.ReleaseReservation(releaseOf(newCapacityProbe(2)))
 	close(h.end)
 	if got := <-second; !got.Reserved {
-		t.Errorf("got %s for the second in line, want the slot kept for it", got.Reason)
+		t.Errorf("got reason %s for the second waiter, want the slot reserved for it", got.Reason)
 	}
 	if len(first) > 0 {
-		t.Errorf("got %+v for a place that was waived, want no answer", <-first)
+		t.Errorf("got %+v for a waiter that was released, want no response", <-first)
 	}
 }
 
-// A slot is kept for a request that takes another one. Waived, it must be free at
-// once: each 40 ms of an idle slot delays those that wait.
-func TestWaivedSlotIsFree(t *testing.T) {
-	g, h, _, _ := guarded(t)
+// A slot is reserved for a request that runs elsewhere. When the reservation is released, the
+// slot must be free immediately: a slot that stays idle for the reservation's 40 ms delays the
+// waiters.
+func TestReleasedReservationFreesTheSlot(t *testing.T) {
+	g, h, _, _ := newGate(t)
 	close(h.end)
-	for seq := range uint64(50) { // 2 s if each stayed kept
-		e := waiting(seq)
-		if got := enquire(g, e); !got.Reserved {
-			t.Fatalf("enquiry %d: got %s, want the slot", seq, got.Reason)
+	for seq := range uint64(50) { // 2 s if each reservation had to expire
+		probe := newCapacityProbe(seq)
+		if got := probeCapacity(g, probe); !got.Reserved {
+			t.Fatalf("probe %d: got reason %s, want the slot reserved", seq, got.Reason)
 		}
-		g.ReleaseReservation(waiveOf(e))
+		g.ReleaseReservation(releaseOf(probe))
 	}
 }
 
-// The upstream begins to leave while enquiries wait for its slots. Their requests
-// have time for other upstreams, if they are told at once.
-func TestEnquiriesEndWhenTheUpstreamLeaves(t *testing.T) {
-	g, h, s, u := guarded(t)
+// The upstream begins to leave while capacity probes wait for its slots. If they are refused
+// immediately, their requests have time for other upstreams.
+func TestCapacityProbesAreRefusedWhenTheUpstreamLeaves(t *testing.T) {
+	g, h, s, u := newGate(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
-	told := make(chan *wire.Reservation, 1)
-	g.ProbeCapacity(waiting(2), func(h *wire.Reservation) { told <- h })
+	reservations := make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(newCapacityProbe(2), func(h *wire.Reservation) { reservations <- h })
 	u.Weight = 0
 	g.Update(s, u)
-	if got := <-told; got.Reserved || got.Reason != wire.ReasonLeaving {
-		t.Errorf("got held %v, %s; want it refused, as the upstream leaves", got.Reserved, got.Reason)
+	if got := <-reservations; got.Reserved || got.Reason != wire.ReasonLeaving {
+		t.Errorf("got reserved %v, reason %s; want the probe refused, since the upstream leaves", got.Reserved, got.Reason)
 	}
 	close(h.end)
 }
 
-// A request is out of patience. It must hear so from the gate, or it would learn it
-// only by the silence, a tenth of a second later.
-func TestEnquiryEndsWithItsPatience(t *testing.T) {
-	g, h, _, _ := guarded(t)
+// The wait budget of a request is over. If the gate didn't refuse the probe, the entry would
+// find out only by its own timeout, 100 ms later.
+func TestCapacityProbeEndsWithItsWaitBudget(t *testing.T) {
+	g, h, _, _ := newGate(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
-	e := waiting(2)
-	e.WaitBudget = 5
-	if got := enquire(g, e); got.Reserved || got.Reason != wire.ReasonDeadlineTooShort {
-		t.Errorf("got held %v, %s; want it refused as late", got.Reserved, got.Reason)
+	probe := newCapacityProbe(2)
+	probe.WaitBudget = 5
+	if got := probeCapacity(g, probe); got.Reserved || got.Reason != wire.ReasonDeadlineTooShort {
+		t.Errorf("got reserved %v, reason %s; want the probe refused as too late", got.Reserved, got.Reason)
 	}
 	close(h.end)
 }
 
-// Nobody sends anything to an upstream, and what is known of it fades to doubt. Its
-// gate asks for requests, first anybody, then an entry that has sent some.
-func TestIdleGateInvites(t *testing.T) {
-	invited := make(chan uint64, 64)
-	g, h := inviting(t, func(entry uint64) { invited <- entry })
-	if got := <-invited; got != 0 {
-		t.Errorf("got entry %d invited before any sent a request, want any", got)
+// An upstream gets no requests, so the evidence for its health fades. Its gate must request
+// work, first from any entry, then from an entry that has sent requests.
+func TestIdleGateRequestsWork(t *testing.T) {
+	targets := make(chan uint64, 64)
+	g, h := newGateRequestingWork(t, func(entry uint64) { targets <- entry })
+	if got := <-targets; got != 0 {
+		t.Errorf("got a work request to entry %d before any entry sent a request, want 0 for any entry", got)
 	}
 	d := dispatch(1, "first")
 	d.Repeatable, d.ID.Entry = true, 42
 	close(h.end)
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
-	for got := range invited {
+	for got := range targets {
 		if got == 42 {
 			break
 		}
@@ -279,78 +279,78 @@
 	g.Leave()
 }
 
-// No caller is near an upstream, so one entry alone has sent it a request, and has no
-// other for seconds. Its gate invited that entry again and again, and the upstream got
-// nothing while requests failed elsewhere: it must ask others, too, and still the one.
-func TestIdleGateInvitesMoreThanTheFewItKnows(t *testing.T) {
-	invited := make(chan uint64, 64)
-	g, h := inviting(t, func(entry uint64) { invited <- entry })
-	<-invited
+// No caller is near an upstream: only one entry has sent it a request, and has no other for
+// seconds. If the gate requested work from that entry alone, the upstream would stay idle while
+// requests fail elsewhere. The gate must ask other entries, too, and still the known one.
+func TestIdleGateRequestsWorkFromUnknownEntries(t *testing.T) {
+	targets := make(chan uint64, 64)
+	g, h := newGateRequestingWork(t, func(entry uint64) { targets <- entry })
+	<-targets
 	d := dispatch(1, "first")
 	d.Repeatable, d.ID.Entry = true, 42
 	close(h.end)
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
-	for got := range invited {
+	for got := range targets {
 		if got == 42 {
 			break
 		}
 	}
 	known, others := 0, 0
 	for range 16 {
-		if got := <-invited; got == 42 {
+		if got := <-targets; got == 42 {
 			known++
 		} else {
 			others++
 		}
 	}
 	if known == 0 || others < known {
-		t.Errorf("got %d invitations for the entry that is known, %d for others; want both, and more for others", known, others)
+		t.Errorf("got %d work requests to the known entry, %d to others; want both, and more to others", known, others)
 	}
 	g.Leave()
 }
 
-func inviting(t *testing.T, invite func(entry uint64)) (*gate.Gate, *held) {
+func newGateRequestingWork(t *testing.T, requested func(entry uint64)) (*gate.Gate, *blockingBackend) {
 	t.Helper()
 	now := clock.NewSystem().Now
-	h := &held{begun: make(chan string, 8), end: make(chan struct{})}
+	h := &blockingBackend{begun: make(chan string, 8), end: make(chan struct{})}
 	return gate.New(gate.Config{
 		Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1}, Incarnation: incarnation, Now: now, Backend: h,
-		Pool: newPool(t), Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
+		Pool: newPool(t), Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		RequestWork: func(entry uint64, _ *wire.WorkRequest) bool {
-			invite(entry)
+			requested(entry)
 			return true
 		},
 	}), h
 }
 
-// probed counts the probes of a backend server.
-type probed struct {
-	*held
+// probeCounter counts the probes of a backend server.
+type probeCounter struct {
+	*blockingBackend
 
 	probes int
 }
 
-func (p *probed) Probe(string) bool {
+func (p *probeCounter) Probe(string) bool {
 	p.probes++
 	return true
 }
 
-// The health endpoint of an upstream says that all is well while it fails most of its
-// requests. A judge that doesn't heed it must not take 25 ms of a slot every two
-// seconds for it; the others must.
-func TestOnlyJudgesThatHeedProbesProbe(t *testing.T) {
+// The health endpoint of an upstream reports success while most requests fail. A detector that
+// doesn't record probes must not spend 25 ms of a slot on a probe every two seconds; other
+// detectors must be probed.
+func TestOnlyDetectorsThatRecordProbesProbe(t *testing.T) {
 	for _, tt := range []struct {
 		caution table.Caution
 		want    int
 	}{{table.ShortEpisodes, 0}, {table.Balanced, 1}} {
-		_, h, s, u := guarded(t)
-		b := &probed{held: h}
+		_, h, s, u := newGate(t)
+		b := &probeCounter{blockingBackend: h}
 		s.Caution, s.ProbePath = tt.caution, "/health"
 		now := clock.NewSystem().Now
 		gate.New(gate.Config{
-			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: nobody{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
+			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		}).ProbeHealth()
 		if b.probes != tt.want {
 			t.Errorf("%s: got %d probes, want %d", tt.caution, b.probes, tt.want)
@@ -358,7 +358,7 @@
 	}
 }
 
-// newPool returns the pool of a few requests at once, which ends with the test.
+// newPool returns a pool of 8 workers that is released when the test ends.
 func newPool(t *testing.T) *ants.Pool {
 	t.Helper()
 	pool, err := ants.NewPool(8)
--- a/gate/headers.go
+++ b/gate/headers.go
@@ -7,31 +7,33 @@
 )
 
 // Headers are the names of the headers between a gate and its backend server.
-// An empty name isn't used.
+// A header with an empty name isn't used.
 type Headers struct {
-	// Request carries the request's id. Where Instance is used too, the backend
-	// server echoes it, and an answer under another id belongs to another
+	// Request carries the request id. If Instance is set, too, the backend
+	// server echoes the id, and a response with another id belongs to another
 	// request.
 	Request string
-	// Deadline carries what is left of the deadline in milliseconds.
+	// Deadline carries the time until the deadline in milliseconds.
 	Deadline string
 	// Caller carries the caller's name.
 	Caller string
-	// Account carries the name of the client account whose key the request came with.
+	// Account carries the name of the client account whose API key authenticated the
+	// request.
 	Account string
-	// Instance names the upstream that alone may run the request. Another one
-	// that has its address now answers 421 and doesn't begin.
+	// Instance carries the name of the only upstream that may run the request. Another
+	// upstream that has taken over the address responds 421 and doesn't begin the request.
 	Instance string
-	// NotRun stands on an answer to a request that was not begun. With a
-	// NotRunValue it counts only with that value, on a 429 or a 503.
+	// NotRun marks the response to a request that was not begun. If NotRunValue is
+	// set, the header counts only with that value and on a 429 or a 503.
 	NotRun      string
 	NotRunValue string
-	// Seal stands on every answer of the backend server's own. A success
-	// without it is none.
+	// Seal marks every response that the backend server itself wrote. A success
+	// without this header is rejected.
 	Seal string
 }
 
-// DefaultHeaders are those of backend servers that know this project.
+// DefaultHeaders returns the names that backend servers with support for this project
+// use.
 func DefaultHeaders() Headers {
 	return Headers{
 		Request:     HeaderRequest,
@@ -43,7 +45,7 @@
 	}
 }
 
-// notRun reports whether the backend server says that it did not begin.
+// notRun reports whether the backend server states that it did not begin the request.
 func (h *Headers) notRun(response *fasthttp.Response) bool {
 	value, ok := headerValue(response, h.NotRun)
 	status := response.StatusCode()
@@ -54,7 +56,8 @@
 	return ok && forLoad && string(value) == h.NotRunValue
 }
 
-// headerValue returns a header of an answer. Names compare without regard to case.
+// headerValue returns the value of a response header, and whether the response has it.
+// Names are compared case-insensitively.
 func headerValue(response *fasthttp.Response, name string) ([]byte, bool) {
 	if name == "" {
 		return nil, false
--- a/gate/resend.go
+++ b/gate/keys.go
@@ -9,27 +9,26 @@
 )
 
 const (
-	// maxKeys bounds the keys that a node remembers: at 550 bytes for the
-	// longest key they take 55 MB at most, and 160 sends with a key a second
-	// reach back the whole retention.
+	// maxKeys limits the keys that a node retains: at 550 bytes for the longest key they
+	// take 55 MB at most, and at up to 160 sends with a key per second every key is kept
+	// for the whole retention time.
 	maxKeys = 100_000
-	// maxRetainedReply bounds a kept answer in bytes, headers included: with it a
-	// question's answer stays within one frame.
+	// maxRetainedReply limits a retained reply in bytes, headers included, so that the
+	// reply to a key revocation fits into one frame.
 	maxRetainedReply = 32 << 10
-	// maxRetainedBytes bounds all kept answers of a node in bytes.
+	// maxRetainedBytes limits all retained replies of a node in bytes.
 	maxRetainedBytes = 32 << 20
 )
 
-// KeyStore is what a node's gates know together of idempotency keys. One memory
-// for all of them outlives a gate that a table edit replaces or removes. It is
-// safe for concurrent use.
+// KeyStore records the idempotency keys of all gates of a node. It outlives a gate that
+// a table change replaces or removes. It is safe for concurrent use.
 type KeyStore struct {
 	now   func() clock.Millis
 	mu    sync.Mutex
 	store *resend.Store[*wire.Reply]
 }
 
-// NewKeyStore returns a memory that begins now.
+// NewKeyStore returns an empty store whose records begin now.
 func NewKeyStore(now func() clock.Millis) *KeyStore {
 	return &KeyStore{now: now, store: resend.NewStore[*wire.Reply](resend.StoreConfig{
 		Start:     now(),
@@ -40,9 +39,10 @@
 	})}
 }
 
-// Revoke says what is known of a resend's key and forbids earlier sends.
+// Revoke returns the status of a resend's key, with the retained reply if there is one, and
+// forbids earlier sends of the key to begin.
 func (k *KeyStore) Revoke(v *wire.KeyRevocation) *wire.KeyRevocationReply {
-	claim := resend.Send{
+	send := resend.Send{
 		Key:        resend.Key{Caller: v.Caller, Service: v.Service, Text: v.Key},
 		Digest:     digestOf(v.Digest),
 		Precedence: resend.Precedence{Number: v.Number, Entry: v.ID.Entry, Seq: v.ID.Seq},
@@ -50,27 +50,27 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
-	standing, reply := k.store.Revoke(now, claim)
-	out := &wire.KeyRevocationReply{ID: v.ID, KeyStatus: uint8(standing), Covers: k.store.Covers(now)}
+	status, reply := k.store.Revoke(now, send)
+	result := &wire.KeyRevocationReply{ID: v.ID, KeyStatus: uint8(status), Covers: k.store.Covers(now)}
 	if reply != nil {
-		out.Status, out.Headers, out.Body, out.Upstream = reply.Status, reply.Headers, reply.Body, reply.Upstream.Name
+		result.Status, result.Headers, result.Body, result.Upstream = reply.Status, reply.Headers, reply.Body, reply.Upstream.Name
 	}
-	return out
+	return result
 }
 
-func (k *KeyStore) lookup(now clock.Millis, c resend.Send) (resend.Status, *wire.Reply) {
+func (k *KeyStore) lookup(now clock.Millis, s resend.Send) (resend.Status, *wire.Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.store.Lookup(now, c)
+	return k.store.Lookup(now, s)
 }
 
-func (k *KeyStore) begin(now clock.Millis, c resend.Send) (resend.Status, *wire.Reply) {
+func (k *KeyStore) begin(now clock.Millis, s resend.Send) (resend.Status, *wire.Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.store.Begin(now, c)
+	return k.store.Begin(now, s)
 }
 
-// finish takes in what became of a send that was begun.
+// finish records the outcome of a send that was begun.
 func (k *KeyStore) finish(key resend.Key, r *wire.Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -90,67 +90,70 @@
 	return d
 }
 
-// newSend is what a dispatch claims for its key; false without one.
+// newSend returns the send that a dispatch with an idempotency key makes, or false for a
+// dispatch without a key.
 func (g *Gate) newSend(d *wire.Dispatch) (resend.Send, bool) {
 	if d.Key == "" {
 		return resend.Send{}, false
 	}
-	c := resend.Send{
+	s := resend.Send{
 		Key:         resend.Key{Caller: d.Caller, Service: g.config.Service.Name, Text: d.Key},
 		Digest:      digestOf(d.Digest),
 		Received:    d.Lease - d.LeaseSpan,
 		GateCreated: g.createdAt,
 	}
 	if d.Resend > 0 {
-		c.Precedence = resend.Precedence{Number: d.Resend, Entry: d.ID.Entry, Seq: d.ID.Seq}
+		s.Precedence = resend.Precedence{Number: d.Resend, Entry: d.ID.Entry, Seq: d.ID.Seq}
 	}
-	return c, true
+	return s, true
 }
 
-// keyRefusal answers a dispatch whose key may not run here, or returns false. It
-// spares such a dispatch the queue; that it doesn't run is up to beginKey.
+// keyRefusal returns the reply to a dispatch whose key may not run here, or false. The check
+// saves such a dispatch the wait in the queue; beginKey is what prevents the run. It is
+// called with the gate's lock held.
 func (g *Gate) keyRefusal(now clock.Millis, d *wire.Dispatch) (*wire.Reply, bool) {
-	c, ok := g.newSend(d)
+	send, ok := g.newSend(d)
 	if !ok {
 		return nil, false
 	}
-	standing, answer := g.config.Keys.lookup(now, c)
-	if standing == resend.Free {
+	status, retained := g.config.Keys.lookup(now, send)
+	if status == resend.Free {
 		return nil, false
 	}
-	return g.keyReply(now, d, standing, answer), true
+	return g.keyReply(now, d, status, retained), true
 }
 
-// beginKey is the last step before a send of a key goes out, under one lock
-// for all gates of the node: of two sends that waited only one begins, and none
-// that a resend has voided in the meantime.
+// beginKey is the last check before a request with a key is sent. It returns false, and sets
+// the job's refusal, if the key may not run. All gates of the node share the store's lock, so
+// that of two waiting sends only one begins, and none that a resend has revoked meanwhile.
 func (g *Gate) beginKey(now clock.Millis, j *job) bool {
-	c, ok := g.newSend(j.dispatch)
+	send, ok := g.newSend(j.dispatch)
 	if !ok {
 		return true
 	}
-	standing, answer := g.config.Keys.begin(now, c)
-	if standing == resend.Free {
+	status, retained := g.config.Keys.begin(now, send)
+	if status == resend.Free {
 		return true
 	}
-	j.refusal = g.keyReply(now, j.dispatch, standing, answer)
+	j.refusal = g.keyReply(now, j.dispatch, status, retained)
 	return false
 }
 
-// endKey takes in what became of a begun dispatch.
+// endKey records the outcome of a begun dispatch for its key.
 func (g *Gate) endKey(d *wire.Dispatch, r *wire.Reply) {
-	if c, ok := g.newSend(d); ok {
-		g.config.Keys.finish(c.Key, r)
+	if send, ok := g.newSend(d); ok {
+		g.config.Keys.finish(send.Key, r)
 	}
 }
 
-// keyReply says why a dispatch doesn't run. Not run is said only where nothing
-// that was sent with the key is known to have run.
-func (g *Gate) keyReply(now clock.Millis, d *wire.Dispatch, s resend.Status, answer *wire.Reply) *wire.Reply {
+// keyReply returns the reply to a dispatch whose key has status s and may not run; retained is
+// the retained reply for resend.Ran. The outcome is NotRun only if no send with the key is
+// known to have run.
+func (g *Gate) keyReply(now clock.Millis, d *wire.Dispatch, s resend.Status, retained *wire.Reply) *wire.Reply {
 	r := g.reply(now, d)
 	switch s {
 	case resend.Ran:
-		r.Outcome, r.Status, r.Headers, r.Body, r.Length = wire.Answered, answer.Status, answer.Headers, answer.Body, answer.Length
+		r.Outcome, r.Status, r.Headers, r.Body, r.Length = wire.Answered, retained.Status, retained.Headers, retained.Body, retained.Length
 		r.Replay = true
 	case resend.Running:
 		r.Outcome, r.Reason, r.RetryAfter = wire.Broken, wire.ReasonKeyRunning, clock.Second
@@ -166,8 +169,8 @@
 	return r
 }
 
-// recordReply records a refusal for a settlement: an answer of an earlier send must
-// not be denied as not run.
+// recordReply records a refusal for a later Resolve, which must not report the run of an
+// earlier send as not run.
 func (g *Gate) recordReply(now clock.Millis, j *job, r *wire.Reply) {
 	if r.Outcome != wire.NotRun && g.dedup.Begin(now, j.key) {
 		g.dedup.Finish(j.key, r)
--- a/gate/leave.go
+++ b/gate/leave.go
@@ -5,41 +5,42 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Leave ends new work for good. What has begun is finished; what waits is refused,
-// for other upstreams have time for it still.
+// Leave permanently stops the gate from admitting dispatches. Running requests finish;
+// waiting ones are refused, since there is still time to send them to other upstreams.
 func (g *Gate) Leave() {
 	g.mu.Lock()
-	before := g.isLeaving()
+	wasLeaving := g.isLeaving()
 	if !g.leaving {
 		g.leaving, g.endedAt = true, g.config.Now()
 	}
-	refused := g.startLeaving(before, "shutdown")
+	refused := g.startLeaving(wasLeaving, "shutdown")
 	g.mu.Unlock()
 	callAll(refused)
 }
 
-// SetListedLeaving takes in whether the instance list says that the instance is leaving.
+// SetListedLeaving sets whether the instance list marks the instance as leaving. If so,
+// waiting requests are refused.
 func (g *Gate) SetListedLeaving(leaving bool) {
 	g.mu.Lock()
-	before := g.isLeaving()
+	wasLeaving := g.isLeaving()
 	g.listedLeaving = leaving
-	refused := g.startLeaving(before, "instance list")
+	refused := g.startLeaving(wasLeaving, "instance list")
 	g.mu.Unlock()
 	callAll(refused)
 }
 
-// isLeaving reports whether the upstream is leaving. Entries that have heard it send
-// no new work; from those that haven't the gate takes it for the table's drain
-// time, but none while the node shuts down.
+// isLeaving reports whether the upstream is leaving. Entries that know it send no new
+// requests. From other entries the gate admits requests for the table's drain time, but
+// none after Leave. It is called with the gate's lock held.
 func (g *Gate) isLeaving() bool {
 	return g.leaving || g.listedLeaving || g.upstream.Weight == 0
 }
 
-// startLeaving notes that the upstream leaves and refuses what waits for it: sent to it
-// later, a request would reach an upstream that is to get no new work. The gate's
-// lock is held; the refusals are answered without it.
-func (g *Gate) startLeaving(before bool, reason string) []func() {
-	if before || !g.isLeaving() {
+// startLeaving records that the upstream leaves, unless it was leaving already, and refuses
+// the waiters, since a leaving upstream must not begin them. It is called with the gate's
+// lock held and returns the calls that send the refusals after the lock is released.
+func (g *Gate) startLeaving(wasLeaving bool, reason string) []func() {
+	if wasLeaving || !g.isLeaving() {
 		return nil
 	}
 	g.leavingSince = g.config.Now()
--- a/gate/quota_test.go
+++ b/gate/quota_test.go
@@ -9,85 +9,86 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// bounded returns a gate of one slot that may grant one retry in an hour.
-func bounded(t *testing.T) (*gate.Gate, *held) {
+// newGateWithOneRetry returns a gate with one slot whose retry budget admits one retry in the
+// first minute.
+func newGateWithOneRetry(t *testing.T) (*gate.Gate, *blockingBackend) {
 	t.Helper()
 	u := table.Upstream{Name: "c1", Weight: 100, Slots: 1}
 	s := table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4, ExtraRetries: 5, RetryWindow: clock.Minute, Upstreams: []table.Upstream{u}}
-	return gateOf(t, gate.Config{Service: s, Upstream: u})
+	return newGateFromConfig(t, gate.Config{Service: s, Upstream: u})
 }
 
-// offer hands a dispatch to the gate and returns where its reply comes.
-func offer(g *gate.Gate, d *wire.Dispatch) chan *wire.Reply {
+// handle passes a dispatch to the gate and returns the channel that receives the reply.
+func handle(g *gate.Gate, d *wire.Dispatch) chan *wire.Reply {
 	replies := make(chan *wire.Reply, 1)
 	g.Handle(d, func(r *wire.Reply) { replies <- r })
 	return replies
 }
 
-func retryOf(seq uint64) *wire.Dispatch {
+func retryDispatch(seq uint64) *wire.Dispatch {
 	d := dispatch(seq, "retry")
 	d.Retry = true
 	return d
 }
 
-// Every entry sends a failed request on. The upstream gets the retries that its part of
-// the service's budget allows, and first arrivals all the same.
+// When every entry retries its failed requests, an upstream must get only as many retries as its
+// part of the service's budget allows. First attempts must still be admitted.
 func TestRetryBeyondTheQuotaIsNotRun(t *testing.T) {
-	g, h := bounded(t)
+	g, h := newGateWithOneRetry(t)
 	close(h.end)
-	if got := <-offer(g, retryOf(1)); got.Outcome != wire.Answered {
-		t.Fatalf("got %v, %s; want the first retry served", got.Outcome, got.Reason)
+	if got := <-handle(g, retryDispatch(1)); got.Outcome != wire.Answered {
+		t.Fatalf("got outcome %v, reason %s; want the first retry served", got.Outcome, got.Reason)
 	}
-	got := <-offer(g, retryOf(2))
+	got := <-handle(g, retryDispatch(2))
 	if got.Outcome != wire.NotRun || got.Reason != wire.ReasonRetryBudget {
-		t.Errorf("got %v, %s; want the second one not run, for want of budget", got.Outcome, got.Reason)
+		t.Errorf("got outcome %v, reason %s; want the second retry not run, since the budget is spent", got.Outcome, got.Reason)
 	}
 	if got.RetryAfter < clock.Second || got.RetryAfter > clock.Minute+clock.Second {
-		t.Errorf("got RetryAfter %v, want when the first leaves the window", got.RetryAfter)
+		t.Errorf("got RetryAfter %v, want the time until the first retry leaves the window", got.RetryAfter)
 	}
-	if got := <-offer(g, dispatch(3, "first")); got.Outcome != wire.Answered {
-		t.Errorf("got %v, %s for a first arrival, want it served", got.Outcome, got.Reason)
+	if got := <-handle(g, dispatch(3, "first")); got.Outcome != wire.Answered {
+		t.Errorf("got outcome %v, reason %s for a first attempt, want it served", got.Outcome, got.Reason)
 	}
 	if got := len(h.begun); got != 2 {
 		t.Errorf("got %d requests at the upstream, want 2", got)
 	}
-	hold := enquire(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 4}, Attempt: 1, Upstream: "c1", Retry: true, Budget: clock.Second})
-	if hold.Reserved || hold.Reason != wire.ReasonRetryBudget {
-		t.Errorf("got a slot kept: %v, %s; want none for want of budget", hold.Reserved, hold.Reason)
+	reservation := probeCapacity(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 4}, Attempt: 1, Upstream: "c1", Retry: true, Budget: clock.Second})
+	if reservation.Reserved || reservation.Reason != wire.ReasonRetryBudget {
+		t.Errorf("got reserved %v, reason %s; want no slot beyond the retry budget", reservation.Reserved, reservation.Reason)
 	}
 }
 
-// A retry that finds no slot reaches no upstream. Charged for it, the budget was spent by
-// requests that never used it, and those that failed next to a free slot got none.
-func TestRetryWithoutASlotSpendsNothing(t *testing.T) {
-	g, h := bounded(t)
-	running := offer(g, dispatch(1, "running"))
+// A retry that finds no slot reaches no upstream. If the budget were charged for it, retries that
+// never ran would exhaust the budget, and retries that find a free slot would be refused.
+func TestRetryWithoutASlotSpendsNoBudget(t *testing.T) {
+	g, h := newGateWithOneRetry(t)
+	running := handle(g, dispatch(1, "running"))
 	<-h.begun
-	refused := retryOf(2)
+	refused := retryDispatch(2)
 	refused.NoQueue = true
-	if got := <-offer(g, refused); got.Reason != wire.ReasonFull {
-		t.Fatalf("got %s, want it refused as full", got.Reason)
+	if got := <-handle(g, refused); got.Reason != wire.ReasonFull {
+		t.Fatalf("got reason %s, want the retry refused as full", got.Reason)
 	}
 	close(h.end)
 	<-running
-	if got := <-offer(g, retryOf(3)); got.Outcome != wire.Answered {
-		t.Errorf("got %v, %s; want the retry served", got.Outcome, got.Reason)
+	if got := <-handle(g, retryDispatch(3)); got.Outcome != wire.Answered {
+		t.Errorf("got outcome %v, reason %s; want the retry served", got.Outcome, got.Reason)
 	}
 }
 
-// Two retries wait for the same slot with room in the quota for one. The other one must
-// not reach the upstream when its turn comes, and must be told as not run.
-func TestRetryThatWaitedIsHeldToTheQuota(t *testing.T) {
-	g, h := bounded(t)
-	running := offer(g, dispatch(1, "running"))
+// Two retries wait for the same slot, and the quota admits only one of them. The other one must
+// not reach the upstream when it gets the slot, and must be reported as not run.
+func TestQueuedRetryIsCheckedAgainstTheQuota(t *testing.T) {
+	g, h := newGateWithOneRetry(t)
+	running := handle(g, dispatch(1, "running"))
 	<-h.begun
-	first, second := offer(g, retryOf(2)), offer(g, retryOf(3))
+	first, second := handle(g, retryDispatch(2)), handle(g, retryDispatch(3))
 	close(h.end)
 	<-running
 	if got := <-first; got.Outcome != wire.Answered {
-		t.Errorf("got %v, %s; want the first retry served", got.Outcome, got.Reason)
+		t.Errorf("got outcome %v, reason %s; want the first retry served", got.Outcome, got.Reason)
 	}
 	if got := <-second; got.Outcome != wire.NotRun || got.Reason != wire.ReasonRetryBudget {
-		t.Errorf("got %v, %s; want the second one not run, for want of budget", got.Outcome, got.Reason)
+		t.Errorf("got outcome %v, reason %s; want the second retry not run, since the budget is spent", got.Outcome, got.Reason)
 	}
 }
--- a/gate/refuse.go
+++ b/gate/refuse.go
@@ -7,16 +7,17 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// admission is what a request is admitted by.
+// admission holds the properties of a request that decide whether it is admitted.
 type admission struct {
 	isRepeatable, isRetry, isForced bool
 }
 
-func admissionOf(e *wire.CapacityProbe) admission {
+func newAdmission(e *wire.CapacityProbe) admission {
 	return admission{isRepeatable: e.Repeatable, isRetry: e.Retry, isForced: e.Forced}
 }
 
-// refusalReason says why a request isn't admitted, or nothing.
+// refusalReason returns why a request isn't admitted and the retry delay, or an empty reason
+// if the request is admitted. It is called with the gate's lock held.
 func (g *Gate) refusalReason(now clock.Millis, v lease.Verdict, a admission) (wire.Reason, clock.Millis) {
 	switch {
 	case v == lease.Stale:
@@ -37,19 +38,21 @@
 	}
 }
 
-// hasRetryBudget reports whether the service's retry budget has room for a retry here.
+// hasRetryBudget reports whether this upstream's part of the service's retry budget admits
+// another retry. It is called with the gate's lock held.
 func (g *Gate) hasRetryBudget(now clock.Millis) bool {
 	return g.quota.Allows(now, g.detector.Status(now).State == health.Ejected)
 }
 
-// refuse answers that a dispatch was not run. It unlocks the gate.
-func (g *Gate) refuse(now clock.Millis, key lease.Key, d *wire.Dispatch, answer func(*wire.Reply), reason wire.Reason, after clock.Millis) {
+// refuse replies that a dispatch was not run. It is called with the gate's lock held and
+// unlocks the gate.
+func (g *Gate) refuse(now clock.Millis, key lease.Key, d *wire.Dispatch, respond func(*wire.Reply), reason wire.Reason, retryAfter clock.Millis) {
 	g.dedup.Refuse(key)
 	g.countRefusal(reason)
 	reply := g.reply(now, d)
 	g.mu.Unlock()
-	reply.Outcome, reply.Reason, reply.RetryAfter = wire.NotRun, reason, after
-	answer(reply)
+	reply.Outcome, reply.Reason, reply.RetryAfter = wire.NotRun, reason, retryAfter
+	respond(reply)
 }
 
 // countRefusal is called with the gate's lock held.
@@ -59,36 +62,37 @@
 	}
 }
 
-// expireWaiters refuses the waiters whose deadline passed.
+// expireWaiters refuses the waiters that may wait no longer.
 func (g *Gate) expireWaiters() {
 	g.mu.Lock()
-	late := g.refuseExpired(g.config.Now())
+	refused := g.refuseExpired(g.config.Now())
 	g.mu.Unlock()
-	callAll(late)
+	callAll(refused)
 }
 
-// callAll does what was decided under the gate's lock, and must be done without.
+// callAll makes the calls that were collected under the gate's lock and must run without it.
 func callAll(calls []func()) {
 	for _, call := range calls {
 		call()
 	}
 }
 
-// refuseExpired takes out the waiters whose deadline passed. The gate's lock is held;
-// the answers are given without it.
+// refuseExpired removes the waiters that may wait no longer. It is called with the gate's
+// lock held and returns the calls that send the refusals after the lock is released.
 func (g *Gate) refuseExpired(now clock.Millis) []func() {
 	return g.refuseWaiters(now, g.slots.Expire(now), wire.ReasonDeadlineTooShort)
 }
 
-// refuseWaiters refuses waiters. The gate's lock is held.
+// refuseWaiters removes the waiters with the given tickets. It is called with the gate's lock
+// held and returns the calls that send the refusals after the lock is released.
 func (g *Gate) refuseWaiters(now clock.Millis, tickets []uint64, reason wire.Reason) []func() {
 	var refused []func()
 	for _, ticket := range tickets {
-		if p, ok := g.waiters[ticket]; ok {
-			p.timer.Stop()
+		if w, ok := g.waiters[ticket]; ok {
+			w.timer.Stop()
 			delete(g.waiters, ticket)
-			h := g.newReservation(now, p, reason)
-			refused = append(refused, func() { p.respond(h) })
+			reservation := g.newReservation(now, w, reason)
+			refused = append(refused, func() { w.respond(reservation) })
 			continue
 		}
 		j, ok := g.jobs[ticket]
@@ -103,7 +107,7 @@
 		g.countRefusal(reason)
 		reply := g.reply(now, j.dispatch)
 		reply.Outcome, reply.Reason, reply.RetryAfter = wire.NotRun, reason, g.slots.RetryAfter(now)
-		refused = append(refused, func() { j.answer(reply) })
+		refused = append(refused, func() { j.respond(reply) })
 	}
 	return refused
 }
--- a/gate/settle.go
+++ b/gate/resolve.go
@@ -5,13 +5,14 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Resolve says what became of a dispatch and voids one that has not begun. It
-// returns the reply once more if there is one.
+// Resolve returns the reply of a finished dispatch if it is retained, else a resolution with
+// the state of the dispatch. A dispatch that has not begun is revoked; with s.Abandon, the call
+// of a repeatable one that runs is cancelled.
 func (g *Gate) Resolve(s *wire.Resolve) (*wire.Resolution, *wire.Reply) {
 	now := g.config.Now()
 	key := s.ID.Key(s.Attempt)
-	if settled, reply, ok := g.resolvePrevious(key, s); ok {
-		return settled, reply
+	if resolution, reply, ok := g.resolvePrevious(key, s); ok {
+		return resolution, reply
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,8 +32,8 @@
 	}, nil
 }
 
-// Cancel takes in that the caller of a dispatch has left: it doesn't begin any
-// more, or is broken off.
+// Cancel ends a dispatch whose caller has disconnected: a dispatch that has not begun is
+// refused, and a repeatable one that runs is cancelled.
 func (g *Gate) Cancel(id wire.RequestID, attempt uint8) {
 	key := id.Key(attempt)
 	g.mu.Lock()
@@ -41,9 +42,9 @@
 	g.cancelCall(key)
 }
 
-// cancelCall ends the call of a dispatch whose caller has left, if it may run more
-// than once: its slot is then free for others. One that may run only once goes
-// on, for its caller meant it. The gate's lock is held.
+// cancelCall cancels the call of a dispatch whose caller has disconnected, if the request is
+// repeatable, to free its slot. Any other request goes on, because the caller wanted its
+// effect. It is called with the gate's lock held.
 func (g *Gate) cancelCall(key lease.Key) {
 	for _, j := range g.jobs {
 		if j.key == key && j.cancel != nil {
--- a/gate/restart.go
+++ b/gate/restart.go
@@ -10,18 +10,18 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// restart takes in that the upstream is another process under the same name. What was
-// of the one before ends with it: the verdict, the slots of its runs, kept connections
-// and what is known of service times. Requests that wait go on waiting, and the fence
-// stays: what it voided, or saw begin, must not run on the new process either. It
-// returns what is to be done without the lock, which is held.
+// restart resets the state of the previous process after the upstream was restarted under
+// the same name: the verdict, the slots of its runs, open connections and service times.
+// Waiting requests stay queued. The deduplicator is kept, because a dispatch that was revoked
+// or begun must not run on the new process either. It is called with the gate's lock held and
+// returns the calls to make after the lock is released.
 func (g *Gate) restart(now clock.Millis) []func() {
 	g.generation++
 	g.crash, g.succeeded = crashState{}, nil
 	g.detector = newDetector(g.service.Caution, g.config.Seed)
 	g.state, g.level = health.InUse, episode.Healthy
 	g.config.Backend.ResetConnections()
-	g.log.Info("upstream started again")
+	g.log.Info("upstream restarted; its verdict and connections are reset")
 	runs := 0
 	for _, j := range g.jobs {
 		if j.running {
@@ -31,13 +31,14 @@
 	return g.startWaiters(now, g.slots.Restart(runs))
 }
 
-// startWaiters is what waiters do that have got a slot. The gate's lock is held.
+// startWaiters gives slots to the waiters with the given tickets. It is called with the gate's
+// lock held and returns the calls to make after the lock is released.
 func (g *Gate) startWaiters(now clock.Millis, tickets []uint64) []func() {
 	var calls []func()
 	for _, ticket := range tickets {
-		turn, takesSlot := g.startWaiter(now, ticket)
-		if turn != nil {
-			calls = append(calls, turn)
+		call, takesSlot := g.startWaiter(now, ticket)
+		if call != nil {
+			calls = append(calls, call)
 		}
 		if !takesSlot {
 			calls = append(calls, g.releaseSlot(now)...)
@@ -46,64 +47,66 @@
 	return calls
 }
 
-// findGate returns the gate, this one or one before it, that has taken in a dispatch or
-// voided it. An upstream that comes back under its name has a gate of its own: asked for
-// what the one before has begun, that would call it not run.
+// findGate returns the gate, this one or a previous one, that has accepted or revoked a
+// dispatch. An upstream that comes back under its name has a new gate, which would report a
+// dispatch that the previous gate has begun as not run.
 func (g *Gate) findGate(key lease.Key) (*Gate, bool) {
-	for one := g; one != nil; one = one.previous.Load() {
-		one.mu.Lock()
-		isKnown := one.dedup.Contains(key)
-		one.mu.Unlock()
+	for candidate := g; candidate != nil; candidate = candidate.previous.Load() {
+		candidate.mu.Lock()
+		isKnown := candidate.dedup.Contains(key)
+		candidate.mu.Unlock()
 		if isKnown {
-			return one, true
+			return candidate, true
 		}
 	}
 	return nil, false
 }
 
-// ForgetPrevious lets go of the gates before this one that ended before an instant, when no
-// entry asks for their dispatches any more.
-func (g *Gate) ForgetPrevious(ended clock.Millis) {
-	for one := g; one != nil; one = one.previous.Load() {
-		if before := one.previous.Load(); before != nil && before.endedBefore(ended) {
-			one.previous.Store(nil)
+// ForgetPrevious drops the previous gates that left before the given time and have no pending
+// dispatches. Callers choose a time after which no entry resolves their dispatches any more.
+func (g *Gate) ForgetPrevious(before clock.Millis) {
+	for current := g; current != nil; current = current.previous.Load() {
+		if previous := current.previous.Load(); previous != nil && previous.endedBefore(before) {
+			current.previous.Store(nil)
 		}
 	}
 }
 
-func (g *Gate) endedBefore(at clock.Millis) bool {
+func (g *Gate) endedBefore(instant clock.Millis) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leaving && g.endedAt < at && len(g.jobs) == 0
+	return g.leaving && g.endedAt < instant && len(g.jobs) == 0
 }
 
-// resetDelay is how long an answer of a process that is gone may still be on its way
-// from the backend server beside this node.
+// resetDelay is how long a response of a process that is gone may still be in transit from
+// the backend server beside this node.
 const resetDelay = 100 * time.Millisecond
 
-// ResetConnections drops the connections to a process that is gone. What runs there gets no answer
-// any more: until its deadline it would keep its caller waiting.
+// ResetConnections closes the idle connections to a process that is gone and lets calls in
+// flight fail after resetDelay: they would get no response and keep their callers waiting until
+// the deadline.
 func (h *HTTP) ResetConnections() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.idle {
 		h.open--
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // an idle connection has no request in flight
 	}
 	h.idle = nil
-	end := time.Now().Add(resetDelay)
+	deadline := time.Now().Add(resetDelay)
 	for c := range h.busy {
 		c.isObsolete.Store(true)
-		_ = c.SetDeadline(end) // one that is closed already needs none
+		_ = c.SetDeadline(deadline) // a closed connection needs no deadline
 	}
 }
 
-// resolvePrevious answers a settlement for a gate before this one.
+// resolvePrevious resolves a dispatch at the previous gate that knows it, or returns false if
+// none does.
 func (g *Gate) resolvePrevious(key lease.Key, s *wire.Resolve) (*wire.Resolution, *wire.Reply, bool) {
-	one, ok := g.previous.Load().findGate(key)
+	previous, ok := g.previous.Load().findGate(key)
 	if !ok {
 		return nil, nil, false
 	}
-	settled, reply := one.Resolve(s)
-	return settled, reply, true
+	resolution, reply := previous.Resolve(s)
+	return resolution, reply, true
 }
--- a/gate/run.go
+++ b/gate/run.go
@@ -12,14 +12,16 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// start hands a job that has a slot to the pool's workers.
+// start submits a job that has a slot to the worker pool.
 func (g *Gate) start(j *job) {
 	if err := g.config.Pool.Submit(func() { g.run(j) }); err != nil {
-		g.log.WithError(err).Warn("request not run")
+		g.log.WithError(err).Warn("worker pool rejected the request; it is refused as not run")
 		g.finishNotRun(j, wire.ReasonFull)
 	}
 }
 
+// run sends a job's request to the backend server and reports the outcome, unless the job is
+// parked or may not begin.
 func (g *Gate) run(j *job) {
 	now, reason, isParked := g.begin(j)
 	switch {
@@ -32,7 +34,7 @@
 	d := j.dispatch
 	ctx, cancel := g.callContext(j)
 	defer cancel()
-	answer, err := g.config.Backend.Do(ctx, &Call{
+	response, err := g.config.Backend.Do(ctx, &Call{
 		ID:         wire.RequestName(d.CallerRequestID, d.ID),
 		Caller:     d.Caller,
 		Account:    d.Account,
@@ -43,11 +45,11 @@
 		Deadline:   j.deadline - now,
 		Repeatable: d.Repeatable,
 	})
-	g.finish(j, now, answer, g.detectCrash(j, err))
+	g.finish(j, now, response, g.detectCrash(j, err))
 }
 
-// callContext returns what a job's call ends with early: the caller's leaving, for
-// one that may run more than once.
+// callContext returns the context of a job's call. For a repeatable request it is cancelled
+// when the caller disconnects; any other request runs to its end.
 func (g *Gate) callContext(j *job) (context.Context, context.CancelFunc) {
 	if !j.dispatch.Repeatable {
 		return context.Background(), func() {}
@@ -59,10 +61,10 @@
 	return ctx, cancel
 }
 
-// begin is the last step before the request goes out. A dispatch that was
-// settled as not run while it waited stops here, as does a retry for which the budget
-// has no room any more or one whose request is quarantined; the reason says so. A
-// suspected one may have to wait for another's end.
+// begin is the last step before the request is sent. It returns the time, a reason if the
+// dispatch must not run, and whether the job is parked. A dispatch must not run if it was
+// resolved as not run while it waited, is a retry beyond the retry budget, or belongs to a
+// quarantined request. A suspected request is parked until another suspect ends.
 func (g *Gate) begin(j *job) (clock.Millis, wire.Reason, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -91,8 +93,9 @@
 	return now, "", false
 }
 
-// beginRun marks the dispatch as begun and counts its arrival, or says why it may not
-// begin. A retry is counted here, as it is sent: it may have waited since it was granted.
+// beginRun marks the dispatch as begun and counts it for the retry budget, or returns why it
+// may not begin. A retry is charged here, when it is sent, because it may have waited since it
+// was admitted. It is called with the gate's lock held.
 func (g *Gate) beginRun(now clock.Millis, j *job) wire.Reason {
 	if j.dispatch.Retry && !g.quota.Allows(now, false) {
 		g.dedup.Refuse(j.key)
@@ -109,41 +112,43 @@
 	return ""
 }
 
-func (g *Gate) finish(j *job, began clock.Millis, a Response, err error) {
+// finish records the outcome of a run, replies to the entry and gives the slot to a waiter.
+func (g *Gate) finish(j *job, began clock.Millis, response Response, err error) {
 	g.mu.Lock()
 	now := g.config.Now()
 	j.timer.Stop()
 	delete(g.jobs, j.ticket)
 	isCurrent := j.generation == g.generation
-	g.recordFinished(now, j, a, err)
+	g.recordFinished(now, j, response, err)
 	if isCurrent {
-		g.observeRun(now, j, a, err)
+		g.observeRun(now, j, response, err)
 	}
 	var calls []func()
 	if isCurrent {
-		calls = g.releaseSlot(now) // first: the reply says how busy the upstream is now
+		calls = g.releaseSlot(now) // first, so that the reply carries the upstream's load without this run
 	}
 	calls = append(calls, g.endTrial(j)...)
 	reply := g.reply(now, j.dispatch)
 	reply.Took = now - began
-	fillReply(reply, a, err)
+	setOutcome(reply, response, err)
 	g.endKey(j.dispatch, reply)
 	g.dedup.Finish(j.key, retainedReply(j.dispatch, reply))
 	g.mu.Unlock()
-	j.answer(reply)
+	j.respond(reply)
 	g.logOutcome(j.dispatch, reply, now-began, err)
 	callAll(calls)
 }
 
-// dependencyFailed reports whether a failure answer may be that of a call which the
-// backend server made. Held against it, sickness of one service would spread to
-// those that call it as false ejections.
+// dependencyFailed reports whether a call that the backend server made failed within a time
+// span, so that its own failure response may have been caused by that call. Counting such
+// responses against the backend server would spread the failure of one service to its callers
+// as false ejections.
 func (g *Gate) dependencyFailed(from, to clock.Millis) bool {
 	return g.config.DependencyFailed != nil && g.config.DependencyFailed(from, to)
 }
 
-// logOutcome leaves a line, under the id that entry and report know too, of a
-// request that the backend server did not answer.
+// logOutcome logs a request that got no response from the backend server, under the request id
+// that the entry and the report use, too.
 func (g *Gate) logOutcome(d *wire.Dispatch, reply *wire.Reply, took clock.Millis, err error) {
 	if err == nil {
 		return
@@ -161,8 +166,8 @@
 	return subject.Fingerprint().String()
 }
 
-// retainedReply is the reply that a settlement may ask for again. A repeatable request
-// is sent anew in place of asking, so its answer takes no memory here.
+// retainedReply returns the reply that is kept for a later Resolve. It is nil for a repeatable
+// request, which its entry sends again instead of resolving it.
 func retainedReply(d *wire.Dispatch, reply *wire.Reply) *wire.Reply {
 	if d.Repeatable {
 		return nil
@@ -170,6 +175,7 @@
 	return reply
 }
 
+// finishNotRun replies to a job that has a slot and did not run, and gives the slot to a waiter.
 func (g *Gate) finishNotRun(j *job, reason wire.Reason) {
 	g.mu.Lock()
 	now := g.config.Now()
@@ -185,13 +191,13 @@
 	g.recordReply(now, j, reply)
 	calls := append(g.releaseSlot(now), g.endTrial(j)...)
 	g.mu.Unlock()
-	j.answer(reply)
+	j.respond(reply)
 	callAll(calls)
 }
 
-// releaseSlot frees a slot. It returns what is to be done then: the refusals of waiters
-// that were passed over, and the turn of the one that takes it. The gate's lock is
-// held.
+// releaseSlot frees a slot and gives it to the next waiter. It is called with the gate's lock
+// held and returns the calls to make after the lock is released: the refusals of expired
+// waiters and the start of the next one.
 func (g *Gate) releaseSlot(now clock.Millis) []func() {
 	var calls []func()
 	for {
@@ -200,9 +206,9 @@
 		if !ok {
 			return calls
 		}
-		turn, takesSlot := g.startWaiter(now, ticket)
-		if turn != nil {
-			calls = append(calls, turn)
+		call, takesSlot := g.startWaiter(now, ticket)
+		if call != nil {
+			calls = append(calls, call)
 		}
 		if takesSlot {
 			return calls
@@ -210,33 +216,35 @@
 	}
 }
 
-// startWaiter is what the waiter of a ticket does now that it has a slot, nil if there is none,
-// and whether it takes the slot. The gate's lock is held.
+// startWaiter returns the call that starts or notifies the waiter of a ticket which has got a
+// slot, nil if there is no such waiter, and whether the waiter takes the slot. It is called
+// with the gate's lock held.
 func (g *Gate) startWaiter(now clock.Millis, ticket uint64) (call func(), takesSlot bool) {
 	if j, ok := g.jobs[ticket]; ok {
 		return func() { g.start(j) }, true
 	}
-	p, ok := g.waiters[ticket]
+	w, ok := g.waiters[ticket]
 	if !ok {
 		return nil, false
 	}
-	p.timer.Stop()
+	w.timer.Stop()
 	delete(g.waiters, ticket)
-	// What has changed while it waited counts: an upstream that fails fast frees its
-	// slots first.
-	reason, after := g.refusalReason(now, lease.Fresh, admissionOf(p.probe))
+	// Check the admission again, because the upstream's state may have changed meanwhile: a
+	// failing upstream that fails fast is the first to free its slots.
+	reason, retryAfter := g.refusalReason(now, lease.Fresh, newAdmission(w.probe))
 	if reason == "" {
-		g.reserve(p.key)
+		g.reserve(w.key)
 	}
-	h := g.newReservation(now, p, reason)
-	h.RetryAfter = after
-	return func() { p.respond(h) }, reason == ""
+	reservation := g.newReservation(now, w, reason)
+	reservation.RetryAfter = retryAfter
+	return func() { w.respond(reservation) }, reason == ""
 }
 
-// resultOf sorts an outcome for the verdict. What says nothing about sickness
-// must not count as failed: shed load, the caller's own faults, and deadlines
-// that no healthy upstream would have met.
-func resultOf(a Response, err error, tooShort bool) health.Result {
+// classifyResult returns the result that an outcome counts as in the detector; tooShort means
+// that the deadline was too short for a healthy upstream. Outcomes that are no evidence of a
+// failure must not count as failed: shed load, the caller's own errors, and deadlines that no
+// healthy upstream would have met.
+func classifyResult(response Response, err error, tooShort bool) health.Result {
 	switch {
 	case errors.Is(err, ErrCancelled):
 		return health.Cancelled
@@ -248,20 +256,20 @@
 		return health.CallerFault
 	case err != nil:
 		return health.Failed
-	case a.Overloaded:
+	case response.Overloaded:
 		return health.Shed
-	case a.Status >= 500:
+	case response.Status >= 500:
 		return health.Failed
-	case a.Status >= 400:
+	case response.Status >= 400:
 		return health.CallerFault
 	default:
 		return health.Good
 	}
 }
 
-// fillReply fills in what the entry is told. Not run is said only where the
-// backend server got nothing, or says itself that it did not begin.
-func fillReply(r *wire.Reply, a Response, err error) {
+// setOutcome sets the outcome, reason and response in a reply. The outcome is NotRun only if the
+// backend server received nothing, or states itself that it did not begin the request.
+func setOutcome(r *wire.Reply, response Response, err error) {
 	switch {
 	case errors.Is(err, ErrRefused):
 		r.Outcome, r.Reason = wire.NotRun, wire.ReasonConnectionRefused
@@ -277,10 +285,10 @@
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonCrashed
 	case err != nil:
 		r.Outcome, r.Reason = wire.Broken, wire.ReasonTruncated
-	case a.Shed:
-		r.Outcome, r.Reason, r.RetryAfter = wire.NotRun, wire.ReasonShed, a.RetryAfter
+	case response.Shed:
+		r.Outcome, r.Reason, r.RetryAfter = wire.NotRun, wire.ReasonShed, response.RetryAfter
 	default:
-		r.Outcome, r.Status, r.Headers, r.Body, r.Length = wire.Answered, a.Status, a.Headers, a.Body, len(a.Body)
-		r.RetryAfter = a.RetryAfter
+		r.Outcome, r.Status, r.Headers, r.Body, r.Length = wire.Answered, response.Status, response.Headers, response.Body, len(response.Body)
+		r.RetryAfter = response.RetryAfter
 	}
 }
--- a/gate/status.go
+++ b/gate/status.go
@@ -6,20 +6,20 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Status is what heartbeats and replies say of the upstream.
+// Status returns the status of the upstream that heartbeats and replies carry.
 func (g *Gate) Status() wire.Upstream {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.status(g.config.Now())
 }
 
-// MetricsState is what metrics say of the gate.
+// MetricsState returns the state of the gate that metrics export.
 func (g *Gate) MetricsState() metrics.GateState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
 	load := g.slots.Load()
-	retries, bound := g.quota.Usage(now)
+	retries, retryBound := g.quota.Usage(now)
 	return metrics.GateState{
 		Service:    g.service.Name,
 		Upstream:   g.upstream.Name,
@@ -30,15 +30,16 @@
 		Slots:      g.upstream.Slots,
 		Queue:      g.service.Queue,
 		Retries:    retries,
-		RetryBound: bound,
+		RetryBound: retryBound,
 	}
 }
 
+// status returns the status of the upstream. It is called with the gate's lock held.
 func (g *Gate) status(now clock.Millis) wire.Upstream {
 	g.recordState(now)
 	s := g.detector.Status(now)
 	load := g.slots.Load()
-	own := g.detector.LocalBaseline()
+	local := g.detector.LocalBaseline()
 	return wire.Upstream{
 		Name:     g.upstream.Name,
 		State:    uint8(s.State),
@@ -49,10 +50,12 @@
 		Until:    max(s.Until-now, 0),
 		Leaving:  g.isLeaving(),
 		Down:     g.crash.isDown,
-		Local:    wire.NewBaseline(own),
+		Local:    wire.NewBaseline(local),
 	}
 }
 
+// reply returns a reply to a dispatch without an outcome. It is called with the gate's lock
+// held.
 func (g *Gate) reply(now clock.Millis, d *wire.Dispatch) *wire.Reply {
 	return &wire.Reply{ID: d.ID, Attempt: d.Attempt, Time: now, Upstream: g.status(now)}
 }
--- a/gate/trial.go
+++ b/gate/trial.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxSucceeded is how many requests that succeeded here are remembered: one that did
-	// doesn't crash the process a moment later.
+	// maxSucceeded is the number of retained requests that succeeded in this process: a
+	// request that has succeeded doesn't crash the process a moment later.
 	maxSucceeded = 256
-	// maxHashedBody bounds, in bytes, the bodies that are looked at for that.
+	// maxHashedBody limits, in bytes, the bodies of the requests that are retained.
 	maxHashedBody = 64 << 10
 )
 
 var succeededSeed = maphash.MakeSeed()
 
-// requestHash is the place and mark of a request among those that succeeded; 0 for one that is
-// too large to be remembered.
+// requestHash returns the hash that finds a request among those that succeeded, or 0 for a
+// request whose body is too large to be hashed.
 func requestHash(d *wire.Dispatch) uint64 {
 	if len(d.Body) > maxHashedBody {
 		return 0
@@ -36,11 +36,12 @@
 	return max(hash, 1)
 }
 
-// recordFinished takes in how a run ended that didn't end the process. One that was answered
-// with a failure may not have come to what crashes it, as in an episode in which a backend
-// server fails all it gets at once. The gate's lock is held.
-func (g *Gate) recordFinished(now clock.Millis, j *job, a Response, err error) {
-	isSuccess := err == nil && !a.Shed && a.Status < fasthttp.StatusInternalServerError
+// recordFinished records for the crash tracker how a run ended. A run with a failure response
+// doesn't clear its request: the run may have failed before the point where the request crashes
+// the process, as in an episode in which a backend server fails all requests immediately. It is
+// called with the gate's lock held.
+func (g *Gate) recordFinished(now clock.Millis, j *job, response Response, err error) {
+	isSuccess := err == nil && !response.Shed && response.Status < fasthttp.StatusInternalServerError
 	if hash := requestHash(j.dispatch); isSuccess && hash != 0 && j.generation == g.generation {
 		if g.succeeded == nil {
 			g.succeeded = make([]uint64, maxSucceeded)
@@ -52,19 +53,21 @@
 	case isSuccess:
 		g.config.Crashes.RecordSuccess(j.dispatch)
 	case j.isTrial && !errors.Is(err, ErrRefused) && !errors.Is(err, ErrCrashed):
-		miss := g.newCrash(now)
-		miss.Suspects = append(miss.Suspects, newSuspect(now, j))
-		g.config.Crashes.RecordInconclusive(miss)
+		trial := g.newCrash(now)
+		trial.Suspects = append(trial.Suspects, newSuspect(now, j))
+		g.config.Crashes.RecordInconclusive(trial)
 	}
 }
 
-// hasSucceeded reports whether a request succeeded in this process before.
+// hasSucceeded reports whether the same request succeeded in this process before. It is called
+// with the gate's lock held.
 func (g *Gate) hasSucceeded(d *wire.Dispatch) bool {
 	hash := requestHash(d)
 	return hash != 0 && g.succeeded != nil && g.succeeded[hash%maxSucceeded] == hash
 }
 
-// quarantineAdmission says how a dispatch may run, by what is known of its request.
+// quarantineAdmission returns how a dispatch may run, given the quarantine status of its
+// request. It is called with the gate's lock held.
 func (g *Gate) quarantineAdmission(d *wire.Dispatch) quarantine.Admission {
 	if g.config.Crashes == nil {
 		return quarantine.Run
@@ -73,15 +76,16 @@
 	return s.Admit(quarantine.Verdict(d.Verdict), g.upstream.Version)
 }
 
-// admitSuspect decides how a job that is to begin may run: not at all, or later, beside no other
-// suspect. The gate's lock is held.
+// admitSuspect decides whether a job may begin. It returns a reason if the request is
+// quarantined, and isParked if the request is suspected and must wait until another suspect
+// ends. It is called with the gate's lock held.
 func (g *Gate) admitSuspect(j *job) (reason wire.Reason, isParked bool) {
 	switch g.quarantineAdmission(j.dispatch) {
 	case quarantine.Refuse:
 		return wire.ReasonQuarantined, false
 	case quarantine.Run:
 		return "", false
-	default: // on trial
+	default: // run alone, as a trial
 	}
 	if g.trialTicket != 0 && g.trialTicket != j.ticket {
 		g.parked = append(g.parked, j)
@@ -92,7 +96,7 @@
 	return "", false
 }
 
-// expireParked refuses a job whose time is over before its trial.
+// expireParked refuses a job whose deadline passed before its trial began.
 func (g *Gate) expireParked(j *job) {
 	g.mu.Lock()
 	before := len(g.parked)
@@ -104,8 +108,8 @@
 	}
 }
 
-// endTrial returns the jobs that waited for the end of a trial, which are looked at anew.
-// The gate's lock is held.
+// endTrial ends a job's trial, if it had one, and returns the calls that start the parked jobs
+// again; each is checked anew when it begins. It is called with the gate's lock held.
 func (g *Gate) endTrial(j *job) []func() {
 	if g.trialTicket != j.ticket {
 		return nil
--- a/gate/waiting_test.go
+++ b/gate/waiting_test.go
@@ -8,26 +8,26 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// An upstream begins to fail while confirmations wait for its slots. It fails fast, so its
-// slots were free first, and one waiter after the other was sent into it.
-func TestWaitersAreNotSentToAnUpstreamThatWasSetAside(t *testing.T) {
-	worse := make(chan struct{}, 8)
-	g, h, _, _ := guardedWith(t, func() { worse <- struct{}{} })
+// An upstream begins to fail while requests wait for its slots. Since it fails fast, its slots
+// become free first, and without a new admission check every waiter would be sent to it.
+func TestWaitersAreNotSentToAnEjectedUpstream(t *testing.T) {
+	changed := make(chan struct{}, 8)
+	g, h, _, _ := newGateOnChange(t, func() { changed <- struct{}{} })
 	h.isFailing = true
 	d := dispatch(1, "hangs")
 	d.MedianTime = 50
 	g.Handle(d, func(*wire.Reply) {})
 	<-h.begun
-	holds := make(chan *wire.Reservation, 1)
-	g.ProbeCapacity(&wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, WaitBudget: clock.Minute}, func(hold *wire.Reservation) { holds <- hold })
+	reservations := make(chan *wire.Reservation, 1)
+	g.ProbeCapacity(&wire.CapacityProbe{ID: wire.RequestID{Entry: 1, Seq: 2}, Attempt: 1, Upstream: "c1", Budget: clock.Minute, WaitBudget: clock.Minute}, func(r *wire.Reservation) { reservations <- r })
 	for g.Status().Severity < episode.EjectThreshold {
-		<-worse // until the run has lasted so long that the upstream is set aside
+		<-changed // until the run has lasted so long that the upstream is ejected
 	}
 	close(h.end)
-	if got := <-holds; got.Reserved || got.Reason != wire.ReasonEjected {
-		t.Errorf("got a slot: %v, %q; want it refused, as the upstream is set aside", got.Reserved, got.Reason)
+	if got := <-reservations; got.Reserved || got.Reason != wire.ReasonEjected {
+		t.Errorf("got reserved %v, reason %q; want the probe refused, since the upstream is ejected", got.Reserved, got.Reason)
 	}
 	if got := g.MetricsState().Running; got != 0 {
-		t.Errorf("got %d slots taken, want none", got)
+		t.Errorf("got %d slots in use, want none", got)
 	}
 }
--- a/gate/watch.go
+++ b/gate/watch.go
@@ -11,7 +11,7 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// runDetector is a judge that is told of runs before their outcomes.
+// runDetector is a detector that tracks runs from their beginning.
 type runDetector interface {
 	Begin(now clock.Millis, u episode.TypicalLatency) *episode.Run
 	End(now clock.Millis, r *episode.Run, o health.Observation) bool
@@ -19,23 +19,24 @@
 	HangProbability(now clock.Millis, r *episode.Run) float64
 }
 
-// watchRun looks at a run from time to time while it comes to no end. The gate's lock is held.
+// watchRun begins to observe a run and schedules its first check. It is called with the gate's
+// lock held.
 func (g *Gate) watchRun(now clock.Millis, j *job) {
 	next := now + g.detector.OverdueAfter()
-	if judge, ok := g.detector.(runDetector); ok {
-		j.run = judge.Begin(now, typicalLatency(j.dispatch))
-		next = judge.NextCheck(now, j.run)
+	if detector, ok := g.detector.(runDetector); ok {
+		j.run = detector.Begin(now, typicalLatency(j.dispatch))
+		next = detector.NextCheck(now, j.run)
 	}
 	j.timer = time.AfterFunc((next - now).Duration(), func() { g.checkRun(j) })
 }
 
-// typicalLatency is what an entry tells of the runs of a dispatch's route.
+// typicalLatency returns the latency of the dispatch's route as its entry reports it.
 func typicalLatency(d *wire.Dispatch) episode.TypicalLatency {
 	return episode.TypicalLatency{Median: d.MedianTime, Spread: d.LogStdDev, HangShare: episode.HangShare(d.Hanging)}
 }
 
-// checkRun takes in that a run has come to no end yet: a backend server that hangs gives no
-// outcome to count, and slots that are all held by a hang no other evidence.
+// checkRun evaluates a run that has not ended yet, and schedules the next check. A hung backend
+// server produces no outcomes, and once hung runs hold all slots there is no other evidence.
 func (g *Gate) checkRun(j *job) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,8 +45,8 @@
 	}
 	now := g.config.Now()
 	next := now + g.detector.OverdueAfter()
-	if judge, ok := g.detector.(runDetector); ok && j.run != nil {
-		next = judge.NextCheck(now, j.run)
+	if detector, ok := g.detector.(runDetector); ok && j.run != nil {
+		next = detector.NextCheck(now, j.run)
 	} else {
 		g.detector.Observe(now, health.Observation{Result: health.Overdue, Caller: j.dispatch.Caller, StillOverdue: j.overdue})
 		j.overdue = true
@@ -57,29 +58,30 @@
 	}
 }
 
-// hungThreshold is the probability of a hang at which the entry is told.
+// hungThreshold is the probability of a hang at which the entry is notified.
 const hungThreshold = 0.8
 
-// isHung reports whether a run most likely comes to no end while there is time for
-// another one elsewhere. The gate's lock is held.
+// isHung reports whether a repeatable run has most likely hung and there is time to run it
+// elsewhere. It is called with the gate's lock held.
 func (g *Gate) isHung(now clock.Millis, j *job) bool {
-	judge, ok := g.detector.(runDetector)
+	detector, ok := g.detector.(runDetector)
 	if !ok || j.run == nil || !j.dispatch.Repeatable || j.deadline-now < j.dispatch.MedianTime {
 		return false
 	}
-	return judge.HangProbability(now, j.run) >= hungThreshold
+	return detector.HangProbability(now, j.run) >= hungThreshold
 }
 
-// observeRun tells the judge what became of a run.
-func (g *Gate) observeRun(now clock.Millis, j *job, a Response, err error) {
-	result := resultOf(a, err, j.deadline-j.began < g.detector.OverdueAfter())
+// observeRun passes the outcome of a run to the detector. A failure response counts as the
+// caller's fault if a dependency failed during the run. It is called with the gate's lock held.
+func (g *Gate) observeRun(now clock.Millis, j *job, response Response, err error) {
+	result := classifyResult(response, err, j.deadline-j.began < g.detector.OverdueAfter())
 	if result == health.Failed && err == nil && g.dependencyFailed(j.began, now) {
 		result = health.CallerFault
 	}
 	o := health.Observation{Result: result, Latency: now - j.began, Caller: j.dispatch.Caller, IsTruncated: errors.Is(err, ErrTruncated) || errors.Is(err, ErrCrashed)}
-	switch judge, ok := g.detector.(runDetector); {
+	switch detector, ok := g.detector.(runDetector); {
 	case ok && j.run != nil:
-		judge.End(now, j.run, o)
+		detector.End(now, j.run, o)
 	case !j.overdue:
 		g.detector.Observe(now, o)
 	}
