--- a/wire/crash.go
+++ b/wire/crash.go
@@ -8,15 +8,16 @@
 	"fuchsiapick.example/fuchsiapick/quarantine"
 )
 
-// CrashReport tells of backend servers that ended under their runs.
+// CrashReport carries a node's records of backend servers that crashed during runs.
 type CrashReport struct {
 	_       struct{} `cbor:",toarray"`
 	Crashes []Crash
-	// WantsReply says that all is told and wanted in return, as the digests differ.
+	// WantsReply is true if the sender has sent all its records and asks for all those of
+	// the receiver, because the two nodes' crash digests differ.
 	WantsReply bool
 }
 
-// Crash is the end of one backend server's process.
+// Crash is the record of one crash of a backend server's process.
 type Crash struct {
 	_         struct{} `cbor:",toarray"`
 	ID        uint64
@@ -25,50 +26,51 @@
 	Version   string
 	Upstreams int
 	Suspects  []Suspect
-	// Cleared has the bits of the suspects that came to their end since.
+	// Cleared is a bit mask over Suspects: those that have run to their end since.
 	Cleared uint64
-	// IsMiss says that it was a trial which showed nothing, and no end.
+	// IsMiss is true for an inconclusive trial: the process did not crash.
 	IsMiss bool
-	// Age is how long ago it was.
+	// Age is the time since the crash, or since the inconclusive trial.
 	Age clock.Millis
 }
 
-// Suspect is a request that ran as the process ended.
+// Suspect is a request that was running when the process crashed.
 type Suspect struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint []byte
 	Hint        uint64
 	Request     string
-	Ran         clock.Millis
-	IsTrial     bool
+	// Ran is how long the request had been running.
+	Ran     clock.Millis
+	IsTrial bool
 }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*CrashReport) Kind() Kind { return KindCrashReport }
 
-// maxCrashes bounds the ends in one frame: with as many runs as one may have they take
-// less than half of what every node reads.
+// maxCrashes bounds the crashes in one frame. Even with the maximum number of suspects in
+// each, the frame takes less than half of the frame size that every node accepts.
 const maxCrashes = 64
 
-// NewCrashReports writes ends for peers, in one frame or several.
-func NewCrashReports(now clock.Millis, ends []quarantine.Crash) []*CrashReport {
-	var frames []*CrashReport
-	for part := range slices.Chunk(ends, maxCrashes) {
-		frames = append(frames, newCrashReport(now, part))
+// NewCrashReports converts crashes to reports of at most maxCrashes each.
+func NewCrashReports(now clock.Millis, crashes []quarantine.Crash) []*CrashReport {
+	var reports []*CrashReport
+	for part := range slices.Chunk(crashes, maxCrashes) {
+		reports = append(reports, newCrashReport(now, part))
 	}
-	return frames
+	return reports
 }
 
-func newCrashReport(now clock.Millis, ends []quarantine.Crash) *CrashReport {
-	m := &CrashReport{Crashes: make([]Crash, 0, len(ends))}
-	for i := range ends {
-		e := &ends[i]
+func newCrashReport(now clock.Millis, crashes []quarantine.Crash) *CrashReport {
+	m := &CrashReport{Crashes: make([]Crash, 0, len(crashes))}
+	for i := range crashes {
+		from := &crashes[i]
 		c := Crash{
-			ID: e.ID, Service: e.Service, Upstream: e.Upstream, Version: e.Version, Upstreams: e.Upstreams,
-			Suspects: make([]Suspect, 0, len(e.Suspects)), Cleared: e.Cleared, IsMiss: e.IsInconclusive, Age: now - e.At,
+			ID: from.ID, Service: from.Service, Upstream: from.Upstream, Version: from.Version, Upstreams: from.Upstreams,
+			Suspects: make([]Suspect, 0, len(from.Suspects)), Cleared: from.Cleared, IsMiss: from.IsInconclusive, Age: now - from.At,
 		}
-		for j := range e.Suspects {
-			s := &e.Suspects[j]
+		for j := range from.Suspects {
+			s := &from.Suspects[j]
 			c.Suspects = append(c.Suspects, Suspect{
 				Fingerprint: s.Fingerprint[:], Hint: s.Hint, Request: s.Request, Ran: s.Elapsed, IsTrial: s.IsTrial,
 			})
@@ -78,31 +80,33 @@
 	return m
 }
 
-// ToQuarantine reads ends that a peer has told. What no node writes is left out.
+// ToQuarantine converts the report to the form that package quarantine uses. It leaves
+// out crashes with a fingerprint of the wrong length, which no node sends.
 func (m *CrashReport) ToQuarantine(now clock.Millis) []quarantine.Crash {
-	ends := make([]quarantine.Crash, 0, len(m.Crashes))
+	crashes := make([]quarantine.Crash, 0, len(m.Crashes))
 	for i := range m.Crashes {
 		c := &m.Crashes[i]
-		e := quarantine.Crash{
+		crash := quarantine.Crash{
 			ID: c.ID, Service: c.Service, Upstream: c.Upstream, Version: c.Version, Upstreams: c.Upstreams,
 			Cleared: c.Cleared, IsInconclusive: c.IsMiss, At: now - max(c.Age, 0),
 		}
 		for j := range c.Suspects {
 			s := &c.Suspects[j]
 			if len(s.Fingerprint) == len(quarantine.Fingerprint{}) {
-				e.Suspects = append(e.Suspects, quarantine.Suspect{
+				crash.Suspects = append(crash.Suspects, quarantine.Suspect{
 					Fingerprint: quarantine.Fingerprint(s.Fingerprint), Hint: s.Hint, Request: s.Request, Elapsed: s.Ran, IsTrial: s.IsTrial,
 				})
 			}
 		}
-		if len(e.Suspects) == len(c.Suspects) {
-			ends = append(ends, e)
+		if len(crash.Suspects) == len(c.Suspects) {
+			crashes = append(crashes, crash)
 		}
 	}
-	return ends
+	return crashes
 }
 
-// QuarantineRequest is what makes the request of a dispatch the same as another.
+// QuarantineRequest returns the parts of the request by which quarantine recognizes a
+// repetition of it.
 func (d *Dispatch) QuarantineRequest() quarantine.Request {
 	r := quarantine.Request{Caller: d.Caller, Method: d.Method, URI: d.URI, Body: d.Body}
 	if !d.AnyHost {
@@ -113,8 +117,8 @@
 
 var hostName = []byte("Host")
 
-// Host returns the host that the Host field names, in lower case and without a port; nil
-// without the field.
+// Host returns the host of the Host field, in lower case and without its port. It returns
+// nil if there is no such field.
 func (h Headers) Host() []byte {
 	for name, value := range h.All() {
 		if bytes.EqualFold(name, hostName) {
@@ -124,7 +128,7 @@
 	return nil
 }
 
-// WithoutPort cuts the port off a host.
+// WithoutPort returns a host without its port.
 func WithoutPort(host []byte) []byte {
 	if colon := bytes.LastIndexByte(host, ':'); colon >= 0 && !bytes.HasSuffix(host, []byte{']'}) {
 		return host[:colon]
--- a/wire/proof.go
+++ b/wire/handshake.go
@@ -7,11 +7,11 @@
 	"encoding/binary"
 )
 
-// NonceSize is the length of a handshake's nonces in bytes.
+// NonceSize is the length of the handshake's nonces in bytes.
 const NonceSize = 16
 
-// Side tells the two proofs of a handshake apart, so that one can't be played
-// back as the other.
+// Side is a side of the handshake. It is part of the MAC, so that the MAC of one side
+// can't be replayed as that of the other.
 type Side string
 
 // The sides of a handshake.
@@ -27,18 +27,18 @@
 	return nonce
 }
 
-// ComputeMAC returns the proof that a side holds the secret, bound to both nonces
-// and to the identity that the side claims.
-func ComputeMAC(secret string, side Side, node string, incarnation uint64, own, peer []byte) []byte {
+// ComputeMAC returns the MAC by which a side proves that it holds the secret. The MAC
+// covers both nonces and the identity that the side claims.
+func ComputeMAC(secret string, side Side, node string, incarnation uint64, ownNonce, peerNonce []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(secret))
-	for _, part := range [][]byte{[]byte(side), []byte(node), binary.BigEndian.AppendUint64(nil, incarnation), own, peer} {
+	for _, part := range [][]byte{[]byte(side), []byte(node), binary.BigEndian.AppendUint64(nil, incarnation), ownNonce, peerNonce} {
 		mac.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
 		mac.Write(part)
 	}
 	return mac.Sum(nil)
 }
 
-// EqualMAC compares a proof in constant time.
+// EqualMAC compares two MACs in constant time.
 func EqualMAC(got, want []byte) bool {
 	return hmac.Equal(got, want)
 }
--- a/wire/headers.go
+++ b/wire/headers.go
@@ -5,12 +5,12 @@
 	"iter"
 )
 
-// Headers is a block of header fields, each "name:value\n". HTTP allows no line
-// break in either and no colon in a name. One block in place of a list of
-// strings makes one allocation a message in place of two a field.
+// Headers is a block of header fields, each written as "name:value\n". HTTP allows no
+// line break in names and values, and no colon in names. The block takes one allocation
+// per message, whereas a list of strings would take two per field.
 type Headers []byte
 
-// Add returns the block with one more field.
+// Add appends a field and returns the extended block.
 func (h Headers) Add(name, value []byte) Headers {
 	h = append(h, name...)
 	h = append(h, ':')
@@ -18,8 +18,8 @@
 	return append(h, '\n')
 }
 
-// All yields the fields. A line without a colon, which only a broken peer
-// sends, is passed over.
+// All iterates over the fields. It skips lines without a colon, which only a faulty peer
+// sends.
 func (h Headers) All() iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for line := range bytes.Lines(h) {
@@ -36,11 +36,11 @@
 	[]byte("Upgrade"), []byte("TE"), []byte("Trailer"), []byte("Proxy-Connection"),
 }
 
-// IsHopByHop reports fields that are about one connection only and are not
-// handed on, and those that the whole body's length replaces.
+// IsHopByHop reports whether a header field isn't forwarded: it concerns one connection
+// only, or it frames the body, whose whole length the message carries instead.
 func IsHopByHop(name []byte) bool {
-	for _, one := range hopByHopHeaders {
-		if bytes.EqualFold(one, name) {
+	for _, header := range hopByHopHeaders {
+		if bytes.EqualFold(header, name) {
 			return true
 		}
 	}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -7,30 +7,31 @@
 	"fuchsiapick.example/fuchsiapick/lease"
 )
 
-// RequestName is the name by which logs and backend servers know a request: the one
-// that its caller gave it, else its id.
-func RequestName(label string, id RequestID) string {
-	if label != "" {
-		return label
+// RequestName returns the name of a request in logs and towards backend servers: the id
+// that its caller gave it, or else its RequestID.
+func RequestName(callerID string, id RequestID) string {
+	if callerID != "" {
+		return callerID
 	}
 	return id.String()
 }
 
-// RequestID names one request of a caller in the whole fleet.
+// RequestID identifies a request throughout the fleet.
 type RequestID struct {
 	_ struct{} `cbor:",toarray"`
-	// Entry is the incarnation of the entry that received the request.
+	// Entry is the incarnation of the entry that received the request from its caller.
 	Entry uint64
-	// Seq counts the requests of that incarnation.
+	// Seq is the sequence number of the request within that incarnation.
 	Seq uint64
 }
 
-// Key is the key by which gates and paths know one of the request's attempts.
+// Key returns the key that identifies one of the request's attempts at gates and links.
 func (id RequestID) Key(attempt uint8) lease.Key {
 	return lease.Key{Entry: id.Entry, Seq: id.Seq, Attempt: attempt}
 }
 
-// String writes the id as logs, headers and reports show it.
+// String returns the id as logs, headers and reports show it: both numbers in
+// hexadecimal, with a hyphen between them.
 func (id RequestID) String() string {
 	buf := make([]byte, 0, 33)
 	buf = strconv.AppendUint(buf, id.Entry, 16)
@@ -39,34 +40,36 @@
 	return string(buf)
 }
 
-// Baseline is what is usual for a service: the median over its gates.
+// Baseline holds the typical failure rate and latency of a service: medians over its
+// gates.
 type Baseline struct {
 	_           struct{} `cbor:",toarray"`
 	Known       bool
 	FailureRate float64
-	// Latency is the median time of an answer.
+	// Latency is the median response time.
 	Latency clock.Millis
-	// Tail is the time that one answer in ten exceeds.
+	// Tail is the response time that one answer in ten exceeds.
 	Tail clock.Millis
-	// Age is how old the figures are.
+	// Age is the age of the figures.
 	Age clock.Millis
 }
 
-// Upstream is what a gate says of its upstream on every reply and heartbeat.
+// Upstream is a gate's status of its upstream, sent with every reply and heartbeat.
 type Upstream struct {
 	_        struct{} `cbor:",toarray"`
 	Name     string
 	State    uint8
 	Severity float64
-	// Share is the part of normal load to give it, from 0 to 1.
+	// Share is the part of its normal load that entries should send it, from 0 to 1.
 	Share    float64
 	InFlight int
 	Waiting  int
-	// Until is how much longer the state holds at least.
+	// Until is the minimum time for which the state will still hold.
 	Until   clock.Millis
 	Leaving bool
-	// Down says that nothing listens at the backend server's address.
-	Down  bool
+	// Down is true if nothing listens at the backend server's address.
+	Down bool
+	// Local is the baseline of this gate alone.
 	Local Baseline
 }
 
@@ -79,7 +82,7 @@
 	Nonce       []byte
 }
 
-// Proof answers a challenge: the dialling node holds the shared secret.
+// Proof answers a challenge and proves that the dialling node holds the shared secret.
 type Proof struct {
 	_     struct{} `cbor:",toarray"`
 	Node  string
@@ -88,12 +91,12 @@
 	MAC   []byte
 }
 
-// Welcome ends the handshake: the accepting node holds the secret too and is
-// the node that was dialled.
+// Welcome ends the handshake. It proves that the accepting node holds the secret too and
+// is the node that was dialled.
 type Welcome struct {
 	_   struct{} `cbor:",toarray"`
 	MAC []byte
-	// Time is the gate's clock, from which leases are made.
+	// Time is the time on the clock of the gate's node, from which leases are computed.
 	Time clock.Millis
 }
 
@@ -102,71 +105,72 @@
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
-	// CallerRequestID is the id that the caller gave the request, empty without one.
+	// CallerRequestID is the id that the caller gave the request; empty if it gave none.
 	CallerRequestID string
-	// Incarnation is the gate's, as the entry knows it.
+	// Incarnation is that of the gate's node, as far as the entry knows.
 	Incarnation uint64
-	// Lease is the latest instant of the gate's clock at which the gate may
-	// still begin the request.
+	// Lease is the latest time, on the gate's clock, at which the gate may still begin the
+	// request.
 	Lease clock.Millis
-	// Budget is what is left of the request's deadline.
+	// Budget is the time left until the request's deadline.
 	Budget   clock.Millis
 	Upstream string
 	Caller   string
-	// Account is the client account whose key the request came with, empty without one.
+	// Account is the client account whose key the request carried; empty if it carried none.
 	Account    string
 	Method     string
 	URI        string
 	Headers    Headers
 	Body       []byte
 	Repeatable bool
-	// Retry says that an upstream has got the request before, or may have.
+	// Retry is true if an upstream has received the request before, or may have.
 	Retry bool
-	// AnyHost says that the request's route is one for all hosts.
+	// AnyHost is true if the request's route applies to all hosts.
 	AnyHost bool
-	// Verdict is what the entry knows of the request, a quarantine.Verdict.
+	// Verdict is the entry's quarantine.Verdict on the request.
 	Verdict uint8
-	// Priority ranks it among those that wait for a slot, 0 first.
+	// Priority orders the request among those that wait for a slot; 0 goes first.
 	Priority int
-	// MedianTime and Spread are the median time of the route's runs and the standard
-	// deviation of its logarithm; 0 where the entry doesn't know.
+	// MedianTime is the median run time on the route, LogStdDev the standard deviation of
+	// the run time's logarithm. Both are 0 if the entry doesn't know them.
 	MedianTime clock.Millis
 	LogStdDev  float64
-	// Hanging is how the service's upstreams fail, a grade.Hanging.
+	// Hanging is the episode.HangShare of the service: which part of the failing runs hang.
 	Hanging uint8
-	// NoQueue asks for a free slot: the dispatch doesn't wait for one.
+	// NoQueue asks for a slot that is free now: the dispatch must not be queued.
 	NoQueue bool
-	// Forced asks the gate to serve in spite of its verdict, for the floor.
+	// Forced asks the gate to run the request in spite of its verdict, for the floor.
 	Forced   bool
 	Baseline Baseline
-	// Key is the caller's idempotency key, empty without one.
+	// Key is the caller's idempotency key; empty if it gave none.
 	Key string
-	// Digest tells the keyed request from others.
+	// Digest is the digest of a request with a key, by which gates detect that the key was
+	// used for another request.
 	Digest []byte
-	// Resend is the number that the caller gave a marked resend; 0 without.
+	// Resend is the number that the caller gave a resend; 0 for a first send.
 	Resend uint32
-	// LeaseSpan is the time from the entry's receipt of the request to the end of
-	// the lease.
+	// LeaseSpan is the time from the entry's receipt of the request to the end of the
+	// lease.
 	LeaseSpan clock.Millis
 }
 
-// Outcome says what became of a dispatch at its gate.
+// Outcome is the result of a dispatch at its gate.
 type Outcome uint8
 
 // The outcomes of a dispatch. Their numbers are part of the format.
 const (
-	// NotRun is definite: the upstream never saw the request and never will.
+	// NotRun means that the upstream has not received the request and never will.
 	NotRun Outcome = iota + 1
-	// Answered means that the upstream gave a whole answer.
+	// Answered means that the upstream returned a complete answer.
 	Answered
-	// Broken means that the upstream got the request and gave no whole answer.
+	// Broken means that the upstream received the request but returned no complete answer.
 	Broken
 )
 
-// Reason says why a gate did not run a request or got no answer.
+// Reason says why a gate did not run a request or received no complete answer.
 type Reason string
 
-// The reasons. They stand in headers, logs, metrics and reports.
+// The reasons. They appear in headers, logs, metrics and reports.
 const (
 	ReasonEjected           Reason = "set-aside"
 	ReasonLeaving           Reason = "leaving"
@@ -180,55 +184,55 @@
 	ReasonRetryBudget       Reason = "retry-budget"
 	ReasonTimeout           Reason = "timeout"
 	ReasonTruncated         Reason = "torn-answer"
-	// ReasonHung means that the entry gave the run up for a place at another upstream:
-	// most likely it would have come to no end.
+	// ReasonHung means that the entry abandoned the run, which had most likely hung, and
+	// sent the request to another upstream.
 	ReasonHung Reason = "stalled"
-	// ReasonCrashed means that the backend server's process ended under the run.
+	// ReasonCrashed means that the backend server's process crashed during the run.
 	ReasonCrashed Reason = "backend-crashed"
 	// ReasonQuarantined means that the request crashes the backend servers that run it.
 	ReasonQuarantined   Reason = "quarantined"
 	ReasonReplyTooLarge Reason = "answer-too-large"
-	// ReasonMismatchedReply means an answer that isn't the request's own.
+	// ReasonMismatchedReply means that the answer belongs to another request.
 	ReasonMismatchedReply Reason = "foreign-answer"
-	// ReasonCallerLeft means that the caller has left.
+	// ReasonCallerLeft means that the caller disconnected before the answer.
 	ReasonCallerLeft Reason = "caller-left"
-	// ReasonKeyRevoked means that a resend has voided the key of this send.
+	// ReasonKeyRevoked means that a resend has revoked the key for this send.
 	ReasonKeyRevoked Reason = "key-voided"
 	// ReasonKeyReused means that the key was used for another request.
 	ReasonKeyReused Reason = "key-reused"
-	// ReasonKeyRunning means that an earlier send of the key runs.
+	// ReasonKeyRunning means that an earlier send of the key is still running.
 	ReasonKeyRunning Reason = "key-running"
-	// ReasonReplyNotKept means that an earlier send ran without a kept answer.
+	// ReasonReplyNotKept means that an earlier send ran and its answer was not kept.
 	ReasonReplyNotKept Reason = "answer-not-kept"
-	// ReasonKeyPredatesNode means that the node can't tell whether the key was
-	// voided, for it started since.
+	// ReasonKeyPredatesNode means that the node can't tell whether the key was revoked,
+	// because it started after the key's first send.
 	ReasonKeyPredatesNode Reason = "key-older-than-node"
 )
 
-// Reply is a gate's answer to a dispatch. A body longer than ChunkSize goes on
-// in Chunk frames.
+// Reply is a gate's answer to a dispatch. A body longer than ChunkSize continues in Chunk
+// messages.
 type Reply struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
 	Outcome Outcome
 	Reason  Reason
-	// RetryAfter is when to come back, for a request that was not run.
+	// RetryAfter is the delay after which to retry a request that was not run.
 	RetryAfter clock.Millis
 	Status     int
 	Headers    Headers
-	// Length is the whole body's, Body its beginning.
+	// Length is the length of the whole body, Body its first part.
 	Length   int
 	Body     []byte
 	Time     clock.Millis
 	Upstream Upstream
-	// Took is how long the run lasted at the upstream.
+	// Took is the duration of the run at the upstream.
 	Took clock.Millis
-	// Replay marks the answer of an earlier send of the same key.
+	// Replay is true if the answer is that of an earlier send of the same key.
 	Replay bool
 }
 
-// Chunk carries the body bytes of a reply from Offset on.
+// Chunk carries body bytes of a reply, starting at Offset.
 type Chunk struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
@@ -237,8 +241,8 @@
 	Data    []byte
 }
 
-// Resolve asks a gate what became of a dispatch and forbids it to begin one
-// that it has not begun.
+// Resolve asks a gate for the outcome of a dispatch. A dispatch that the gate has not
+// begun is revoked.
 type Resolve struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
@@ -247,89 +251,87 @@
 	Incarnation uint64
 	Upstream    string
 	Lease       clock.Millis
-	// Abandon says that the caller has left: a dispatch that has begun and may
-	// run more than once is broken off.
+	// Abandon is true if the caller has left. The gate then aborts a dispatch that has
+	// begun, provided that it may run more than once.
 	Abandon bool
 }
 
-// Resolution answers Settle for a dispatch without a reply yet.
+// Resolution answers a Resolve for a dispatch that has no reply yet.
 type Resolution struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
 	Attempt uint8
-	// Revoked is true for a dispatch that was not run and never will be; false
-	// for one that has begun or that the gate can't vouch for.
+	// Revoked is true for a dispatch that was not run and never will be. It is false for a
+	// dispatch that has begun or that the gate has no record of.
 	Revoked bool
-	// Unknown is true for one that the gate can't vouch for: no reply will
-	// follow.
+	// Unknown is true for a dispatch that the gate has no record of: no reply will follow.
 	Unknown bool
 	Time    clock.Millis
 }
 
-// Heartbeat is the heartbeat of a link, both ways.
+// Heartbeat is sent over a link at regular intervals, in both directions.
 type Heartbeat struct {
 	_ struct{} `cbor:",toarray"`
-	// Time is the sender's clock.
+	// Time is the time on the sender's clock.
 	Time clock.Millis
-	// Echo echoes the Time of the last beat that the sender heard from the
-	// receiver; 0 means none yet.
+	// Echo is the Time of the last heartbeat that the sender received from the receiver;
+	// 0 means none yet.
 	Echo clock.Millis
-	// Version and Digest name the table edition that the sender has in force.
+	// Version and Digest identify the table that the sender has in force.
 	Version uint64
 	Digest  string
 	Leaving bool
-	// CrashDigest sums up what the sender knows of backend servers that ended under their
-	// runs; 0 for nothing.
+	// CrashDigest is the digest of the sender's crash records; 0 if it has none.
 	CrashDigest uint64
-	// Upstreams holds all those beside the sender: their figures age at the
-	// receiver, so that unchanged ones are said again.
+	// Upstreams holds the status of all upstreams beside the sender, also of those whose
+	// status is unchanged, because the figures age at the receiver.
 	Upstreams []Upstream
 }
 
-// TableRequest asks a peer for the table edition that it has in force, if that goes
-// before the asker's own, which Version and Digest name.
+// TableRequest asks a peer for the table that the peer has in force, if it is newer than
+// the sender's own, which Version and Digest identify.
 type TableRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Digest  string
 }
 
-// TableVersion carries a whole table as it was published.
+// TableVersion carries the complete text of a table as it was published.
 type TableVersion struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Text    []byte
 }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Challenge) Kind() Kind { return KindChallenge }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Proof) Kind() Kind { return KindProof }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Welcome) Kind() Kind { return KindWelcome }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Dispatch) Kind() Kind { return KindDispatch }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Reply) Kind() Kind { return KindReply }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Chunk) Kind() Kind { return KindChunk }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Resolve) Kind() Kind { return KindResolve }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Resolution) Kind() Kind { return KindResolution }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*Heartbeat) Kind() Kind { return KindHeartbeat }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*TableRequest) Kind() Kind { return KindTableRequest }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*TableVersion) Kind() Kind { return KindTableVersion }
--- a/wire/quota.go
+++ b/wire/quota.go
@@ -5,67 +5,72 @@
 	"fuchsiapick.example/fuchsiapick/quota"
 )
 
-// QuotaRequest asks the home of a client account for leave to send requests.
+// QuotaRequest asks the home of a client account for permission to send requests.
 type QuotaRequest struct {
 	_ struct{} `cbor:",toarray"`
-	// Seq is the asking node's own number of it.
+	// Seq is the sequence number of the quota request at the asking node.
 	Seq     uint64
 	Account string
-	// Rate and Burst are what the asking node's table says of the account.
-	Rate, Burst     float64
+	// Rate and Burst are the account's limits in the asking node's table.
+	Rate, Burst float64
+	// Count is the number of requests that wait for permission, Returned the number of
+	// requests that had permission and were not run.
 	Count, Returned int
-	// Left is what the home asked before, known by its mark Told, had left, Age ago; where
-	// IsTold.
+	// HasHint is true if the asking node has asked another home before: HintHome, which
+	// had Left requests left at a time Age ago.
 	HasHint  bool
 	Left     float64
 	Age      clock.Millis
 	HintHome uint32
-	// SkippedHomes is how many homes that go before this one were out of reach.
+	// SkippedHomes is the number of homes ahead of this one that the asking node could not
+	// reach.
 	SkippedHomes int
-	// IsRelayed says that another home asks for a node that can't reach this one.
+	// IsRelayed is true if another home asks on behalf of a node that can't reach this one.
 	IsRelayed bool
 }
 
-// QuotaGrant answers a Draw.
+// QuotaGrant answers a QuotaRequest.
 type QuotaGrant struct {
 	_       struct{} `cbor:",toarray"`
 	Seq     uint64
 	Granted int
-	// RetryAfter is when those that weren't granted may come back, in their order.
+	// RetryAfter holds the delays after which the requests that were not granted may be
+	// retried, in their order.
 	RetryAfter []clock.Millis
-	Left       float64
-	// Home is the mark of the node that granted.
+	// Left is how many more requests the home would have granted.
+	Left float64
+	// Home is the ID of the node that granted.
 	Home uint32
 }
 
-// NewQuotaRequest is the frame of a draw.
-func NewQuotaRequest(seq uint64, d quota.Request) *QuotaRequest {
+// NewQuotaRequest converts a quota request to its message form.
+func NewQuotaRequest(seq uint64, r quota.Request) *QuotaRequest {
 	return &QuotaRequest{
-		Seq: seq, Account: d.Account, Rate: d.Limit.Rate, Burst: d.Limit.Burst, Count: d.Count, Returned: d.Returned,
-		HasHint: d.Hint.Known, Left: RoundFloat(d.Hint.Left), Age: d.Hint.Age, HintHome: d.HintHome,
+		Seq: seq, Account: r.Account, Rate: r.Limit.Rate, Burst: r.Limit.Burst, Count: r.Count, Returned: r.Returned,
+		HasHint: r.Hint.Known, Left: RoundFloat(r.Hint.Left), Age: r.Hint.Age, HintHome: r.HintHome,
 	}
 }
 
-// ToQuota is the draw without its frame.
-func (d *QuotaRequest) ToQuota() quota.Request {
+// ToQuota converts the message to the form that package quota uses.
+func (r *QuotaRequest) ToQuota() quota.Request {
 	return quota.Request{
-		Account: d.Account, Limit: quota.Limit{Rate: d.Rate, Burst: d.Burst}, Count: d.Count, Returned: d.Returned,
-		Hint: quota.Hint{Known: d.HasHint, Left: d.Left, Age: d.Age}, HintHome: d.HintHome,
+		Account: r.Account, Limit: quota.Limit{Rate: r.Rate, Burst: r.Burst}, Count: r.Count, Returned: r.Returned,
+		Hint: quota.Hint{Known: r.HasHint, Left: r.Left, Age: r.Age}, HintHome: r.HintHome,
 	}
 }
 
-// NewQuotaGrant is the frame of a grant.
+// NewQuotaGrant converts a grant to its message form.
 func NewQuotaGrant(seq uint64, g quota.Grant) *QuotaGrant {
 	return &QuotaGrant{Seq: seq, Granted: g.Granted, RetryAfter: g.RetryAfter, Left: RoundFloat(g.Left), Home: g.Home}
 }
 
-// ToQuota is the grant without its frame.
-func (d *QuotaGrant) ToQuota() quota.Grant {
-	return quota.Grant{Granted: d.Granted, RetryAfter: d.RetryAfter, Left: d.Left, Home: d.Home}
+// ToQuota converts the message to the form that package quota uses.
+func (g *QuotaGrant) ToQuota() quota.Grant {
+	return quota.Grant{Granted: g.Granted, RetryAfter: g.RetryAfter, Left: g.Left, Home: g.Home}
 }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*QuotaRequest) Kind() Kind { return KindQuotaRequest }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*QuotaGrant) Kind() Kind { return KindQuotaGrant }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,8 +1,8 @@
 // Package wire defines the messages between nodes and their encoding.
 //
-// A message travels as one binary WebSocket message: a byte that names its
-// kind, then the message's fields as one CBOR array. Whatever comes from a
-// peer is bounded in size, depth and element counts before it is decoded.
+// Each message is sent as one binary WebSocket message, called a frame: one byte for the
+// kind of the message, then the message's fields as a CBOR array. The size, nesting depth
+// and element counts of a peer's frame are limited before it is decoded.
 package wire
 
 import (
@@ -13,30 +13,31 @@
 	"github.com/juju/errors"
 )
 
-// Format is the version of the messages. Nodes of different formats refuse
-// each other's links.
+// Format is the version of the message format. Nodes with different formats refuse links
+// to one another.
 const Format = 8
 
-// Bounds on what a peer may send.
+// Limits on the frames that a peer may send.
 const (
-	// MaxOverhead is the most that a frame may take beside the body it carries.
+	// MaxOverhead is the maximum size of a frame in bytes, not counting the body that it
+	// carries.
 	MaxOverhead = 64 << 10
-	// ChunkSize is the most body bytes in one frame of an answer, so that a
-	// large answer doesn't hold up small ones on the same link.
+	// ChunkSize is the maximum number of body bytes in one frame of an answer. It keeps a
+	// large answer from delaying small answers on the same link.
 	ChunkSize = 64 << 10
-	// MaxItems bounds the entries of one array: what has more can't be read.
+	// MaxItems is the maximum number of elements of an array. Decode rejects longer arrays.
 	MaxItems = 4096
 	maxDepth = 8
 )
 
-// Faults of a frame that a peer sent.
+// Errors of Decode and Unpack.
 const (
 	ErrFrame    = errors.ConstError("malformed frame")
-	ErrKind     = errors.ConstError("unknown kind of frame")
-	ErrTooLarge = errors.ConstError("frame over the bound")
+	ErrKind     = errors.ConstError("unknown frame kind")
+	ErrTooLarge = errors.ConstError("frame over the size limit")
 )
 
-// Kind says which message a frame carries.
+// Kind is the kind of the message that a frame carries.
 type Kind uint8
 
 // The kinds of frames. Their numbers are part of the format.
@@ -65,8 +66,9 @@
 	KindHungRun
 )
 
-// Message is one of the message types of this package, by pointer.
+// Message is a pointer to one of the message types of this package.
 type Message interface {
+	// Kind returns the kind by which a frame identifies the message.
 	Kind() Kind
 }
 
@@ -83,17 +85,18 @@
 	return mode
 }
 
-// RoundFloat rounds a figure to some three digits, with which it takes 3 bytes in place of
-// 9. Heartbeats are most of what crosses between failure domains at rest, and hold
-// two such figures for each upstream.
+// RoundFloat rounds a number to about three significant digits, so that it is encoded in
+// 3 bytes rather than 9. Heartbeats are most of the traffic between failure domains when
+// there are few requests, and each holds two such numbers per upstream.
 func RoundFloat(x float64) float64 {
 	const bits = 1 << 10
 	fraction, exponent := math.Frexp(x)
 	return math.Ldexp(math.Round(fraction*bits)/bits, exponent)
 }
 
-// A peer that nests or lengthens without bound would take the node's memory or
-// stack; the decoder refuses such input before it allocates for it.
+// mustDecoder returns a decoder that rejects input over its limits before it allocates
+// memory for it. Unbounded nesting or lengths would let a peer exhaust the node's memory
+// or stack.
 func mustDecoder() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:   maxDepth,
@@ -109,25 +112,25 @@
 	return mode
 }
 
-// Encode returns the frame of a message.
+// Encode returns a message as a frame.
 func Encode(m Message) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := EncodeTo(&buffer, m)
 	return buffer.Bytes(), err
 }
 
-// EncodeTo appends the frame of a message to a buffer.
+// EncodeTo appends a message to a buffer as a frame.
 func EncodeTo(buffer *bytes.Buffer, m Message) error {
 	buffer.WriteByte(byte(m.Kind()))
 	err := encoder.MarshalToBuffer(m, buffer)
 	return errors.Annotatef(err, "encoding frame of kind %d", m.Kind())
 }
 
-// Decode reads one frame. It returns ErrLarge, ErrKind or ErrFrame for input
-// that no node of this format sends.
+// Decode decodes a frame of at most limit bytes. It returns ErrTooLarge for a longer
+// frame, ErrKind for an unknown kind and ErrFrame for a malformed frame.
 func Decode(frame []byte, limit int) (Message, error) {
 	if len(frame) > limit {
-		return nil, errors.Annotatef(ErrTooLarge, "%d bytes, at most %d", len(frame), limit)
+		return nil, errors.Annotatef(ErrTooLarge, "%d bytes, limit is %d", len(frame), limit)
 	}
 	if len(frame) == 0 {
 		return nil, errors.Annotate(ErrFrame, "empty")
@@ -142,7 +145,7 @@
 	return m, nil
 }
 
-// constructors make an empty message of each kind.
+// constructors holds a constructor of an empty message for each kind.
 var constructors = [...]func() Message{
 	KindChallenge:          func() Message { return new(Challenge) },
 	KindProof:              func() Message { return new(Proof) },
@@ -169,6 +172,7 @@
 	KindHungRun:            func() Message { return new(HungRun) },
 }
 
+// newMessage returns an empty message of a kind, or nil for an unknown kind.
 func newMessage(k Kind) Message {
 	if int(k) >= len(constructors) || constructors[k] == nil {
 		return nil
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -16,7 +16,7 @@
 
 const limit = 1 << 20
 
-func messages() []wire.Message {
+func sampleMessages() []wire.Message {
 	id := wire.RequestID{Entry: 7, Seq: 9}
 	return []wire.Message{
 		&wire.Challenge{Format: wire.Format, Node: "127.0.0.1:1", Incarnation: 3, Nonce: wire.Nonce()},
@@ -41,8 +41,8 @@
 	}
 }
 
-func TestDecodeReadsWhatEncodeWrote(t *testing.T) {
-	for _, m := range messages() {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
+	for _, m := range sampleMessages() {
 		frame, err := wire.Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -51,17 +51,17 @@
 		if err != nil {
 			t.Fatalf("kind %d: got error %v", m.Kind(), err)
 		}
-		again, err := wire.Encode(got)
-		if err != nil || !bytes.Equal(again, frame) {
-			t.Errorf("kind %d: got %x, want %x (%v)", m.Kind(), again, frame, err)
+		reencoded, err := wire.Encode(got)
+		if err != nil || !bytes.Equal(reencoded, frame) {
+			t.Errorf("kind %d: got %x, want %x (%v)", m.Kind(), reencoded, frame, err)
 		}
 	}
 }
 
-// A peer with a fault, or a stranger, sends frames that nest or lengthen
-// without bound. Decoded as they claim, they would take the node's stack or
-// memory, and every request of its callers with it.
-func TestDecodeRefuses(t *testing.T) {
+// Guards against exhaustion of the node's stack or memory by frames of a faulty or unknown
+// peer with unbounded nesting or lengths, which would fail all requests of the node's
+// callers.
+func TestDecodeRejectsMalformedFrames(t *testing.T) {
 	nested := append([]byte{byte(wire.KindTableRequest)}, bytes.Repeat([]byte{0x81}, 10000)...)
 	tests := []struct {
 		name  string
@@ -77,7 +77,7 @@
 		{"indefinite length", []byte{byte(wire.KindTableRequest), 0x9f, 0x01, 0xff}, wire.ErrFrame},
 		{"too few fields", []byte{byte(wire.KindResolution), 0x81, 0x01}, wire.ErrFrame},
 		{"trailing bytes", []byte{byte(wire.KindTableRequest), 0x82, 0x01, 0x61, 0x61, 0x01}, wire.ErrFrame},
-		{"over the bound", make([]byte, limit+1), wire.ErrTooLarge},
+		{"over the size limit", make([]byte, limit+1), wire.ErrTooLarge},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range messages() {
+	for _, m := range sampleMessages() {
 		frame, err := wire.Encode(m)
 		if err != nil {
 			f.Fatal(err)
@@ -117,14 +117,14 @@
 			return
 		}
 		if _, err := wire.Encode(m); err != nil {
-			t.Errorf("got error %v encoding what was decoded", err)
+			t.Errorf("got error %v encoding a decoded message", err)
 		}
 	})
 }
 
-// What one node tells all others is read back as it was, and a peer can't take the
-// memory of a node with a small frame that grows.
-func TestPackedValues(t *testing.T) {
+// Packed values decode to what was encoded, and a small frame that decompresses to a huge
+// one can't exhaust a node's memory.
+func TestPackUnpack(t *testing.T) {
 	want := []string{"conferme", "conferme", "squadre"}
 	packed, err := wire.Pack(want)
 	if err != nil {
@@ -135,66 +135,67 @@
 		t.Errorf("got %v and %v, want %v", got, err, want)
 	}
 	if err := wire.Unpack(packed[:len(packed)/2], &got); !errors.Is(err, wire.ErrFrame) {
-		t.Errorf("torn: got %v, want %v", err, wire.ErrFrame)
+		t.Errorf("truncated: got %v, want %v", err, wire.ErrFrame)
 	}
-	bomb, err := wire.Pack(make([]byte, 8<<20))
+	oversized, err := wire.Pack(make([]byte, 8<<20))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var body []byte
-	if err := wire.Unpack(bomb, &body); !errors.Is(err, wire.ErrTooLarge) {
-		t.Errorf("%d bytes that grow to 8 MiB: got %v, want %v", len(bomb), err, wire.ErrTooLarge)
+	if err := wire.Unpack(oversized, &body); !errors.Is(err, wire.ErrTooLarge) {
+		t.Errorf("%d bytes that decompress to 8 MiB: got %v, want %v", len(oversized), err, wire.ErrTooLarge)
 	}
 }
 
-// Heartbeats go over each link of a fleet every two seconds: 6,480 links of 81 nodes.
-// Figures to sixteen digits took 27 bytes of each.
-func TestBeatIsSmall(t *testing.T) {
-	beat := &wire.Heartbeat{
+// Guards against large heartbeats: 81 nodes have 6,480 links, each with a heartbeat every
+// two seconds. Numbers with sixteen digits took 27 bytes of each heartbeat.
+func TestHeartbeatIsSmall(t *testing.T) {
+	heartbeat := &wire.Heartbeat{
 		Time: 60_000, Echo: 59_000, Version: 4000,
 		Upstreams: []wire.Upstream{{Name: "i-7f3a91c2d4", Share: wire.RoundFloat(1), Severity: wire.RoundFloat(0.0123456789), InFlight: 3}},
 	}
-	frame, err := wire.Encode(beat)
+	frame, err := wire.Encode(heartbeat)
 	if err != nil || len(frame) > 50 {
 		t.Errorf("got %d bytes and %v, want at most 50", len(frame), err)
 	}
 	for _, x := range []float64{0, 0.002, 0.0123456789, 0.5, 0.998, 1} {
 		if got := wire.RoundFloat(x); got < x*0.999 || got > x*1.001 {
-			t.Errorf("got %v for %v, want it within a thousandth", got, x)
+			t.Errorf("got %v for %v, want a deviation of at most a thousandth", got, x)
 		}
 	}
 }
 
-// Guards against a link that breaks since one frame holds more crashes than a node reads.
-func TestCrashesFitIntoFrames(t *testing.T) {
+// Guards against a link that breaks because one frame holds more crashes than the receiver
+// accepts.
+func TestCrashReportsFitIntoFrames(t *testing.T) {
 	suspects := make([]quarantine.Suspect, quarantine.MaxSuspects)
 	name := strings.Repeat("x", 64)
 	for i := range suspects {
 		suspects[i] = quarantine.Suspect{Fingerprint: quarantine.Fingerprint{byte(i)}, Hint: 1 << 63, Request: name, Elapsed: clock.Minute, IsTrial: true}
 	}
-	ends := make([]quarantine.Crash, 512)
-	for i := range ends {
-		ends[i] = quarantine.Crash{
+	crashes := make([]quarantine.Crash, 512)
+	for i := range crashes {
+		crashes[i] = quarantine.Crash{
 			ID: 1<<63 + uint64(i), Service: name, Upstream: name, Version: name, Upstreams: 1000, Suspects: suspects, Cleared: 1 << 63, IsInconclusive: true,
 		}
 	}
-	got := make([]quarantine.Crash, 0, len(ends))
-	for _, c := range wire.NewCrashReports(clock.Hour, ends) {
+	got := make([]quarantine.Crash, 0, len(crashes))
+	for _, c := range wire.NewCrashReports(clock.Hour, crashes) {
 		frame, err := wire.Encode(c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		m, err := wire.Decode(frame, limit)
 		if err != nil {
-			t.Fatalf("got error %v for a frame of %d bytes, want it read", err, len(frame))
+			t.Fatalf("got error %v for a frame of %d bytes, want it decoded", err, len(frame))
 		}
 		got = append(got, m.(*wire.CrashReport).ToQuarantine(clock.Hour)...)
 	}
-	want := slices.Clone(ends)
+	want := slices.Clone(crashes)
 	for i := range want {
 		want[i].At = 0 // an hour ago
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %d ends, want the %d that were told, unchanged", len(got), len(want))
+		t.Errorf("got %d crashes, want the %d that were sent, unchanged", len(got), len(want))
 	}
 }
--- a/wire/invitation.go
+++ b/wire/workrequest.go
@@ -2,14 +2,14 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// WorkRequest asks an entry to send its next request that may be repeated to an
-// upstream which has got none for too long.
+// WorkRequest asks an entry to send its next repeatable request to an upstream that has
+// received no request for too long.
 type WorkRequest struct {
 	_        struct{} `cbor:",toarray"`
 	Upstream string
-	// TTL is how long it stands.
+	// TTL is how long the work request stays valid.
 	TTL clock.Millis
 }
 
-// Kind names the frame.
+// Kind implements Message.
 func (*WorkRequest) Kind() Kind { return KindWorkRequest }
