--- a/link/conn.go
+++ b/link/conn.go
@@ -1,7 +1,7 @@
 // Package link carries messages between nodes over WebSocket.
 //
-// The entry of one node dials the gate side of another. A link proves a shared
-// secret both ways before any other frame is read.
+// The entry of one node dials the server of another, behind which its gates are. Before
+// any other frame is read, both sides prove that they hold the shared secret.
 package link
 
 import (
@@ -16,23 +16,24 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Faults of a link.
+// Errors of a link.
 const (
 	ErrClosed    = errors.ConstError("link is closed")
-	ErrBusy      = errors.ConstError("link's queue is full")
-	ErrProof     = errors.ConstError("peer doesn't prove the shared secret")
-	ErrFormat    = errors.ConstError("peer speaks another format")
-	ErrWrongPeer = errors.ConstError("peer is another node than the one dialled")
+	ErrBusy      = errors.ConstError("send queue of the link is full")
+	ErrProof     = errors.ConstError("peer failed to prove the shared secret")
+	ErrFormat    = errors.ConstError("peer uses another message format")
+	ErrWrongPeer = errors.ConstError("peer is not the node that was dialled")
 )
 
 const (
-	// queueLength bounds the frames that wait to be written: a peer that reads
-	// nothing must cost a bounded amount of memory, and its callers a refusal
-	// at once in place of a wait.
+	// queueLength bounds the frames that wait to be written. If a peer stops reading, the
+	// queue takes a bounded amount of memory, and further requests are refused immediately
+	// rather than delayed.
 	queueLength = 1024
-	// writeTimeout ends a link whose peer has stopped reading.
+	// writeTimeout bounds the write of a frame. A link whose peer has stopped reading is
+	// closed after it.
 	writeTimeout = 5 * clock.Second
-	// handshakeTimeout bounds a dial with its proofs.
+	// handshakeTimeout bounds a dial including the handshake.
 	handshakeTimeout = 2 * clock.Second
 	bufferSize       = 16 << 10
 )
@@ -41,7 +42,7 @@
 type Conn struct {
 	socket *websocket.Conn
 	frames chan *bytes.Buffer
-	input  bytes.Buffer // of the one goroutine that reads
+	input  bytes.Buffer // used only by the reading goroutine
 	closed chan struct{}
 	once   sync.Once
 	limit  int
@@ -57,8 +58,8 @@
 	}
 }
 
-// Send queues a message. It never blocks: it returns ErrBusy when the queue is
-// full and ErrClosed on a closed link. After nil the message may arrive.
+// Send queues a message. It never blocks: it returns ErrBusy if the queue is full and
+// ErrClosed on a closed link. A nil error doesn't guarantee that the message arrives.
 func (c *Conn) Send(m wire.Message) error {
 	select {
 	case <-c.closed:
@@ -78,15 +79,15 @@
 	}
 }
 
-// buffers holds the memory of frames that were written.
+// buffers is the pool of frame buffers of all links.
 var buffers bufferPool
 
 type bufferPool struct {
 	pool sync.Pool
 }
 
-// maxPooledBuffer bounds what the pool keeps of one frame: a rare large body must
-// not stay in memory for good.
+// maxPooledBuffer is the maximum capacity in bytes of a buffer that is kept for reuse, so
+// that a rare large body doesn't occupy memory permanently.
 const maxPooledBuffer = 128 << 10
 
 // Get returns an empty buffer.
@@ -98,14 +99,14 @@
 	return new(bytes.Buffer)
 }
 
-// Put gives a buffer back.
+// Put returns a buffer to the pool.
 func (p *bufferPool) Put(b *bytes.Buffer) {
 	if b.Cap() <= maxPooledBuffer {
 		p.pool.Put(b)
 	}
 }
 
-// Close ends the link. Frames not yet written are dropped.
+// Close closes the link. Frames that are not yet written are dropped.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.closed)
@@ -113,11 +114,12 @@
 	})
 }
 
-// Done is closed when the link is.
+// Done returns a channel that is closed when the link is closed.
 func (c *Conn) Done() <-chan struct{} {
 	return c.closed
 }
 
+// write writes queued frames until the link is closed.
 func (c *Conn) write() {
 	defer c.Close()
 	for {
@@ -141,7 +143,8 @@
 	return errors.Trace(c.socket.WriteMessage(websocket.BinaryMessage, frame))
 }
 
-// read hands on messages until the link ends or the peer breaks the format.
+// read passes messages to handle until the link is closed or the peer sends a malformed
+// frame. The error is never nil.
 func (c *Conn) read(handle func(wire.Message)) error {
 	defer c.Close()
 	for {
@@ -166,12 +169,13 @@
 		return nil, errors.Annotate(err, "reading a frame")
 	}
 	if kind != websocket.BinaryMessage {
-		return nil, errors.Annotate(wire.ErrFrame, "not a binary message")
+		return nil, errors.Annotate(wire.ErrFrame, "WebSocket message is not binary")
 	}
-	m, err := wire.Decode(c.input.Bytes(), c.limit) // copies what it keeps
+	m, err := wire.Decode(c.input.Bytes(), c.limit) // copies, so that the buffer can be reused
 	return m, errors.Trace(err)
 }
 
+// writeMessage writes a message directly, without the queue.
 func (c *Conn) writeMessage(m wire.Message) error {
 	frame, err := wire.Encode(m)
 	if err != nil {
@@ -180,7 +184,7 @@
 	return c.writeFrame(frame)
 }
 
-// Remote is the address of the other side, for logs.
+// Remote returns the address of the other side, for logs.
 func (c *Conn) Remote() net.Addr {
 	return c.socket.RemoteAddr()
 }
--- a/link/dial.go
+++ b/link/dial.go
@@ -16,20 +16,21 @@
 	}
 }
 
-// notifyLost tells all waiters that the path is lost.
+// notifyLost notifies the observers of all pending dispatches that the path is lost.
 func (p *Peer) notifyLost() {
 	p.mu.Lock()
-	waiters := make([]DispatchObserver, 0, len(p.pending))
-	for _, one := range p.pending {
-		waiters = append(waiters, one.observer)
+	observers := make([]DispatchObserver, 0, len(p.pending))
+	for _, pending := range p.pending {
+		observers = append(observers, pending.observer)
 	}
 	p.mu.Unlock()
-	for _, w := range waiters {
-		w.PathLost()
+	for _, observer := range observers {
+		observer.PathLost()
 	}
 }
 
-// dialIfDue dials unless a good link is open or the backoff of a failed dial runs.
+// dialIfDue starts a dial in the background, unless a good link is open, a dial is in
+// progress or the backoff after a failed dial has not passed.
 func (p *Peer) dialIfDue(ctx context.Context) {
 	now := p.config.Now()
 	p.mu.Lock()
@@ -64,7 +65,8 @@
 	p.serve(conn)
 }
 
-// replaceConn replaces the link and settles what is undecided over the new one.
+// replaceConn makes conn the peer's link. Over the new link it sends what has waited for
+// a link and asks for the outcome of every dispatch that is still pending.
 func (p *Peer) replaceConn(now clock.Millis, conn *Conn, remote Remote) {
 	p.mu.Lock()
 	old := p.conn
@@ -73,14 +75,14 @@
 	p.detector.Opened(now)
 	p.probe = path.Probe{}
 	changed := p.estimate.Update(now, remote.Incarnation, remote.Time)
-	undecided := make([]*pendingDispatch, 0, len(p.pending))
-	for _, one := range p.pending {
-		if one.unsent {
-			p.sendQueued(now, one)
+	unresolved := make([]*pendingDispatch, 0, len(p.pending))
+	for _, pending := range p.pending {
+		if pending.unsent {
+			p.sendQueued(now, pending)
 			continue
 		}
-		undecided = append(undecided, one)
-		one.partial = nil
+		unresolved = append(unresolved, pending)
+		pending.partial = nil
 	}
 	p.capacityProbes.flush(p, now)
 	p.quotaRequests.flush(p, now)
@@ -91,15 +93,17 @@
 	if changed {
 		p.log.Info("node was replaced")
 	}
-	for _, one := range undecided {
-		_ = conn.Send(newResolve(one.dispatch)) // a link that fails again is replaced again
+	for _, pending := range unresolved {
+		_ = conn.Send(newResolve(pending.dispatch)) // if this link fails too, the next one repeats it
 	}
 	p.resendRevocations(conn)
-	p.log.WithField("undecided", len(undecided)).Debug("link opened")
+	p.log.WithField("undecided", len(unresolved)).Debug("link opened")
 	p.updateState()
 	p.sendHeartbeat()
 }
 
+// serve handles messages until the link is closed. If the peer is still needed, it then
+// requests another link.
 func (p *Peer) serve(conn *Conn) {
 	err := conn.read(func(m wire.Message) { p.handle(conn, m) })
 	p.log.WithError(err).Debug("link ended")
@@ -116,7 +120,7 @@
 	}
 }
 
-// pathName is a path's state as logs show it.
+// pathName returns the name of a path's state in logs.
 func pathName(s path.State) string {
 	switch s {
 	case path.Good:
--- a/link/dispatch.go
+++ b/link/dispatch.go
@@ -9,41 +9,46 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
+// pendingDispatch is a dispatch whose outcome is not known yet.
 type pendingDispatch struct {
 	dispatch *wire.Dispatch
 	observer DispatchObserver
-	queued   clock.Millis
-	sent     clock.Millis
-	unsent   bool
-	partial  *wire.Reply
+	queuedAt clock.Millis
+	sentAt   clock.Millis
+	// unsent is true while the dispatch waits for a link.
+	unsent bool
+	// partial is the reply while body bytes are missing, nil otherwise.
+	partial *wire.Reply
 }
 
-// Dispatch sends a request and fills in its incarnation and lease. Without an
-// open link it waits for one that is being opened. It returns ErrNoLink,
-// ErrBusy or ErrClosed when nothing was sent or will be.
-func (p *Peer) Dispatch(d *wire.Dispatch, w DispatchObserver) error {
+// Dispatch sends a request after it has filled in its incarnation and lease. Without an
+// open link the request waits for the link that is being opened. Dispatch returns
+// ErrNoLink, ErrBusy or ErrClosed if the request was not sent and never will be; the
+// observer is not called then.
+func (p *Peer) Dispatch(d *wire.Dispatch, observer DispatchObserver) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.config.Now()
 	p.lastUsed = now
-	one := &pendingDispatch{dispatch: d, observer: w, queued: now}
+	pending := &pendingDispatch{dispatch: d, observer: observer, queuedAt: now}
 	if p.conn != nil {
-		return p.send(now, one)
+		return p.sendDispatch(now, pending)
 	}
 	p.Connect()
 	if p.state == path.Lost || len(p.pending) >= queueLength {
 		return ErrNoLink
 	}
-	one.unsent = true
-	p.pending[d.ID.Key(d.Attempt)] = one
+	pending.unsent = true
+	p.pending[d.ID.Key(d.Attempt)] = pending
 	return nil
 }
 
-// send gives a dispatch its lease and queues it on the link. The time that it
-// waited for a link is taken from its budget.
-func (p *Peer) send(now clock.Millis, one *pendingDispatch) error {
-	d := one.dispatch
-	d.Budget -= now - one.queued
+// sendDispatch sets the lease of a dispatch and queues the dispatch on the link. The time
+// that it has waited for a link is deducted from its budget. The caller holds the peer's
+// lock.
+func (p *Peer) sendDispatch(now clock.Millis, pending *pendingDispatch) error {
+	d := pending.dispatch
+	d.Budget -= now - pending.queuedAt
 	d.Incarnation = p.estimate.Incarnation()
 	d.Lease = p.estimate.At(now) + d.Budget
 	key := d.ID.Key(d.Attempt)
@@ -51,105 +56,109 @@
 		delete(p.pending, key)
 		return errors.Trace(err)
 	}
-	one.unsent, one.sent = false, now
-	p.pending[key] = one
+	pending.unsent, pending.sentAt = false, now
+	p.pending[key] = pending
 	p.startProbe(now)
 	p.detector.Sent(now, detectorID(key), now+d.Budget)
 	return nil
 }
 
-// detectorID is the number by which the path's judge knows a dispatch.
+// detectorID returns the ID of a dispatch in calls of the path's detector.
 func detectorID(key lease.Key) uint64 {
 	return key.Seq<<8 | uint64(key.Attempt)
 }
 
-// handleHungRun hands on that a dispatch's run most likely comes to no end.
+// handleHungRun notifies the observer that the run of a dispatch has most likely hung.
 func (p *Peer) handleHungRun(s *wire.HungRun) {
 	p.mu.Lock()
 	p.detector.Received(p.config.Now())
-	one, ok := p.pending[s.ID.Key(s.Attempt)]
+	pending, ok := p.pending[s.ID.Key(s.Attempt)]
 	p.mu.Unlock()
 	if ok {
-		one.observer.Hung()
+		pending.observer.Hung()
 	}
 }
 
-// Resolve asks the gate what became of a dispatch and forbids it to begin one
-// that it has not begun. The waiter is told.
+// Resolve asks the gate for the outcome of a dispatch and revokes a dispatch that the gate
+// has not begun. The observer is notified of the answer. A dispatch that still waits for a
+// link ends as not sent.
 func (p *Peer) Resolve(id wire.RequestID, attempt uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one, ok := p.pending[id.Key(attempt)]
+	pending, ok := p.pending[id.Key(attempt)]
 	switch {
-	case ok && one.unsent:
-		p.remove(id.Key(attempt))
-		one.observer.NotSent()
+	case ok && pending.unsent:
+		p.removePending(id.Key(attempt))
+		pending.observer.NotSent()
 	case ok && p.conn != nil:
-		_ = p.conn.Send(newResolve(one.dispatch)) // without an answer the outcome stays unknown
+		_ = p.conn.Send(newResolve(pending.dispatch)) // after a failure the outcome stays unknown
 	}
 }
 
-// Withdraw takes back a dispatch that still waits for a link, and reports whether
-// it did: nothing was sent then, and the waiter isn't told.
+// Withdraw removes a dispatch that still waits for a link and reports whether it did.
+// Nothing was sent then, and the observer isn't notified.
 func (p *Peer) Withdraw(id wire.RequestID, attempt uint8) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := id.Key(attempt)
-	one, ok := p.pending[key]
-	if !ok || !one.unsent {
+	pending, ok := p.pending[key]
+	if !ok || !pending.unsent {
 		return false
 	}
-	p.remove(key)
+	p.removePending(key)
 	return true
 }
 
-// Abandon says that the caller has left and drops the waiter.
+// Abandon tells the gate that the caller has left, and removes the dispatch. The observer
+// isn't notified.
 func (p *Peer) Abandon(id wire.RequestID, attempt uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	one, ok := p.pending[id.Key(attempt)]
-	if ok && !one.unsent && p.conn != nil {
-		settle := newResolve(one.dispatch)
-		settle.Abandon = true
-		_ = p.conn.Send(settle) // a lost link ends with the request's own deadline
+	pending, ok := p.pending[id.Key(attempt)]
+	if ok && !pending.unsent && p.conn != nil {
+		resolve := newResolve(pending.dispatch)
+		resolve.Abandon = true
+		_ = p.conn.Send(resolve) // after a failure the run ends with the request's own deadline
 	}
-	p.remove(id.Key(attempt))
+	p.removePending(id.Key(attempt))
 }
 
-// Forget drops the waiter of a dispatch that was given up on.
+// Forget removes a dispatch that the entry has given up. The observer isn't notified.
 func (p *Peer) Forget(id wire.RequestID, attempt uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.remove(id.Key(attempt))
+	p.removePending(id.Key(attempt))
 }
 
-// failUnsent ends the dispatches that still wait for a link: none was sent.
+// failUnsent ends the dispatches that still wait for a link as not sent.
 func (p *Peer) failUnsent() {
 	p.mu.Lock()
-	var waiters []DispatchObserver
-	for key, one := range p.pending {
-		if one.unsent {
-			waiters = append(waiters, one.observer)
-			p.remove(key)
+	var observers []DispatchObserver
+	for key, pending := range p.pending {
+		if pending.unsent {
+			observers = append(observers, pending.observer)
+			p.removePending(key)
 		}
 	}
 	p.mu.Unlock()
-	for _, w := range waiters {
-		w.NotSent()
+	for _, observer := range observers {
+		observer.NotSent()
 	}
 }
 
-// sendQueued sends a dispatch that waited for the link, or ends it as not sent.
-func (p *Peer) sendQueued(now clock.Millis, one *pendingDispatch) {
-	own := *one.dispatch // the entry still reads the one it made
-	one.dispatch = &own
-	if now-one.queued >= one.dispatch.Budget || p.send(now, one) != nil {
-		delete(p.pending, one.dispatch.ID.Key(one.dispatch.Attempt))
-		one.observer.NotSent()
+// sendQueued sends a dispatch that has waited for a link. If its budget is used up or the
+// link refuses it, the dispatch ends as not sent.
+func (p *Peer) sendQueued(now clock.Millis, pending *pendingDispatch) {
+	copied := *pending.dispatch // the entry still reads the original
+	pending.dispatch = &copied
+	if now-pending.queuedAt >= pending.dispatch.Budget || p.sendDispatch(now, pending) != nil {
+		delete(p.pending, pending.dispatch.ID.Key(pending.dispatch.Attempt))
+		pending.observer.NotSent()
 	}
 }
 
-func (p *Peer) remove(key lease.Key) {
+// removePending removes a dispatch. The caller holds the peer's lock.
+func (p *Peer) removePending(key lease.Key) {
 	delete(p.pending, key)
 	p.detector.Completed(p.config.Now(), detectorID(key))
 }
--- a/link/handshake.go
+++ b/link/handshake.go
@@ -13,33 +13,35 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Path is where a node's link address takes WebSocket links.
+// Path is the URL path under which a node accepts WebSocket links.
 const Path = "/link"
 
-// Identity is what a node says of itself on its links.
+// Identity is the identity of a node on its links.
 type Identity struct {
-	// Node is the link address under which the table names the node.
+	// Node is the link address of the node as the table has it.
 	Node string
 	// Incarnation is drawn at random when the process starts.
 	Incarnation uint64
 	Secret      string
 }
 
-// Remote is what a proven handshake told of the other side.
+// Remote describes the other side of a link after the handshake.
 type Remote struct {
 	Node        string
 	Incarnation uint64
-	// Time is the clock of the accepting side.
+	// Time is the time on the clock of the accepting side; 0 for a remote that dialled.
 	Time clock.Millis
 }
 
+// deadline returns the time of the system clock after a span.
 func deadline(span clock.Millis) time.Time {
 	return time.Now().Add(span.Duration())
 }
 
-// Dial opens a link to a node and proves both sides. It returns ErrProof,
-// ErrFormat or ErrPeer when the other side isn't the node at that address.
-func Dial(ctx context.Context, address string, self Identity, limit int) (*Conn, Remote, error) {
+// Dial opens a link to a node, on which frames have at most maxFrame bytes. It returns
+// ErrProof, ErrFormat or ErrWrongPeer if the other side doesn't hold the secret, uses another
+// message format or isn't the node with that address.
+func Dial(ctx context.Context, address string, self Identity, maxFrame int) (*Conn, Remote, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout.Duration())
 	defer cancel()
 	dialer := websocket.Dialer{
@@ -52,16 +54,17 @@
 		return nil, Remote{}, errors.Annotatef(err, "dialling %s", address)
 	}
 	_ = response.Body.Close()
-	c := newConn(socket, limit)
+	c := newConn(socket, maxFrame)
 	remote, err := c.dialHandshake(address, self)
 	if err != nil {
 		c.Close()
-		return nil, Remote{}, errors.Annotatef(err, "shaking hands with %s", address)
+		return nil, Remote{}, errors.Annotatef(err, "handshake with %s", address)
 	}
 	go c.write()
 	return c, remote, nil
 }
 
+// dialHandshake proves this side to the accepting side and checks the proof of that side.
 func (c *Conn) dialHandshake(address string, self Identity) (Remote, error) {
 	if err := c.socket.SetReadDeadline(deadline(handshakeTimeout)); err != nil {
 		return Remote{}, errors.Trace(err)
@@ -74,7 +77,7 @@
 		return Remote{}, errors.Annotatef(ErrFormat, "format %d, want %d", challenge.Format, wire.Format)
 	}
 	if challenge.Node != address {
-		return Remote{}, errors.Annotatef(ErrWrongPeer, "it says it is %s", challenge.Node)
+		return Remote{}, errors.Annotatef(ErrWrongPeer, "peer identifies as %s", challenge.Node)
 	}
 	nonce := wire.Nonce()
 	proof := &wire.Proof{Node: self.Node, Entry: self.Incarnation, Nonce: nonce}
@@ -94,7 +97,8 @@
 	return remote, errors.Trace(c.socket.SetReadDeadline(time.Time{}))
 }
 
-// acceptHandshake proves the dialling side. Nothing else is read from a peer before.
+// acceptHandshake checks the proof of the dialling side and proves this side. It runs
+// before anything else is read from the peer.
 func (c *Conn) acceptHandshake(self Identity, now func() clock.Millis) (Remote, error) {
 	if err := c.socket.SetReadDeadline(deadline(handshakeTimeout)); err != nil {
 		return Remote{}, errors.Trace(err)
@@ -120,11 +124,11 @@
 	return remote, errors.Trace(c.socket.SetReadDeadline(time.Time{}))
 }
 
-// expect receives the one message that the handshake allows next. Frames of a
-// peer that isn't proven yet are held to a small bound.
+// expect receives the next message of the handshake, which must be of type M. Frames of a
+// peer that has not proven that it holds the secret are limited to maxHandshakeSize.
 func expect[M wire.Message](c *Conn) (M, error) {
 	var none M
-	c.socket.SetReadLimit(handshakeLimit)
+	c.socket.SetReadLimit(maxHandshakeSize)
 	m, err := c.receive()
 	c.socket.SetReadLimit(int64(c.limit))
 	if err != nil {
@@ -132,9 +136,10 @@
 	}
 	got, ok := m.(M)
 	if !ok {
-		return none, errors.Annotatef(wire.ErrFrame, "kind %d out of turn", m.Kind())
+		return none, errors.Annotatef(wire.ErrFrame, "unexpected frame kind %d in the handshake", m.Kind())
 	}
 	return got, nil
 }
 
-const handshakeLimit = 1 << 10
+// maxHandshakeSize bounds a frame of the handshake in bytes.
+const maxHandshakeSize = 1 << 10
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -24,44 +24,47 @@
 	limit  = 1 << 20
 )
 
-// counter is a handler that counts the dispatches that reach it.
-type counter struct {
+// countingHandler counts the dispatches that it receives.
+type countingHandler struct {
 	dispatched atomic.Int64
 }
 
-func (c *counter) Dispatch(uint64, *wire.Dispatch)             { c.dispatched.Add(1) }
-func (c *counter) Resolve(uint64, *wire.Resolve)               {}
-func (c *counter) ProbeCapacity(uint64, *wire.CapacityProbe)   {}
-func (c *counter) ReleaseReservation(*wire.ReleaseReservation) {}
-func (c *counter) RequestQuota(uint64, *wire.QuotaRequest)     {}
-func (c *counter) RevokeKey(*wire.KeyRevocation) *wire.KeyRevocationReply {
+func (c *countingHandler) Dispatch(uint64, *wire.Dispatch)             { c.dispatched.Add(1) }
+func (c *countingHandler) Resolve(uint64, *wire.Resolve)               {}
+func (c *countingHandler) ProbeCapacity(uint64, *wire.CapacityProbe)   {}
+func (c *countingHandler) ReleaseReservation(*wire.ReleaseReservation) {}
+func (c *countingHandler) RequestQuota(uint64, *wire.QuotaRequest)     {}
+func (c *countingHandler) RevokeKey(*wire.KeyRevocation) *wire.KeyRevocationReply {
 	return &wire.KeyRevocationReply{}
 }
-func (c *counter) Heartbeat(string, *wire.Heartbeat)                          {}
-func (c *counter) Status() wire.Heartbeat                                     { return wire.Heartbeat{} }
-func (c *counter) RequestTable(*wire.TableRequest) (*wire.TableVersion, bool) { return nil, false }
-func (c *counter) ReceiveTable(string, *wire.TableVersion)                    {}
-func (c *counter) ReceiveCrashes(*wire.CrashReport) []*wire.CrashReport       { return nil }
+func (c *countingHandler) Heartbeat(string, *wire.Heartbeat) {}
+func (c *countingHandler) Status() wire.Heartbeat            { return wire.Heartbeat{} }
+func (c *countingHandler) RequestTable(*wire.TableRequest) (*wire.TableVersion, bool) {
+	return nil, false
+}
+func (c *countingHandler) ReceiveTable(string, *wire.TableVersion)              {}
+func (c *countingHandler) ReceiveCrashes(*wire.CrashReport) []*wire.CrashReport { return nil }
 func identity(node, secret string) link.Identity {
 	return link.Identity{Node: node, Incarnation: 1, Secret: secret}
 }
 func logger() logrus.FieldLogger { l, _ := logtest.NewNullLogger(); return l }
 
-// serve starts a node's link side that says it is claims, or its own address.
-func serve(t *testing.T, claims string) (address string, handler *counter) {
+// serve starts a node's link server. Its identity is claimed, or its address if claimed is
+// empty.
+func serve(t *testing.T, claimed string) (address string, handler *countingHandler) {
 	t.Helper()
-	address, handler, _ = serveLinks(t, claims)
+	address, handler, _ = serveLinks(t, claimed)
 	return address, handler
 }
 
-func serveLinks(t *testing.T, claims string) (string, *counter, *link.Server) {
+func serveLinks(t *testing.T, claimed string) (string, *countingHandler, *link.Server) {
 	t.Helper()
 	listener := listen(t)
 	address := listener.Addr().String()
-	if claims == "" {
-		claims = address
+	if claimed == "" {
+		claimed = address
 	}
-	handler, s := serveOn(t, listener, claims)
+	handler, s := serveOn(t, listener, claimed)
 	return address, handler, s
 }
 
@@ -74,11 +77,11 @@
 	return listener
 }
 
-func serveOn(t *testing.T, listener net.Listener, claims string) (*counter, *link.Server) {
+func serveOn(t *testing.T, listener net.Listener, claimed string) (*countingHandler, *link.Server) {
 	t.Helper()
-	handler := &counter{}
+	handler := &countingHandler{}
 	s := link.NewServer(link.ServerConfig{
-		Identity: identity(claims, secret), MaxFrame: limit, HeartbeatInterval: clock.Second, Now: clock.NewSystem().Now,
+		Identity: identity(claimed, secret), MaxFrame: limit, HeartbeatInterval: clock.Second, Now: clock.NewSystem().Now,
 		Handler: handler, Log: logger(),
 	})
 	done := make(chan struct{})
@@ -94,15 +97,15 @@
 	return handler, s
 }
 
-// An instance is replaced by that of another node on the same address, or a
-// stranger listens there: requests must not go to a node that the table does
-// not mean, nor be taken from one that doesn't hold the secret.
-func TestDialRefusesStrangers(t *testing.T) {
+// Guards against requests that are sent to a node other than the one in the table, or
+// accepted from a node without the secret. It happens when another node's instance or an
+// unknown process takes over an address.
+func TestDialRejectsWrongPeers(t *testing.T) {
 	tests := []struct {
-		name   string
-		claims string
-		secret string
-		want   error
+		name    string
+		claimed string
+		secret  string
+		want    error
 	}{
 		{"the node itself", "", secret, nil},
 		{"another node's identity", "10.0.0.9:7000", secret, link.ErrWrongPeer},
@@ -110,7 +113,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			address, handler := serve(t, tt.claims)
+			address, handler := serve(t, tt.claimed)
 			conn, remote, err := link.Dial(t.Context(), address, identity("10.0.0.1:7000", tt.secret), limit)
 			if tt.secret != secret {
 				if err == nil || handler.dispatched.Load() != 0 {
@@ -131,23 +134,24 @@
 	}
 }
 
-// A stranger that reaches the link port sends a confirmation before it has
-// proven anything, or plays back another's proof. None may reach a gate.
-func TestNothingIsReadBeforeTheProof(t *testing.T) {
+// Guards against dispatches of a peer without the secret. Such a peer can connect to the
+// link port and send a dispatch before its proof, replay the proof of another handshake, or
+// claim another identity.
+func TestNoDispatchBeforeProof(t *testing.T) {
 	tests := []struct {
 		name  string
 		first func(challenge *wire.Challenge) wire.Message
 	}{
 		{"dispatch first", func(*wire.Challenge) wire.Message { return &wire.Dispatch{Upstream: "conferme-1"} }},
 		{"proof of another challenge", func(*wire.Challenge) wire.Message {
-			own, other := wire.Nonce(), wire.Nonce()
-			mac := wire.ComputeMAC(secret, wire.Dialler, "10.0.0.1:1", 1, own, other)
-			return &wire.Proof{Node: "10.0.0.1:1", Entry: 1, Nonce: own, MAC: mac}
+			nonce, other := wire.Nonce(), wire.Nonce()
+			mac := wire.ComputeMAC(secret, wire.Dialler, "10.0.0.1:1", 1, nonce, other)
+			return &wire.Proof{Node: "10.0.0.1:1", Entry: 1, Nonce: nonce, MAC: mac}
 		}},
 		{"identity of another under a valid proof", func(c *wire.Challenge) wire.Message {
-			own := wire.Nonce()
-			mac := wire.ComputeMAC(secret, wire.Dialler, "10.0.0.1:1", 1, own, c.Nonce)
-			return &wire.Proof{Node: "10.0.0.2:1", Entry: 1, Nonce: own, MAC: mac}
+			nonce := wire.Nonce()
+			mac := wire.ComputeMAC(secret, wire.Dialler, "10.0.0.1:1", 1, nonce, c.Nonce)
+			return &wire.Proof{Node: "10.0.0.2:1", Entry: 1, Nonce: nonce, MAC: mac}
 		}},
 	}
 	for _, tt := range tests {
@@ -162,9 +166,9 @@
 			if err := socket.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
 				t.Fatal(err)
 			}
-			challenge := receive(t, socket)
-			post(t, socket, tt.first(challenge))
-			post(t, socket, &wire.Dispatch{Upstream: "conferme-1"})
+			challenge := readChallenge(t, socket)
+			writeMessage(t, socket, tt.first(challenge))
+			writeMessage(t, socket, &wire.Dispatch{Upstream: "conferme-1"})
 			if _, _, err := socket.ReadMessage(); err == nil {
 				t.Error("got an answer, want a closed link")
 			}
@@ -175,7 +179,7 @@
 	}
 }
 
-func receive(t *testing.T, socket *websocket.Conn) *wire.Challenge {
+func readChallenge(t *testing.T, socket *websocket.Conn) *wire.Challenge {
 	t.Helper()
 	_, frame, err := socket.ReadMessage()
 	if err != nil {
@@ -192,7 +196,7 @@
 	return challenge
 }
 
-func post(t *testing.T, socket *websocket.Conn, m wire.Message) {
+func writeMessage(t *testing.T, socket *websocket.Conn, m wire.Message) {
 	t.Helper()
 	frame, err := wire.Encode(m)
 	if err != nil {
@@ -201,99 +205,99 @@
 	_ = socket.WriteMessage(websocket.BinaryMessage, frame) // the peer may have closed already
 }
 
-// Nobody chooses an upstream, and its gate knows no entry that could send it a request.
-// It asked any that had a link, and always the same one, whose node has no callers: the
-// upstream got nothing until somebody else chose it. All must have their turn.
-func TestInvitationsForAnyGoRound(t *testing.T) {
+// Guards against an upstream that gets no requests because its gate sends all work requests
+// to the same entry, which has no callers. A gate that knows no entry with requests for its
+// upstream must ask all connected entries in turn.
+func TestWorkRequestsRotateOverEntries(t *testing.T) {
 	address, _, server := serveLinks(t, "")
 	const entries, rounds = 5, 4
-	invited := make(chan int, entries*rounds)
+	received := make(chan int, entries*rounds)
 	for i := range entries {
 		self := identity("10.0.0.1:7000", secret)
 		self.Incarnation = uint64(i + 10)
 		peer := link.NewPeer(link.PeerConfig{
 			Address: address, Self: self, MaxFrame: limit, MaxReplyBody: limit, HeartbeatInterval: clock.Second, Now: clock.NewSystem().Now,
-			Status: func() wire.Heartbeat { return wire.Heartbeat{} }, Observer: guest{number: i, invited: invited}, Log: logger(),
+			Status: func() wire.Heartbeat { return wire.Heartbeat{} }, Observer: workRequestObserver{index: i, received: received}, Log: logger(),
 		})
 		go func() { _ = peer.Run(t.Context()) }()
 		peer.EnsureLink()
 	}
-	reach(t, func() bool { return server.OpenLinks() == entries })
+	waitFor(t, func() bool { return server.OpenLinks() == entries })
 	for range entries * rounds {
 		if !server.SendWorkRequest(0, &wire.WorkRequest{Upstream: "conferme-1", TTL: clock.Second}) {
-			t.Fatal("got an invitation not sent, want all sent")
+			t.Fatal("got a work request not sent, want all sent")
 		}
 	}
 	got := [entries]int{}
 	for range entries * rounds {
-		got[<-invited]++
+		got[<-received]++
 	}
 	for i, n := range got {
 		if n != rounds {
-			t.Errorf("got %d invitations at entry %d, want %d", n, i, rounds)
+			t.Errorf("got %d work requests at entry %d, want %d", n, i, rounds)
 		}
 	}
 }
 
-// guest hands on that it was invited.
-type guest struct {
-	watcher
+// workRequestObserver reports its index for each work request that it receives.
+type workRequestObserver struct {
+	pathObserver
 
-	number  int
-	invited chan int
+	index    int
+	received chan int
 }
 
-func (g guest) PeerWorkRequest(*wire.WorkRequest) { g.invited <- g.number }
+func (o workRequestObserver) PeerWorkRequest(*wire.WorkRequest) { o.received <- o.index }
 
-// PeerPath drops the judgement: the test ends with links open.
-func (guest) PeerPath(string, path.State) {}
+// PeerPath ignores the path's state, because the test ends with open links.
+func (workRequestObserver) PeerPath(string, path.State) {}
 
-// lost records whether a peer was ever judged lost.
-type lost struct {
-	seen atomic.Bool
+// lossRecorder records whether the path to a peer was ever lost.
+type lossRecorder struct {
+	wasLost atomic.Bool
 }
 
-func (l *lost) PeerHeartbeat(string, *wire.Heartbeat)       {}
-func (l *lost) PeerUpstream(string, wire.Upstream)          {}
-func (l *lost) PeerTableVersion(string, *wire.TableVersion) {}
-func (l *lost) PeerWorkRequest(*wire.WorkRequest)           {}
-func (l *lost) PeerStoreUpdate(*wire.StoreUpdate)           {}
-func (l *lost) PeerCrashReport(*wire.CrashReport)           {}
-func (l *lost) PeerPath(_ string, state path.State) {
-	l.seen.Store(l.seen.Load() || state == path.Lost)
+func (l *lossRecorder) PeerHeartbeat(string, *wire.Heartbeat)       {}
+func (l *lossRecorder) PeerUpstream(string, wire.Upstream)          {}
+func (l *lossRecorder) PeerTableVersion(string, *wire.TableVersion) {}
+func (l *lossRecorder) PeerWorkRequest(*wire.WorkRequest)           {}
+func (l *lossRecorder) PeerStoreUpdate(*wire.StoreUpdate)           {}
+func (l *lossRecorder) PeerCrashReport(*wire.CrashReport)           {}
+func (l *lossRecorder) PeerPath(_ string, state path.State) {
+	l.wasLost.Store(l.wasLost.Load() || state == path.Lost)
 }
 
-// Callers sleep at night, and links without requests are closed. An entry that
-// took the quiet that follows for a dead peer would send all of the morning's
-// requests to the upstream beside it.
-func TestIdleLinkIsNotLost(t *testing.T) {
+// Guards against an entry that takes the silence after it has closed an idle link for an
+// unreachable peer. After hours without callers it would send all requests to the upstream
+// on its own node.
+func TestIdleLinkKeepsPathGood(t *testing.T) {
 	address, _ := serve(t, "")
-	const beat = clock.Millis(20)
-	watcher := &lost{}
-	peer, stop := runPeer(t, link.PeerConfig{Address: address, HeartbeatInterval: beat, IdleTimeout: beat, Observer: watcher})
+	const interval = clock.Millis(20)
+	observer := &lossRecorder{}
+	peer, stop := runPeer(t, link.PeerConfig{Address: address, HeartbeatInterval: interval, IdleTimeout: interval, Observer: observer})
 	peer.EnsureLink()
-	reach(t, peer.Ready)
-	reach(t, func() bool { return !peer.Ready() })
-	<-time.After((30 * beat).Duration())
+	waitFor(t, peer.Ready)
+	waitFor(t, func() bool { return !peer.Ready() })
+	<-time.After((30 * interval).Duration())
 	stop()
-	if watcher.seen.Load() {
-		t.Error("got the path lost after its link was closed for want of requests, want it kept")
+	if observer.wasLost.Load() {
+		t.Error("got the path lost after its idle link was closed, want it good")
 	}
 }
 
-// A node is away for longer than the entries that lost it go on dialling. No
-// entry chooses an upstream that is out of reach, so nothing would ever need the
-// link again: once idle, the path must count as good until it is tried.
-func TestLostPeerIsTriedAgain(t *testing.T) {
+// Guards against a path that stays lost for good after its node was unreachable for longer
+// than entries keep dialling. Entries don't choose an unreachable upstream, so that nothing
+// would need the link again. Once idle, the path must count as good until it is used.
+func TestIdleLostPathBecomesGood(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	const beat = clock.Millis(20)
+	const interval = clock.Millis(20)
 	states := make(chan path.State, 16)
-	peer, _ := runPeer(t, link.PeerConfig{Address: address, HeartbeatInterval: beat, IdleTimeout: 4 * beat, Observer: watcher{states}})
+	peer, _ := runPeer(t, link.PeerConfig{Address: address, HeartbeatInterval: interval, IdleTimeout: 4 * interval, Observer: pathObserver{states}})
 	peer.EnsureLink()
 	for _, want := range []path.State{path.Lost, path.Good} {
 		select {
@@ -307,7 +311,7 @@
 	}
 }
 
-// runPeer starts a peer that ends with the test, or by stop.
+// runPeer starts a peer that runs until the end of the test or until stop is called.
 func runPeer(t *testing.T, c link.PeerConfig) (peer *link.Peer, stop func()) {
 	t.Helper()
 	c.Self, c.MaxFrame, c.MaxReplyBody = identity("10.0.0.1:7000", secret), limit, limit
@@ -327,23 +331,24 @@
 	return peer, stop
 }
 
-// watcher hands on what is judged of a path.
-type watcher struct {
+// pathObserver passes on the state changes of a path.
+type pathObserver struct {
 	states chan path.State
 }
 
-func (watcher) PeerHeartbeat(string, *wire.Heartbeat)       {}
-func (watcher) PeerUpstream(string, wire.Upstream)          {}
-func (watcher) PeerTableVersion(string, *wire.TableVersion) {}
-func (watcher) PeerWorkRequest(*wire.WorkRequest)           {}
-func (watcher) PeerStoreUpdate(*wire.StoreUpdate)           {}
-func (watcher) PeerCrashReport(*wire.CrashReport)           {}
-func (w watcher) PeerPath(_ string, state path.State)       { w.states <- state }
+func (pathObserver) PeerHeartbeat(string, *wire.Heartbeat)       {}
+func (pathObserver) PeerUpstream(string, wire.Upstream)          {}
+func (pathObserver) PeerTableVersion(string, *wire.TableVersion) {}
+func (pathObserver) PeerWorkRequest(*wire.WorkRequest)           {}
+func (pathObserver) PeerStoreUpdate(*wire.StoreUpdate)           {}
+func (pathObserver) PeerCrashReport(*wire.CrashReport)           {}
+func (o pathObserver) PeerPath(_ string, state path.State)       { o.states <- state }
 
-func reach(t *testing.T, reached func() bool) {
+// waitFor waits until a condition holds, and fails the test after 30 s.
+func waitFor(t *testing.T, holds func() bool) {
 	t.Helper()
 	deadline := time.After(30 * time.Second)
-	for !reached() {
+	for !holds() {
 		select {
 		case <-deadline:
 			t.Fatal("got no change of the link within 30s")
--- a/link/peer.go
+++ b/link/peer.go
@@ -14,42 +14,45 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// ErrNoLink means that nothing was sent: the peer has no open link now.
-const ErrNoLink = errors.ConstError("no link to the node")
+// ErrNoLink means that nothing was sent, because there is no open link to the peer.
+const ErrNoLink = errors.ConstError("no open link to the node")
 
 const (
-	// defaultIdleTimeout closes a link that carried no request for so long: at the
-	// size to design for, heartbeats to every node would not fit the bytes
-	// that control may take.
+	// defaultIdleTimeout is the time without requests after which a link is closed. In a
+	// fleet of the design size, heartbeats to every node would exceed the bandwidth budget
+	// of control traffic.
 	defaultIdleTimeout = 30 * clock.Second
-	// ticks of the judge within one heartbeat interval.
+	// ticksPerHeartbeat is how often per heartbeat interval Run checks the path.
 	ticksPerHeartbeat = 4
 )
 
-// DispatchObserver is told what becomes of a dispatch. Its methods must not block. A
-// dispatch ends with one Replied, Settled or Unsent call; Lost may come before.
+// DispatchObserver is notified of the progress of a dispatch. Its methods must not block.
+// A dispatch ends with one call of Replied, Resolved or NotSent, unless the entry withdraws,
+// abandons or forgets it. PathLost and Hung may be called before.
 type DispatchObserver interface {
-	// Replied hands over the gate's whole answer.
+	// Replied is called with the gate's reply. Its body is complete, or the reply is marked
+	// as truncated.
 	Replied(r *wire.Reply)
-	// Resolved says that the dispatch is voided, or that the gate can't vouch
-	// for it.
-	Resolved(voided bool)
-	// NotSent says that no link opened in time: nothing was sent.
+	// Resolved is called if no reply will follow: the dispatch was revoked, or the gate has
+	// no record of it.
+	Resolved(revoked bool)
+	// NotSent is called if no link opened in time, so that nothing was sent.
 	NotSent()
-	// PathLost says that the path is lost for now: an answer may still come.
+	// PathLost is called when the path is lost. A reply may still arrive.
 	PathLost()
-	// Hung says that the run most likely comes to no end: an answer may still come.
+	// Hung is called when the run has most likely hung. A reply may still arrive.
 	Hung()
 }
 
-// PeerObserver is told what a peer says of itself. Its methods must not block.
+// PeerObserver receives the messages of a peer that don't belong to a dispatch, and the
+// changes of the path to the peer. Its methods must not block.
 type PeerObserver interface {
-	PeerHeartbeat(node string, b *wire.Heartbeat)
+	PeerHeartbeat(node string, heartbeat *wire.Heartbeat)
 	PeerUpstream(node string, u wire.Upstream)
-	PeerTableVersion(node string, e *wire.TableVersion)
-	PeerWorkRequest(i *wire.WorkRequest)
-	PeerStoreUpdate(n *wire.StoreUpdate)
-	PeerCrashReport(c *wire.CrashReport)
+	PeerTableVersion(node string, table *wire.TableVersion)
+	PeerWorkRequest(request *wire.WorkRequest)
+	PeerStoreUpdate(update *wire.StoreUpdate)
+	PeerCrashReport(report *wire.CrashReport)
 	PeerPath(node string, state path.State)
 }
 
@@ -58,37 +61,39 @@
 	// Address is the node's link address.
 	Address string
 	Self    Identity
-	// IdleTimeout closes a link that carried no request for so long; 0 stands for
-	// half a minute.
+	// IdleTimeout is the time without requests after which the link is closed; 0 means 30
+	// seconds.
 	IdleTimeout clock.Millis
-	// MaxFrame bounds a frame in bytes, Answer an answer's body.
+	// MaxFrame is the maximum size of a frame, MaxReplyBody that of a reply's body, both in
+	// bytes.
 	MaxFrame          int
 	MaxReplyBody      int
 	HeartbeatInterval clock.Millis
-	// RedialDelay is about how long after a failed dial the next one is due; 0 stands
-	// for Beat.
+	// RedialDelay is the approximate delay between a failed dial and the next dial; 0 means
+	// HeartbeatInterval.
 	RedialDelay clock.Millis
 	Seed        uint64
 	Now         func() clock.Millis
-	// Status returns what this node's own heartbeats say.
+	// Status returns the content of this node's heartbeats, without Time and Echo.
 	Status   func() wire.Heartbeat
 	Observer PeerObserver
 	Log      logrus.FieldLogger
 }
 
-// Peer is the entry's side of the links to one node. Run drives it.
+// Peer is the dialling side of the links to one node. Run must be called to operate it. It
+// is safe for concurrent use.
 type Peer struct {
 	config          PeerConfig
 	log             logrus.FieldLogger
 	connectRequests chan struct{}
 
-	notifyMu       sync.Mutex // held while a change of the path is told; taken before mu
+	notifyMu       sync.Mutex // held while the observer is notified of a path change; locked before mu
 	mu             sync.Mutex
 	conn           *Conn
 	dialling       bool
 	detector       *path.Detector
 	probe          path.Probe
-	checkScheduled bool // a check of the probe is due
+	checkScheduled bool // a timer for checkProbe is running
 	state          path.State
 	estimate       lease.ClockEstimate
 	pending        map[lease.Key]*pendingDispatch
@@ -96,10 +101,10 @@
 	capacityProbes pendingRequests[lease.Key, wire.Reservation]
 	quotaRequests  pendingRequests[uint64, wire.QuotaGrant]
 	lastUsed       clock.Millis
-	lastPeerTime   clock.Millis
+	lastPeerTime   clock.Millis // Time of the last heartbeat received
 }
 
-// NewPeer returns a peer without a link; Run opens one on first need.
+// NewPeer returns a peer without a link. Run opens the link when it is first needed.
 func NewPeer(c PeerConfig) *Peer {
 	if c.IdleTimeout == 0 {
 		c.IdleTimeout = defaultIdleTimeout
@@ -117,7 +122,7 @@
 	}
 }
 
-// newDetector returns a judge that knows nothing of the peer.
+// newDetector returns a detector without any history of the peer.
 func (c *PeerConfig) newDetector() *path.Detector {
 	return path.New(path.Config{HeartbeatInterval: c.HeartbeatInterval, RedialDelay: c.RedialDelay, Seed: c.Seed})
 }
@@ -127,14 +132,14 @@
 	return p.config.Address
 }
 
-// Ready reports whether a dispatch could be sent now.
+// Ready reports whether a link is open, so that a dispatch can be sent immediately.
 func (p *Peer) Ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conn != nil
 }
 
-// Connect asks for an open link, without anything to send yet.
+// Connect requests that Run open a link. It doesn't wait for it.
 func (p *Peer) Connect() {
 	select {
 	case p.connectRequests <- struct{}{}:
@@ -142,34 +147,36 @@
 	}
 }
 
-// RequestTable asks the node for a table edition that goes before the named one.
-func (p *Peer) RequestTable(a wire.TableRequest) {
+// RequestTable asks the node for its table if that is newer than the one in the request.
+// Without an open link nothing is sent.
+func (p *Peer) RequestTable(r wire.TableRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
-		_ = p.conn.Send(&a) // asked again after the next heartbeat
+		_ = p.conn.Send(&r) // repeated after the next heartbeat
 	}
 }
 
-// SendTable sends the node an edition that it didn't ask for.
-func (p *Peer) SendTable(e *wire.TableVersion) {
+// SendTable sends the node a table that the node didn't ask for. Without an open link
+// nothing is sent.
+func (p *Peer) SendTable(t *wire.TableVersion) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
-		_ = p.conn.Send(e) // offered again after the next heartbeat
+		_ = p.conn.Send(t) // repeated after the next heartbeat
 	}
 }
 
-// SendCrashes tells the node of crashes over an open link.
+// SendCrashes sends the node a crash report. Without an open link nothing is sent.
 func (p *Peer) SendCrashes(c *wire.CrashReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
-		_ = p.conn.Send(c) // told again after the next heartbeat
+		_ = p.conn.Send(c) // repeated after the next heartbeat
 	}
 }
 
-// EnsureLink asks for an open link and keeps it, as a request would.
+// EnsureLink requests an open link and restarts its idle timeout, as a dispatch does.
 func (p *Peer) EnsureLink() {
 	p.mu.Lock()
 	p.lastUsed = p.config.Now()
@@ -177,13 +184,14 @@
 	p.Connect()
 }
 
-// Run keeps the link as long as it is needed, until the context ends.
+// Run keeps a link open while it is needed. It returns when the context ends, with the
+// context's error.
 func (p *Peer) Run(ctx context.Context) error {
 	defer p.closeConn()
-	span := (p.config.HeartbeatInterval / ticksPerHeartbeat).Duration()
-	ticker := time.NewTicker(span)
+	tick := (p.config.HeartbeatInterval / ticksPerHeartbeat).Duration()
+	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	beat := 0
+	ticks := 0
 	for {
 		if p.isQuiescent() {
 			ticker.Stop()
@@ -192,27 +200,28 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-p.connectRequests:
-			ticker.Reset(span)
+			ticker.Reset(tick)
 			p.dialIfDue(ctx)
 		case <-ticker.C:
 			p.tick(ctx)
-			if beat++; beat%ticksPerHeartbeat == 0 {
+			if ticks++; ticks%ticksPerHeartbeat == 0 {
 				p.sendHeartbeat()
 			}
 		}
 	}
 }
 
-// isQuiescent reports whether there is nothing to watch: at the size to design for
-// a node has thousands of peers, and few of them are in use at a time.
+// isQuiescent reports whether the peer needs no periodic checks. In a fleet of the design
+// size a node has thousands of peers and uses few of them at a time.
 func (p *Peer) isQuiescent() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conn == nil && !p.dialling && p.state == path.Good && p.idle()
+	return p.conn == nil && !p.dialling && p.state == path.Good && p.isIdle()
 }
 
-// idle reports whether no request has needed the peer for a while.
-func (p *Peer) idle() bool {
+// isIdle reports whether the peer has not been used for the idle timeout and has no pending
+// dispatch. The caller holds the peer's lock.
+func (p *Peer) isIdle() bool {
 	return p.config.Now()-p.lastUsed > p.config.IdleTimeout && len(p.pending) == 0
 }
 
@@ -225,22 +234,24 @@
 	}
 }
 
-// tick acts on the judge's view. A link with an overdue answer is checked by
-// opening a new one: a link that went silent for good, because something
-// between the ends lost track of it, shows as a new one that works, and the
-// undecided dispatches are settled there. A paused peer answers on neither.
+// tick closes an idle link, updates the path's state and dials if the path isn't good. A
+// link with an overdue answer is checked by opening a new one. If the old link is dead
+// because something between the two nodes has dropped the connection, the new link works
+// and the pending dispatches are resolved over it. If the peer is paused, neither link
+// answers.
 func (p *Peer) tick(ctx context.Context) {
 	p.mu.Lock()
-	idle := p.idle()
+	idle := p.isIdle()
 	open := p.conn != nil
 	if idle && open {
 		p.conn.Close()
 		p.conn = nil
 	}
 	if idle && (open || p.state != path.Good) {
-		// The quiet from here on says nothing about the peer. Nor does an old
-		// loss: no entry chooses an upstream that is out of reach, so nobody
-		// would ever need, and dial, it again.
+		// Silence after the link is closed says nothing about the peer. A loss of the
+		// path must not outlast the idle timeout either: entries don't choose an
+		// unreachable upstream, so that the peer would never be needed, and dialled,
+		// again.
 		p.detector = p.config.newDetector()
 	}
 	p.mu.Unlock()
@@ -256,18 +267,20 @@
 	if !p.Ready() {
 		return
 	}
-	b := p.config.Status()
-	b.Time = p.config.Now()
-	b.Upstreams = nil // who is dialled hears of them on links of its own
+	heartbeat := p.config.Status()
+	heartbeat.Time = p.config.Now()
+	heartbeat.Upstreams = nil // the peer receives them on the links that it dials
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn == nil {
 		return
 	}
-	b.Echo = p.lastPeerTime
-	_ = p.conn.Send(&b) // a full queue shows at the judge as an overdue answer
+	heartbeat.Echo = p.lastPeerTime
+	_ = p.conn.Send(&heartbeat) // the detector notices a full queue by overdue answers
 }
 
+// handle handles a message of the peer. It closes the link on a message that only the
+// dialling side may send.
 func (p *Peer) handle(conn *Conn, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Reply:
@@ -287,7 +300,7 @@
 	case *wire.Heartbeat:
 		p.handleHeartbeat(m)
 		if m.Leaving {
-			p.sendHeartbeat() // it waits to know that nothing more comes
+			p.sendHeartbeat() // the peer waits for this echo before it stops
 		}
 		p.config.Observer.PeerHeartbeat(p.config.Address, m)
 	case *wire.TableVersion:
@@ -303,29 +316,30 @@
 	}
 }
 
-// handleStoreUpdate hands on what the peer has learned. What a stalled path or a pause of this
-// process has held up is older than the peer says.
-func (p *Peer) handleStoreUpdate(n *wire.StoreUpdate) {
+// handleStoreUpdate passes an update of the store to the observer. It adds the time since
+// the peer sent the update to the update's age, because a stalled path or a pause of this
+// process may have delayed it.
+func (p *Peer) handleStoreUpdate(update *wire.StoreUpdate) {
 	now := p.config.Now()
 	p.mu.Lock()
 	p.detector.Received(now)
 	if p.estimate.Known() {
-		n.Age += max(p.estimate.At(now)-n.Time, 0)
+		update.Age += max(p.estimate.At(now)-update.Time, 0)
 	}
 	p.mu.Unlock()
-	p.config.Observer.PeerStoreUpdate(n)
+	p.config.Observer.PeerStoreUpdate(update)
 }
 
-func (p *Peer) handleHeartbeat(b *wire.Heartbeat) {
+func (p *Peer) handleHeartbeat(heartbeat *wire.Heartbeat) {
 	now := p.config.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lastPeerTime = b.Time
+	p.lastPeerTime = heartbeat.Time
 	p.detector.Received(now)
-	if b.Echo > 0 {
-		p.detector.Echoed(now, b.Echo)
+	if heartbeat.Echo > 0 {
+		p.detector.Echoed(now, heartbeat.Echo)
 	}
 	if p.estimate.Known() {
-		p.estimate.Update(now, p.estimate.Incarnation(), b.Time)
+		p.estimate.Update(now, p.estimate.Incarnation(), heartbeat.Time)
 	}
 }
--- a/link/probe.go
+++ b/link/probe.go
@@ -11,24 +11,24 @@
 	"fuchsiapick.example/fuchsiapick/path"
 )
 
-// Ping asks the other side for a pong that carries the same instant.
+// Ping sends a ping that carries a time of this node's clock, which the pong returns.
 func (c *Conn) Ping(at clock.Millis) error {
 	payload := binary.AppendUvarint(nil, uint64(at))
 	return errors.Trace(c.socket.WriteControl(websocket.PingMessage, payload, deadline(writeTimeout)))
 }
 
-// onPong sets what is called with the instant of each ping that is answered.
-func (c *Conn) onPong(ponged func(at clock.Millis)) {
+// onPong sets the function that is called with the time that each pong carries.
+func (c *Conn) onPong(handle func(at clock.Millis)) {
 	c.socket.SetPongHandler(func(payload string) error {
 		if at, n := binary.Uvarint([]byte(payload)); n > 0 {
-			ponged(clock.Millis(at))
+			handle(clock.Millis(at))
 		}
 		return nil
 	})
 }
 
-// startProbe begins to check the path, as a message was sent that the peer will answer. The
-// peer's lock is held.
+// startProbe records that a message was sent that the peer answers, and schedules a check
+// of the path. The caller holds the peer's lock.
 func (p *Peer) startProbe(now clock.Millis) {
 	p.probe.Sent(now)
 	if !p.checkScheduled {
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkProbe pings the peer where something has been unanswered for too long, and takes the
-// path for lost when the ping is, too.
+// checkProbe pings the peer if a message has been unanswered for too long, and declares the
+// path lost if the ping is not answered either.
 func (p *Peer) checkProbe() {
 	p.mu.Lock()
 	now := p.config.Now()
@@ -55,13 +55,14 @@
 	switch {
 	case conn == nil:
 	case action == path.Ping:
-		_ = conn.Ping(now) // one that can't be sent isn't answered
+		_ = conn.Ping(now) // a ping that couldn't be sent counts as unanswered
 	case action == path.DeclareLost:
 		p.updateState()
 	}
 }
 
-// handlePong takes in that the peer has answered a ping: the path works both ways.
+// handlePong records that the peer has answered a ping, so that the path works in both
+// directions.
 func (p *Peer) handlePong(at clock.Millis) {
 	now := p.config.Now()
 	p.mu.Lock()
@@ -75,8 +76,9 @@
 	}
 }
 
-// updateState tells the watcher if the path's state has changed. Changes are told one after the
-// other: overtaken by an older one, the newest would not stand.
+// updateState determines the path's state, notifies the observer if it has changed, and
+// returns it. notifyMu keeps the notifications in order: if an older one overtook the
+// latest, the observer would keep an outdated state.
 func (p *Peer) updateState() path.State {
 	p.notifyMu.Lock()
 	defer p.notifyMu.Unlock()
--- a/link/probe_test.go
+++ b/link/probe_test.go
@@ -11,33 +11,34 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// waiting is told what becomes of a dispatch.
-type waiting struct {
-	lost chan struct{}
+// dispatchObserver reports when the path of a dispatch is lost.
+type dispatchObserver struct {
+	pathLost chan struct{}
 }
 
-func (*waiting) Replied(*wire.Reply) {}
-func (*waiting) Resolved(bool)       {}
-func (*waiting) NotSent()            {}
-func (w *waiting) PathLost()         { w.lost <- struct{}{} }
-func (*waiting) Hung()               {}
+func (*dispatchObserver) Replied(*wire.Reply) {}
+func (*dispatchObserver) Resolved(bool)       {}
+func (*dispatchObserver) NotSent()            {}
+func (o *dispatchObserver) PathLost()         { o.pathLost <- struct{}{} }
+func (*dispatchObserver) Hung()               {}
 
-// A path is cut in one direction, and requests on it waited until heartbeats were missed,
-// most of them for their whole deadline. Heartbeats are an hour apart here.
+// Guards against requests that wait for missed heartbeats, and mostly until their deadline,
+// when a path is cut in one direction. The heartbeat interval of the test is an hour, so
+// that only pings can detect the cut.
 func TestCutPathIsLostBeforeHeartbeatsAreMissed(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		mode standin.RelayMode
 	}{{"to the peer", standin.DropToTarget}, {"from the peer", standin.DropFromTarget}} {
 		t.Run(tt.name, func(t *testing.T) {
-			peer, relay, states := linked(t)
+			peer, relay, states := newLinkedPeer(t)
 			relay.SetMode(tt.mode)
-			w := &waiting{lost: make(chan struct{}, 1)}
-			send(t, peer, w)
+			observer := &dispatchObserver{pathLost: make(chan struct{}, 1)}
+			sendDispatch(t, peer, observer)
 			select {
-			case <-w.lost:
+			case <-observer.pathLost:
 			case <-time.After(30 * time.Second):
-				t.Fatal("got no word of the cut within 30s")
+				t.Fatal("got no notification of the lost path within 30s")
 			}
 			if got := <-states; got != path.Lost {
 				t.Errorf("got state %v, want %v", got, path.Lost)
@@ -46,30 +47,30 @@
 	}
 }
 
-// A gate that takes long over a request is no cut path.
-func TestSlowAnswerLosesNoPath(t *testing.T) {
-	peer, _, states := linked(t)
-	w := &waiting{lost: make(chan struct{}, 1)}
-	send(t, peer, w)
+// A gate that takes long to answer a request doesn't make the path lost.
+func TestSlowAnswerKeepsPathGood(t *testing.T) {
+	peer, _, states := newLinkedPeer(t)
+	observer := &dispatchObserver{pathLost: make(chan struct{}, 1)}
+	sendDispatch(t, peer, observer)
 	<-time.After((2 * (path.PingDelay + path.PingTimeout)).Duration())
 	select {
 	case got := <-states:
 		t.Errorf("got state %v, want no change", got)
-	case <-w.lost:
-		t.Error("got the path lost, want it kept")
+	case <-observer.pathLost:
+		t.Error("got the path lost, want it good")
 	default:
 	}
 }
 
-func send(t *testing.T, peer *link.Peer, w link.DispatchObserver) {
+func sendDispatch(t *testing.T, peer *link.Peer, observer link.DispatchObserver) {
 	t.Helper()
 	d := &wire.Dispatch{ID: wire.RequestID{Entry: 1, Seq: 1}, Attempt: 1, Budget: clock.Hour, Upstream: "c1", URI: "/turni"}
-	if err := peer.Dispatch(d, w); err != nil {
+	if err := peer.Dispatch(d, observer); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// serveBehindRelay starts a node's link side that is reached over a relay.
+// serveBehindRelay starts a node's link server behind a relay, and returns the relay.
 func serveBehindRelay(t *testing.T) *standin.Relay {
 	t.Helper()
 	listener := listen(t)
@@ -82,47 +83,49 @@
 	return relay
 }
 
-// linked returns a peer with an open link over a relay, and the path's changes.
-func linked(t *testing.T) (*link.Peer, *standin.Relay, chan path.State) {
+// newLinkedPeer returns a peer with an open link over a relay, the relay, and the state
+// changes of the path.
+func newLinkedPeer(t *testing.T) (*link.Peer, *standin.Relay, chan path.State) {
 	t.Helper()
 	relay := serveBehindRelay(t)
 	states := make(chan path.State, 16)
-	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), HeartbeatInterval: clock.Hour, Observer: watcher{states}})
+	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), HeartbeatInterval: clock.Hour, Observer: pathObserver{states}})
 	peer.EnsureLink()
-	reach(t, peer.Ready)
+	waitFor(t, peer.Ready)
 	return peer, relay, states
 }
 
-// slowWatcher takes its time over the news that a path is lost.
-type slowWatcher struct {
-	watcher
-	entered, release chan struct{}
+// slowPathObserver blocks while it handles the loss of a path.
+type slowPathObserver struct {
+	pathObserver
+	lossNotified, release chan struct{}
 }
 
-func (w *slowWatcher) PeerPath(node string, state path.State) {
+func (o *slowPathObserver) PeerPath(node string, state path.State) {
 	if state == path.Lost {
-		w.entered <- struct{}{}
-		<-w.release
+		o.lossNotified <- struct{}{}
+		<-o.release
 	}
-	w.watcher.PeerPath(node, state)
+	o.pathObserver.PeerPath(node, state)
 }
 
-// A path is back while it is still being told as lost. Told by two goroutines, the older
-// news came last, and the upstream behind it got no request for good.
-func TestNewsOfAPathKeepTheirOrder(t *testing.T) {
+// Guards against notifications out of order. A path recovers while its observer is still
+// handling the loss. If two goroutines notified the observer, the loss could arrive last,
+// and the upstream behind the path would never get a request again.
+func TestPathChangesAreNotifiedInOrder(t *testing.T) {
 	relay := serveBehindRelay(t)
 	states := make(chan path.State, 16)
-	w := &slowWatcher{watcher: watcher{states}, entered: make(chan struct{}, 16), release: make(chan struct{})}
-	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), HeartbeatInterval: clock.Second, RedialDelay: 20, Observer: w})
+	observer := &slowPathObserver{pathObserver: pathObserver{states}, lossNotified: make(chan struct{}, 16), release: make(chan struct{})}
+	peer, _ := runPeer(t, link.PeerConfig{Address: relay.Address(), HeartbeatInterval: clock.Second, RedialDelay: 20, Observer: observer})
 	peer.EnsureLink()
-	reach(t, peer.Ready)
+	waitFor(t, peer.Ready)
 	relay.SetMode(standin.BlackholeOpen)
-	send(t, peer, &waiting{lost: make(chan struct{}, 1)})
-	<-w.entered
+	sendDispatch(t, peer, &dispatchObserver{pathLost: make(chan struct{}, 1)})
+	<-observer.lossNotified
 	<-time.After(time.Second)
-	close(w.release)
+	close(observer.release)
 	last := path.Suspected
-	reach(t, func() bool {
+	waitFor(t, func() bool {
 		for len(states) > 0 {
 			last = <-states
 		}
@@ -133,6 +136,6 @@
 		last = <-states
 	}
 	if last != path.Good {
-		t.Errorf("got state %v told last, want %v", last, path.Good)
+		t.Errorf("got %v as the last state, want %v", last, path.Good)
 	}
 }
--- /dev/null
+++ b/link/quota.go
@@ -0,0 +1,39 @@
+package link
+
+import (
+	"fuchsiapick.example/fuchsiapick/path"
+	"fuchsiapick.example/fuchsiapick/wire"
+)
+
+// RequestQuota asks the node for permission to send requests of a client account. It calls
+// onReply and returns errors as ProbeCapacity does.
+func (p *Peer) RequestQuota(r *wire.QuotaRequest, onReply func(*wire.QuotaGrant)) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.quotaRequests.send(p, r.Seq, r, onReply)
+}
+
+// ForgetQuotaRequest removes a quota request that the node has given up, so that a late
+// answer to it is ignored.
+func (p *Peer) ForgetQuotaRequest(seq uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.quotaRequests, seq)
+}
+
+func (p *Peer) handleQuotaGrant(g *wire.QuotaGrant) {
+	p.mu.Lock()
+	p.detector.Received(p.config.Now())
+	onReply, ok := p.quotaRequests.complete(p, g.Seq)
+	p.mu.Unlock()
+	if ok {
+		onReply(g)
+	}
+}
+
+// IsLost reports whether the path to the node is lost.
+func (p *Peer) IsLost() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state == path.Lost
+}
--- a/link/answer.go
+++ b/link/reply.go
@@ -4,9 +4,9 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// handleReply takes in the head of an answer. An answer to an attempt that isn't
-// pending any more is dropped: it can't be taken for that of a later attempt,
-// because the attempt is part of the key.
+// handleReply handles a reply with the first part of its body. It drops a reply to an
+// attempt that is no longer pending. Such a reply can't be mistaken for that of a later
+// attempt, because the attempt is part of the key.
 func (p *Peer) handleReply(r *wire.Reply) {
 	p.config.Observer.PeerUpstream(p.config.Address, r.Upstream)
 	key := r.ID.Key(r.Attempt)
@@ -14,9 +14,9 @@
 	p.mu.Lock()
 	p.detector.Received(now)
 	p.estimate.Update(now, p.estimate.Incarnation(), r.Time)
-	one, ok := p.pending[key]
+	pending, ok := p.pending[key]
 	if ok {
-		p.probe.Answered(one.sent)
+		p.probe.Answered(pending.sentAt)
 	}
 	switch {
 	case !ok:
@@ -26,29 +26,29 @@
 		body := make([]byte, len(r.Body), r.Length)
 		copy(body, r.Body)
 		r.Body = body
-		one.partial = r
+		pending.partial = r
 		p.mu.Unlock()
 		return
 	case len(r.Body) != r.Length:
 		markTruncated(r)
 	}
-	p.remove(key)
+	p.removePending(key)
 	p.mu.Unlock()
-	one.observer.Replied(r)
+	pending.observer.Replied(r)
 }
 
-// handleChunk takes in the next bytes of an answer. The caller gets the answer only
-// once all of it stands: a missing or misplaced chunk makes it a torn one.
+// handleChunk appends body bytes to a reply. The observer gets the reply only once its
+// body is complete. A missing or misplaced chunk makes the reply a truncated one.
 func (p *Peer) handleChunk(c *wire.Chunk) {
 	key := c.ID.Key(c.Attempt)
 	p.mu.Lock()
 	p.detector.Received(p.config.Now())
-	one, ok := p.pending[key]
-	if !ok || one.partial == nil {
+	pending, ok := p.pending[key]
+	if !ok || pending.partial == nil {
 		p.mu.Unlock()
 		return
 	}
-	r := one.partial
+	r := pending.partial
 	if c.Offset != len(r.Body) || len(r.Body)+len(c.Data) > r.Length {
 		markTruncated(r)
 	} else {
@@ -58,31 +58,32 @@
 		p.mu.Unlock()
 		return
 	}
-	p.remove(key)
+	p.removePending(key)
 	p.mu.Unlock()
-	one.observer.Replied(r)
+	pending.observer.Replied(r)
 }
 
+// markTruncated turns a reply with an incomplete body into a broken one.
 func markTruncated(r *wire.Reply) {
 	r.Outcome, r.Reason = wire.Broken, wire.ReasonTruncated
 	r.Body, r.Length = nil, 0
 }
 
-// handleResolution takes in what the gate says of an undecided dispatch. One that has
-// begun stays pending, for its reply follows.
+// handleResolution handles the gate's answer to a Resolve. A dispatch that has begun stays
+// pending, because its reply follows.
 func (p *Peer) handleResolution(s *wire.Resolution) {
 	key := s.ID.Key(s.Attempt)
 	p.mu.Lock()
 	p.detector.Received(p.config.Now())
-	one, ok := p.pending[key]
+	pending, ok := p.pending[key]
 	if ok {
-		p.probe.Answered(one.sent)
+		p.probe.Answered(pending.sentAt)
 	}
 	if !ok || (!s.Revoked && !s.Unknown) {
 		p.mu.Unlock()
 		return
 	}
-	p.remove(key)
+	p.removePending(key)
 	p.mu.Unlock()
-	one.observer.Resolved(s.Revoked)
+	pending.observer.Resolved(s.Revoked)
 }
--- a/link/server.go
+++ b/link/server.go
@@ -16,36 +16,40 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Handler takes what entries of other nodes send. Its methods must not block.
+// Handler handles the messages that entries of other nodes send. Its methods must not
+// block.
 type Handler interface {
-	// Dispatch takes in a request; the answer goes out by Server.Answer.
+	// Dispatch runs a request. The reply is sent by Server.SendReply.
 	Dispatch(entry uint64, d *wire.Dispatch)
-	Resolve(entry uint64, s *wire.Resolve)
-	// ProbeCapacity keeps a slot for a dispatch, or says why not; the answer goes out by
-	// Server.Held.
-	ProbeCapacity(entry uint64, e *wire.CapacityProbe)
-	ReleaseReservation(w *wire.ReleaseReservation)
-	// RequestQuota asks for leave to send requests of a client account; the answer goes out by
-	// Server.Drawn.
-	RequestQuota(entry uint64, d *wire.QuotaRequest)
-	// RevokeKey says what is known of a resend's key and forbids earlier sends.
-	RevokeKey(v *wire.KeyRevocation) *wire.KeyRevocationReply
-	// Heartbeat takes a heartbeat in. The peer's link address is node.
-	Heartbeat(node string, b *wire.Heartbeat)
-	// Status returns what this node's own heartbeats say; Time and Heard are
-	// filled in by the link.
+	// Resolve determines the outcome of a dispatch. The answer is sent by
+	// Server.SendResolution or Server.SendReply.
+	Resolve(entry uint64, r *wire.Resolve)
+	// ProbeCapacity reserves a slot for a dispatch or refuses it. The answer is sent by
+	// Server.SendReservation.
+	ProbeCapacity(entry uint64, probe *wire.CapacityProbe)
+	ReleaseReservation(r *wire.ReleaseReservation)
+	// RequestQuota decides on requests of a client account. The answer is sent by
+	// Server.SendQuotaGrant.
+	RequestQuota(entry uint64, r *wire.QuotaRequest)
+	// RevokeKey forbids sends of a key that a resend supersedes, and returns the record of
+	// the key.
+	RevokeKey(r *wire.KeyRevocation) *wire.KeyRevocationReply
+	// Heartbeat handles a heartbeat of the peer with link address node.
+	Heartbeat(node string, heartbeat *wire.Heartbeat)
+	// Status returns the content of this node's heartbeats. The server sets Time and Echo.
 	Status() wire.Heartbeat
-	// RequestTable returns the table edition in force, if it is newer.
-	RequestTable(a *wire.TableRequest) (*wire.TableVersion, bool)
-	ReceiveTable(node string, e *wire.TableVersion)
-	// ReceiveCrashes takes in what a peer tells of crashes, and returns what it is to hear.
-	ReceiveCrashes(c *wire.CrashReport) []*wire.CrashReport
+	// RequestTable returns the table in force, and false if it isn't newer than the one in
+	// the request.
+	RequestTable(r *wire.TableRequest) (*wire.TableVersion, bool)
+	ReceiveTable(node string, table *wire.TableVersion)
+	// ReceiveCrashes handles a peer's crash report and returns the reports to send back.
+	ReceiveCrashes(report *wire.CrashReport) []*wire.CrashReport
 }
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
 	Identity Identity
-	// MaxFrame bounds a frame in bytes.
+	// MaxFrame is the maximum size of a frame in bytes.
 	MaxFrame          int
 	HeartbeatInterval clock.Millis
 	Now               func() clock.Millis
@@ -53,28 +57,29 @@
 	Log               logrus.FieldLogger
 }
 
-// Server accepts links from the entries of other nodes.
+// Server accepts links from the entries of other nodes. It is safe for concurrent use.
 type Server struct {
 	config   ServerConfig
 	upgrader websocket.FastHTTPUpgrader
 	http     *fasthttp.Server
 
 	mu sync.Mutex
-	// latest holds the newest link of each entry: answers go there, so that an
-	// entry that replaced a silent link gets them on the new one.
-	latest   map[uint64]*Conn
-	sessions map[*Conn]*session
-	// entries are those of latest; turn counts the invitations for any of them.
+	// latestConns holds the newest link of each entry. Replies are sent over it, so that an
+	// entry that has replaced a silent link receives them on the new one.
+	latestConns map[uint64]*Conn
+	sessions    map[*Conn]*session
+	// entries holds the keys of latestConns. nextIndex counts the work requests that were
+	// sent to any of them in turn.
 	entries   []uint64
 	nextIndex int
 }
 
-// NewServer returns a server that isn't listening yet.
+// NewServer returns a server. Serve must be called to accept links.
 func NewServer(c ServerConfig) *Server {
 	s := &Server{
-		config:   c,
-		latest:   map[uint64]*Conn{},
-		sessions: map[*Conn]*session{},
+		config:      c,
+		latestConns: map[uint64]*Conn{},
+		sessions:    map[*Conn]*session{},
 		upgrader: websocket.FastHTTPUpgrader{
 			ReadBufferSize:  bufferSize,
 			WriteBufferSize: bufferSize,
@@ -84,18 +89,18 @@
 		Handler:               s.upgrade,
 		Name:                  "fuchsiapick",
 		NoDefaultServerHeader: true,
-		MaxRequestBodySize:    handshakeLimit,
+		MaxRequestBodySize:    maxHandshakeSize,
 		ReadTimeout:           handshakeTimeout.Duration(),
 		Logger:                discardLogger{},
 	}
 	return s
 }
 
-// discardLogger drops what the HTTP library logs of malformed handshakes: anything may
-// connect to a port, and it must not fill the log.
+// discardLogger drops the log lines of the HTTP library about malformed handshakes. Any
+// client can connect to the port, and must not be able to fill the log.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
 // Serve accepts links until the listener is closed.
@@ -103,7 +108,7 @@
 	return errors.Annotate(s.http.Serve(listener), "serving links")
 }
 
-// Close ends all links.
+// Close closes all links.
 func (s *Server) Close() {
 	s.mu.Lock()
 	conns := make([]*Conn, 0, len(s.sessions))
@@ -116,17 +121,17 @@
 	}
 }
 
-// HeartbeatEchoed reports whether all peers with a link have heard a heartbeat of since or
-// later. What a peer sent before it heard one has arrived then: frames keep their
-// order.
+// HeartbeatEchoed reports whether all peers with a link have echoed a heartbeat that was
+// sent at since or later. Everything that a peer sent before it received this heartbeat
+// has then arrived, because a link keeps the order of frames.
 func (s *Server) HeartbeatEchoed(since clock.Millis) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.sessions {
-		one.mu.Lock()
-		echoed := one.echoed
-		one.mu.Unlock()
-		if echoed < since {
+	for _, session := range s.sessions {
+		session.mu.Lock()
+		lastEcho := session.lastEcho
+		session.mu.Unlock()
+		if lastEcho < since {
 			return false
 		}
 	}
@@ -165,9 +170,8 @@
 	defer s.unregister(remote.Incarnation, c)
 	var writer sync.WaitGroup
 	writer.Go(c.write)
-	// The HTTP library uses the connection's memory again when this returns. A
-	// writer that is still at work would then write another link's bytes, or
-	// crash the node: it must end first.
+	// The HTTP library reuses the connection's memory after this function returns. The
+	// writer must end first, or it could write bytes of another link or crash the node.
 	defer writer.Wait()
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -177,84 +181,88 @@
 	log.WithError(err).WithField("peer", remote.Node).Debug("link ended")
 }
 
-func (s *Server) register(one *session) {
+func (s *Server) register(session *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.latest[one.remote.Incarnation]; !ok {
-		s.entries = append(s.entries, one.remote.Incarnation)
+	if _, ok := s.latestConns[session.remote.Incarnation]; !ok {
+		s.entries = append(s.entries, session.remote.Incarnation)
 	}
-	s.latest[one.remote.Incarnation] = one.conn
-	s.sessions[one.conn] = one
+	s.latestConns[session.remote.Incarnation] = session.conn
+	s.sessions[session.conn] = session
 }
 
 func (s *Server) unregister(entry uint64, c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, c)
-	if s.latest[entry] == c {
-		delete(s.latest, entry)
+	if s.latestConns[entry] == c {
+		delete(s.latestConns, entry)
 		s.entries = slices.DeleteFunc(s.entries, func(other uint64) bool { return other == entry })
 	}
 }
 
-// SendReply sends a reply to an entry over its newest link. An entry without a
-// link asks for the outcome when it is back.
+// SendReply sends a reply to an entry over its newest link. An entry without a link asks
+// for the outcome once it has reconnected.
 func (s *Server) SendReply(entry uint64, r *wire.Reply) {
 	s.mu.Lock()
-	c, ok := s.latest[entry]
+	c, ok := s.latestConns[entry]
 	s.mu.Unlock()
 	if !ok {
 		return
 	}
 	if err := sendReply(c, r); err != nil {
-		// The entry would wait for the rest of an answer that never comes.
+		// Otherwise the entry would wait for the rest of the reply.
 		c.Close()
 	}
 }
 
-// SendResolution sends a settlement to an entry. One without an answer asks again.
+// SendResolution sends a resolution to an entry. An entry that doesn't receive it asks
+// again.
 func (s *Server) SendResolution(entry uint64, m *wire.Resolution) {
-	s.send(entry, m)
+	s.sendToEntry(entry, m)
 }
 
-// SendReservation sends the answer to an enquiry. An entry without one goes elsewhere.
-func (s *Server) SendReservation(entry uint64, h *wire.Reservation) {
-	s.send(entry, h)
+// SendReservation sends the answer to a capacity probe. An entry that doesn't receive it
+// chooses another gate.
+func (s *Server) SendReservation(entry uint64, r *wire.Reservation) {
+	s.sendToEntry(entry, r)
 }
 
-// SendHungRun tells an entry that a run most likely comes to no end.
+// SendHungRun notifies an entry that a run has most likely hung.
 func (s *Server) SendHungRun(entry uint64, m *wire.HungRun) {
-	s.send(entry, m)
+	s.sendToEntry(entry, m)
 }
 
-// SendQuotaGrant sends the answer to a draw. An entry without one asks elsewhere.
-func (s *Server) SendQuotaGrant(entry uint64, d *wire.QuotaGrant) {
-	s.send(entry, d)
+// SendQuotaGrant sends the answer to a quota request. An entry that doesn't receive it asks
+// another home.
+func (s *Server) SendQuotaGrant(entry uint64, g *wire.QuotaGrant) {
+	s.sendToEntry(entry, g)
 }
 
-func (s *Server) send(entry uint64, m wire.Message) {
+func (s *Server) sendToEntry(entry uint64, m wire.Message) {
 	s.mu.Lock()
-	c, ok := s.latest[entry]
+	c, ok := s.latestConns[entry]
 	s.mu.Unlock()
 	if ok {
-		_ = c.Send(m) // what a full queue loses, its reader misses and asks for
+		_ = c.Send(m) // the entry acts itself if a full queue drops the message
 	}
 }
 
-// SendWorkRequest sends an invitation to an entry, or for entry 0 to the one whose turn it is
-// of all that have a link. It returns false without a link to it.
-func (s *Server) SendWorkRequest(entry uint64, i *wire.WorkRequest) bool {
+// SendWorkRequest sends a work request to an entry, or for entry 0 to the next entry in
+// turn. It returns false if there is no link to the entry or the link refuses the message.
+func (s *Server) SendWorkRequest(entry uint64, r *wire.WorkRequest) bool {
 	s.mu.Lock()
 	if entry == 0 {
 		entry = s.nextEntry()
 	}
-	c, ok := s.latest[entry]
+	c, ok := s.latestConns[entry]
 	s.mu.Unlock()
-	return ok && c.Send(i) == nil
+	return ok && c.Send(r) == nil
 }
 
-// nextEntry is the entry whose turn it is, 0 without any. In a map's own order some
-// entries would come often and some never. The server's lock is held.
+// nextEntry returns the next entry in turn, or 0 if no entry has a link. The iteration
+// order of latestConns would choose some entries often and some never. The caller holds
+// the server's lock.
 func (s *Server) nextEntry() uint64 {
 	if len(s.entries) == 0 {
 		return 0
@@ -263,28 +271,29 @@
 	return s.entries[s.nextIndex%len(s.entries)]
 }
 
-// BroadcastUpdate sends news to all entries with a link.
-func (s *Server) BroadcastUpdate(n *wire.StoreUpdate) {
-	n.Time = s.config.Now()
+// BroadcastUpdate sends an update of the store to all entries with a link. It sets the
+// update's Time.
+func (s *Server) BroadcastUpdate(update *wire.StoreUpdate) {
+	update.Time = s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.latest {
-		_ = c.Send(n) // an entry without news asks the platform itself
+	for _, c := range s.latestConns {
+		_ = c.Send(update) // an entry that misses the update asks the platform itself
 	}
 }
 
-// BroadcastCrashes sends what is known of crashes to all entries with a link. What is sent to
-// one of them after it, such as the reply to a run that crashed, arrives later.
-func (s *Server) BroadcastCrashes(c *wire.CrashReport) {
+// BroadcastCrashes sends a crash report to all entries with a link. The report arrives
+// before anything that is sent to an entry later, such as the reply to a run that crashed.
+func (s *Server) BroadcastCrashes(report *wire.CrashReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, conn := range s.latest {
-		_ = conn.Send(c) // an entry that misses it asks after a heartbeat
+	for _, c := range s.latestConns {
+		_ = c.Send(report) // an entry that misses it asks after the next heartbeat
 	}
 }
 
-// sendReply splits a body over frames, so that a large answer doesn't hold up
-// the small ones behind it.
+// sendReply splits a long body into several frames, so that a large reply doesn't delay
+// the small ones after it.
 func sendReply(c *Conn, r *wire.Reply) error {
 	if len(r.Body) <= wire.ChunkSize {
 		return c.Send(r)
@@ -304,18 +313,20 @@
 	return nil
 }
 
-// session is one proven link at the accepting side.
+// session is an open link at the accepting side, after the handshake.
 type session struct {
 	server *Server
 	conn   *Conn
 	remote Remote
 
 	mu           sync.Mutex
-	lastPeerTime clock.Millis
-	// echoed is this node's time on the last heartbeat that the peer has heard.
-	echoed clock.Millis
+	lastPeerTime clock.Millis // Time of the last heartbeat received
+	// lastEcho is the Time of this node's last heartbeat that the peer has received.
+	lastEcho clock.Millis
 }
 
+// handle handles a message of the dialling side. It closes the link on a message that only
+// the accepting side may send.
 func (s *session) handle(m wire.Message) {
 	h := s.server.config.Handler
 	switch m := m.(type) {
@@ -330,29 +341,30 @@
 	case *wire.QuotaRequest:
 		h.RequestQuota(s.remote.Incarnation, m)
 	case *wire.KeyRevocation:
-		_ = s.conn.Send(h.RevokeKey(m)) // asked again on a new link
+		_ = s.conn.Send(h.RevokeKey(m)) // the peer repeats the revocation on a new link
 	case *wire.Heartbeat:
 		s.mu.Lock()
-		s.lastPeerTime, s.echoed = m.Time, max(s.echoed, m.Echo)
+		s.lastPeerTime, s.lastEcho = m.Time, max(s.lastEcho, m.Echo)
 		s.mu.Unlock()
 		h.Heartbeat(s.remote.Node, m)
 	case *wire.TableRequest:
-		if e, ok := h.RequestTable(m); ok {
-			_ = s.conn.Send(e) // the peer asks again after the next heartbeat
+		if table, ok := h.RequestTable(m); ok {
+			_ = s.conn.Send(table) // the peer asks again after the next heartbeat
 		}
 	case *wire.TableVersion:
 		h.ReceiveTable(s.remote.Node, m)
 	case *wire.CrashReport:
-		for _, c := range h.ReceiveCrashes(m) {
-			_ = s.conn.Send(c) // the peer asks again after a heartbeat
+		for _, report := range h.ReceiveCrashes(m) {
+			_ = s.conn.Send(report) // the peer asks again after the next heartbeat
 		}
 	default:
 		s.conn.Close()
 	}
 }
 
-// runHeartbeats sends this side's heartbeats on its own, not as answers, so that a peer
-// whose frames are lost on the way here still hears that they are.
+// runHeartbeats sends heartbeats at regular intervals until the link is closed. They don't
+// depend on the peer's heartbeats: a peer whose frames are lost on the way here learns this
+// from their Echo.
 func (s *session) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(s.server.config.HeartbeatInterval.Duration())
 	defer ticker.Stop()
@@ -369,21 +381,22 @@
 }
 
 func (s *session) sendHeartbeat() {
-	b := s.server.config.Handler.Status()
-	b.Time = s.server.config.Now()
+	heartbeat := s.server.config.Handler.Status()
+	heartbeat.Time = s.server.config.Now()
 	s.mu.Lock()
-	b.Echo = s.lastPeerTime
+	heartbeat.Echo = s.lastPeerTime
 	s.mu.Unlock()
-	_ = s.conn.Send(&b) // a full queue shows at the peer as a missing beat
+	_ = s.conn.Send(&heartbeat) // if the queue is full, the peer notices a missing heartbeat
 }
 
-// BroadcastHeartbeat sends a heartbeat on every link at once, for news that can't wait.
+// BroadcastHeartbeat immediately sends a heartbeat on every link, for a status that must
+// not wait for the next regular heartbeat.
 func (s *Server) BroadcastHeartbeat() {
-	b := s.config.Handler.Status()
-	b.Time = s.config.Now()
+	heartbeat := s.config.Handler.Status()
+	heartbeat.Time = s.config.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.sessions {
-		_ = c.Send(&b) // the next regular beat says it again
+		_ = c.Send(&heartbeat) // the next regular heartbeat repeats it
 	}
 }
