--- a/path/outstanding.go
+++ b/path/outstanding.go
@@ -2,15 +2,16 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// maxOutstanding bounds the requests remembered for one peer: the slots and queues
-// of 83 upstreams beside it, as at the size to design for, with room. Beyond
-// it requests aren't watched; those watched show a silent link as well.
+// maxOutstanding bounds the requests that are tracked for one peer. It covers the slots and
+// queues of the 83 upstreams beside a node in a fleet of the design size, with a margin.
+// Requests beyond it aren't tracked; those that are show a dead link as well.
 const maxOutstanding = 4096
 
-// outstanding holds the requests not yet settled.
+// outstanding tracks requests that are not completed yet.
 type outstanding struct {
-	due map[uint64]clock.Millis
-	// earliest is at most the earliest due; stale says that it may be less.
+	due map[uint64]clock.Millis // by request ID
+	// earliest is a lower bound of all due times. If stale is false, it is the earliest due
+	// time.
 	earliest clock.Millis
 	stale    bool
 }
@@ -36,7 +37,8 @@
 	delete(o.due, id)
 }
 
-// dropOverdue drops the requests that are overdue: they were judged.
+// dropOverdue removes the overdue requests, for which the path has been checked by a new
+// link.
 func (o *outstanding) dropOverdue(now clock.Millis) {
 	for id, due := range o.due {
 		if due <= now {
@@ -45,9 +47,9 @@
 	}
 }
 
-// hasOverdue says whether any request is. The search for the earliest due is made
-// only when the bound has passed and its request is gone, so that a call costs
-// nothing while answers come in time.
+// hasOverdue reports whether a request is overdue. It searches for the earliest due time
+// only if the lower bound has passed and may be stale, so that calls are cheap while answers
+// arrive in time.
 func (o *outstanding) hasOverdue(now clock.Millis) bool {
 	if len(o.due) == 0 || o.earliest >= now {
 		return false
@@ -58,6 +60,7 @@
 	return o.earliest < now
 }
 
+// findEarliest sets earliest to the earliest due time.
 func (o *outstanding) findEarliest() {
 	first := true
 	for _, due := range o.due {
--- a/path/path.go
+++ b/path/path.go
@@ -1,9 +1,11 @@
-// Package path judges the way from an entry to one peer: unreachable, paused,
-// one-way or silent. The judgement is the entry's own and is never published:
+// Package path is the failure detector for the network path from an entry to one peer. It
+// detects that the peer is unreachable or paused, that the path works in one direction only,
+// and that the link is dead. The resulting state is local to the entry and never published:
 // it says nothing about the backend servers behind the peer.
 //
-// The driver beats on every open link and calls State at least once a beat. It
-// calls Closed when the link breaks and Idle when it closes the link itself.
+// The caller sends heartbeats on every open link and calls State at least once per heartbeat
+// interval. It calls Closed when the link breaks and ClosedIdle when it closes the link
+// itself.
 package path
 
 import (
@@ -12,65 +14,69 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// State is the judgement of a path.
+// State is the state of a path.
 type State uint8
 
 // The values of State.
 const (
-	// Good paths get work.
+	// Good paths are used for requests.
 	Good State = iota
-	// Suspected paths get work while a new link is opened to check them.
+	// Suspected paths are used for requests while a new link is opened to check them.
 	Suspected
-	// Lost paths get no work.
+	// Lost paths are not used for requests.
 	Lost
 )
 
-// Config is what a Judge is made from.
+// Config configures a Detector.
 type Config struct {
-	// HeartbeatInterval is the span between two heartbeats, the peer's and the entry's own.
+	// HeartbeatInterval is the interval between two heartbeats in each direction.
 	HeartbeatInterval clock.Millis
-	// RedialDelay is about how long after a failed dial the next one is due, doubled
-	// with each further failure; 0 stands for Beat.
+	// RedialDelay is the approximate delay between a failed dial and the next dial. It
+	// doubles with each further failure, up to a limit. 0 means HeartbeatInterval.
 	RedialDelay clock.Millis
-	// Seed makes the jitter of Redial repeatable.
+	// Seed makes the jitter of the delays repeatable.
 	Seed uint64
 }
 
-// Spans in beats.
+// Durations in heartbeat intervals.
 const (
-	// suspectIntervals without a frame raise a doubt: one beat lost, the next late.
+	// suspectIntervals without a frame make the path suspected: one heartbeat is lost and
+	// the next one late.
 	suspectIntervals = 2
-	// lostIntervals without a frame lose the path: one beat more, in which the
-	// check by a new link can answer.
+	// lostIntervals without a frame make the path lost. They leave one interval more, in
+	// which the check by a new link can succeed.
 	lostIntervals = 3
-	// pauseIntervals between two calls mean that this process was paused. Beside
-	// the beat that may just have been due, that is less than lostBeats: a
-	// pause too short to be seen as one loses no path.
+	// pauseIntervals between two calls mean that this process was paused. Together with the
+	// interval before a heartbeat that was about to arrive, this must stay within
+	// lostIntervals, so that a pause too short to be detected loses no path.
 	pauseIntervals = 2
-	// graceIntervals after a new link, an overdue answer is not held against it:
-	// what was sent on the old one is being settled on the new one.
+	// graceIntervals is the time after a new link during which overdue answers don't make
+	// the path suspected: requests sent on the old link are being resolved on the new one.
 	graceIntervals = 1
-	// stableIntervals after its return, a path that is lost again is flapping.
+	// stableIntervals is the time after a recovery within which another loss counts as
+	// flapping.
 	stableIntervals = 30
 )
 
-// Detector judges one peer's path. It is not safe for concurrent use.
+// Detector is the failure detector for the path to one peer. It is not safe for concurrent
+// use.
 type Detector struct {
 	interval    clock.Millis
 	random      *rand.Rand
 	outstanding outstanding
 	dial        dialSchedule
 
-	// isConnected says that a link is open; used that one was opened before.
+	// isConnected is true while a link is open. wasConnected is true if a link was open
+	// since the start or the last ClosedIdle.
 	isConnected  bool
 	wasConnected bool
-	// lastCall is the last instant of any call.
+	// lastCall is the time of the last call of any method.
 	lastCall clock.Millis
-	// graceStart is the last new link or wake of this process: quiet before it
-	// isn't held against the peer.
+	// graceStart is the time of the last new link or of the end of this process's last
+	// pause. Silence before it isn't counted.
 	graceStart clock.Millis
-	// lastReceived is when the last frame came. Echo is when the peer last heard from
-	// this entry, as it said at told.
+	// lastReceived is when the last frame arrived. lastEcho is when this entry sent the
+	// latest heartbeat that the peer has received, as the peer reported at echoedAt.
 	lastReceived clock.Millis
 	lastEcho     clock.Millis
 	echoedAt     clock.Millis
@@ -82,186 +88,186 @@
 	holdDown    clock.Millis
 }
 
-// New makes a Judge of a peer to which no link was opened yet. The path is
-// good until something speaks against it: an entry that has just started knows
-// nothing of its peers and must serve.
+// New returns a detector for a peer to which no link was opened yet. The path is good until
+// there is evidence against it: an entry that has just started knows nothing about its
+// peers and must serve requests.
 func New(c Config) *Detector {
-	beat := max(c.HeartbeatInterval, 1)
+	interval := max(c.HeartbeatInterval, 1)
 	random := rand.New(rand.NewPCG(c.Seed, 0))
 	return &Detector{
-		interval:    beat,
+		interval:    interval,
 		random:      random,
-		dial:        dialSchedule{interval: beat, redialDelay: redialDelay(c, beat), random: random},
+		dial:        dialSchedule{interval: interval, redialDelay: redialDelay(c, interval), random: random},
 		outstanding: outstanding{due: make(map[uint64]clock.Millis)},
 	}
 }
 
-func redialDelay(c Config, beat clock.Millis) clock.Millis {
+func redialDelay(c Config, interval clock.Millis) clock.Millis {
 	if c.RedialDelay > 0 {
 		return c.RedialDelay
 	}
-	return beat
+	return interval
 }
 
-// Opened tells that a link was opened and the peer proved itself on it: both
-// directions worked.
-func (j *Detector) Opened(now clock.Millis) {
-	j.detectPause(now)
-	j.isConnected, j.wasConnected = true, true
-	j.graceStart, j.lastReceived, j.lastEcho, j.echoedAt = now, now, now, now
-	j.dial.opened()
-	j.outstanding.dropOverdue(now)
+// Opened records that a link was opened and the handshake succeeded, so that both
+// directions work.
+func (d *Detector) Opened(now clock.Millis) {
+	d.detectPause(now)
+	d.isConnected, d.wasConnected = true, true
+	d.graceStart, d.lastReceived, d.lastEcho, d.echoedAt = now, now, now, now
+	d.dial.opened()
+	d.outstanding.dropOverdue(now)
 }
 
-// Failed tells that a link couldn't be opened, or that the peer didn't prove
-// itself on it.
-func (j *Detector) Failed(now clock.Millis) {
-	j.detectPause(now)
-	j.dial.failed(now)
+// Failed records that a link couldn't be opened or that the handshake failed.
+func (d *Detector) Failed(now clock.Millis) {
+	d.detectPause(now)
+	d.dial.failed(now)
 }
 
-// Closed tells that the last open link broke. A new one is due at once; until
-// it is opened or fails, the path is doubted.
-func (j *Detector) Closed(now clock.Millis) {
-	j.detectPause(now)
-	j.isConnected = false
+// Closed records that the open link broke. A new link is due immediately. Until it is
+// opened or fails, the path is suspected.
+func (d *Detector) Closed(now clock.Millis) {
+	d.detectPause(now)
+	d.isConnected = false
 }
 
-// ClosedIdle tells that the link was closed for want of requests. The quiet that
-// follows says nothing about the peer: were it held against it, an entry whose
-// callers sleep would have lost all peers by the time that they wake.
-func (j *Detector) ClosedIdle(now clock.Millis) {
-	j.detectPause(now)
-	j.isConnected, j.wasConnected = false, false
+// ClosedIdle records that the entry closed the link because there were no requests. The
+// silence that follows says nothing about the peer. If it counted, an entry would have lost
+// the paths to all peers after hours without callers.
+func (d *Detector) ClosedIdle(now clock.Millis) {
+	d.detectPause(now)
+	d.isConnected, d.wasConnected = false, false
 }
 
-// Received tells that a frame came from the peer.
-func (j *Detector) Received(now clock.Millis) {
-	j.detectPause(now)
-	j.lastReceived = now
+// Received records that a frame arrived from the peer.
+func (d *Detector) Received(now clock.Millis) {
+	d.detectPause(now)
+	d.lastReceived = now
 }
 
-// PingTimedOut tells that a ping was not answered: the path is lost at once.
-func (j *Detector) PingTimedOut(now clock.Millis) {
-	j.detectPause(now)
-	if !j.isLost {
-		j.markLost(now)
+// PingTimedOut records that a ping was not answered. The path is lost immediately.
+func (d *Detector) PingTimedOut(now clock.Millis) {
+	d.detectPause(now)
+	if !d.isLost {
+		d.markLost(now)
 	}
 }
 
-// Echoed tells that the peer says that it last heard from this entry at the
-// instant heard, which is one of this entry's own clock that the peer returns.
-func (j *Detector) Echoed(now, heard clock.Millis) {
-	j.detectPause(now)
-	j.echoedAt = now
-	j.lastEcho = max(j.lastEcho, heard)
+// Echoed records that the peer receives frames of this entry. echo is the time, on this
+// entry's clock, of the last heartbeat that the peer reports to have received.
+func (d *Detector) Echoed(now, echo clock.Millis) {
+	d.detectPause(now)
+	d.echoedAt = now
+	d.lastEcho = max(d.lastEcho, echo)
 }
 
-// Sent tells that a request was sent that should be answered by due, an
-// instant.
-func (j *Detector) Sent(now clock.Millis, id uint64, due clock.Millis) {
-	j.detectPause(now)
-	j.outstanding.add(id, due)
+// Sent records that a request was sent whose answer is overdue after the time due.
+func (d *Detector) Sent(now clock.Millis, id uint64, due clock.Millis) {
+	d.detectPause(now)
+	d.outstanding.add(id, due)
 }
 
-// Completed tells that a request was answered or given up. Every request told to
-// Sent must come here, or it stays overdue.
-func (j *Detector) Completed(now clock.Millis, id uint64) {
-	j.detectPause(now)
-	j.outstanding.remove(id)
-	j.dial.resetChecks()
+// Completed records that a request was answered or given up. It must be called for every
+// request passed to Sent, which otherwise stays overdue.
+func (d *Detector) Completed(now clock.Millis, id uint64) {
+	d.detectPause(now)
+	d.outstanding.remove(id)
+	d.dial.resetChecks()
 }
 
-// State returns the judgement now.
-func (j *Detector) State(now clock.Millis) State {
-	j.detectPause(now)
+// State updates and returns the state of the path.
+func (d *Detector) State(now clock.Millis) State {
+	d.detectPause(now)
 	switch {
-	case !j.isLost && j.isUnreachable(now):
-		j.markLost(now)
-	case j.isLost && j.hasRecovered(now):
-		j.isLost = false
-		j.recoveredAt = now
+	case !d.isLost && d.isUnreachable(now):
+		d.markLost(now)
+	case d.isLost && d.hasRecovered(now):
+		d.isLost = false
+		d.recoveredAt = now
 	}
 	switch {
-	case j.isLost:
+	case d.isLost:
 		return Lost
-	case j.isSuspected(now):
+	case d.isSuspected(now):
 		return Suspected
 	default:
 		return Good
 	}
 }
 
-// ShouldDial says whether the driver is to open a link now, which it then does and
-// reports by Opened or Failed: at once on first need, when a link broke and on
-// a doubt; after a growing jittered span when that doesn't help.
-func (j *Detector) ShouldDial(now clock.Millis) bool {
-	lost := j.State(now) == Lost
-	wanted := !j.isConnected || j.isSuspected(now) || (lost && !j.worksBothWays(now))
-	return wanted && j.dial.tryStart(now, j.isConnected)
+// ShouldDial reports whether the caller must open a link now and report the result by
+// Opened or Failed. A dial is due immediately when a link is first needed, when the link
+// broke and when the path becomes suspected, and then after increasing delays with jitter
+// while the path doesn't recover.
+func (d *Detector) ShouldDial(now clock.Millis) bool {
+	lost := d.State(now) == Lost
+	wanted := !d.isConnected || d.isSuspected(now) || (lost && !d.worksBothWays(now))
+	return wanted && d.dial.tryStart(now, d.isConnected)
 }
 
-// detectPause notices that this process was paused. All peers look silent then, for
-// their frames wait unread: losing all paths at once would refuse every caller
-// although nothing but this entry failed. Quiet counts from the wake instead.
-func (j *Detector) detectPause(now clock.Millis) {
-	if now-j.lastCall > pauseIntervals*j.interval {
-		j.graceStart = max(j.graceStart, now)
+// detectPause detects that this process was paused. All peers then appear silent, because
+// their frames are still unread. If all paths were lost at the same time, the entry would
+// refuse every caller although only its own process has failed. Silence is therefore
+// counted from the end of the pause.
+func (d *Detector) detectPause(now clock.Millis) {
+	if now-d.lastCall > pauseIntervals*d.interval {
+		d.graceStart = max(d.graceStart, now)
 	}
-	j.lastCall = max(j.lastCall, now)
+	d.lastCall = max(d.lastCall, now)
 }
 
-// silence is how long the path has been without proof that the peer is there and
-// hears this entry. A one-way cut towards the peer shows only in the second:
-// its heartbeats keep coming.
-func (j *Detector) silence(now clock.Millis) clock.Millis {
-	silent := now - max(j.lastReceived, j.graceStart)
-	unheard := j.echoedAt - max(j.lastEcho, j.graceStart)
-	return max(silent, unheard)
+// silence returns the time without evidence that the peer sends frames or that it receives
+// those of this entry, whichever is longer. If the path is cut only towards the peer, the
+// peer's heartbeats still arrive, and only the missing echoes show the cut.
+func (d *Detector) silence(now clock.Millis) clock.Millis {
+	sinceReceived := now - max(d.lastReceived, d.graceStart)
+	sinceEcho := d.echoedAt - max(d.lastEcho, d.graceStart)
+	return max(sinceReceived, sinceEcho)
 }
 
-// isUnreachable says whether the evidence loses the path.
-func (j *Detector) isUnreachable(now clock.Millis) bool {
-	if !j.isConnected {
-		return j.dial.failures > 0
+// isUnreachable reports whether the path counts as lost.
+func (d *Detector) isUnreachable(now clock.Millis) bool {
+	if !d.isConnected {
+		return d.dial.failures > 0
 	}
-	quiet := j.silence(now)
-	return quiet > lostIntervals*j.interval || (quiet > suspectIntervals*j.interval && j.dial.failedAt > j.lastReceived)
+	silence := d.silence(now)
+	return silence > lostIntervals*d.interval || (silence > suspectIntervals*d.interval && d.dial.failedAt > d.lastReceived)
 }
 
-// isSuspected says whether the path wants a check. An overdue answer alone never
-// loses a path that beats both ways: the gate sees requests that hang, too,
-// and a hang common to all upstreams would lose all paths.
-func (j *Detector) isSuspected(now clock.Millis) bool {
-	if !j.isConnected {
-		return j.wasConnected
+// isSuspected reports whether the path needs a check. An overdue answer alone never makes a
+// path lost while heartbeats arrive in both directions: the gate detects hung requests
+// itself, and a fault that makes all upstreams hang would lose all paths.
+func (d *Detector) isSuspected(now clock.Millis) bool {
+	if !d.isConnected {
+		return d.wasConnected
 	}
-	return j.silence(now) > suspectIntervals*j.interval ||
-		(now > j.graceStart+graceIntervals*j.interval && j.outstanding.hasOverdue(now))
+	return d.silence(now) > suspectIntervals*d.interval ||
+		(now > d.graceStart+graceIntervals*d.interval && d.outstanding.hasOverdue(now))
 }
 
-// markLost marks the path lost. One that flaps returns only after a span that
-// grows with each relapse: each return would cost requests whose answers are
-// cut off with the next loss.
-func (j *Detector) markLost(now clock.Millis) {
-	j.holdDown = 0
-	if j.recoveredAt > 0 && now-j.recoveredAt <= stableIntervals*j.interval {
-		j.relapses++
-		j.holdDown = backoff(j.random, j.interval, min(j.relapses, holdDownDoublings))
+// markLost marks the path lost. A flapping path stays lost for at least a hold-down time
+// that grows with each relapse, because each recovery costs the requests whose answers are
+// cut off by the next loss.
+func (d *Detector) markLost(now clock.Millis) {
+	d.holdDown = 0
+	if d.recoveredAt > 0 && now-d.recoveredAt <= stableIntervals*d.interval {
+		d.relapses++
+		d.holdDown = backoff(d.random, d.interval, min(d.relapses, holdDownDoublings))
 	} else {
-		j.relapses = 0
+		d.relapses = 0
 	}
-	j.isLost = true
-	j.lostAt = now
+	d.isLost = true
+	d.lostAt = now
 }
 
-// hasRecovered says whether a lost path has returned.
-func (j *Detector) hasRecovered(now clock.Millis) bool {
-	return now-j.lostAt >= j.holdDown && j.worksBothWays(now)
+// hasRecovered reports whether a lost path works again and its hold-down time has passed.
+func (d *Detector) hasRecovered(now clock.Millis) bool {
+	return now-d.lostAt >= d.holdDown && d.worksBothWays(now)
 }
 
-// worksBothWays says whether the path has worked both ways since it was lost: a frame
-// came, and the peer has heard this entry.
-func (j *Detector) worksBothWays(now clock.Millis) bool {
-	return j.isConnected && j.lastReceived > j.lostAt && j.lastEcho > j.lostAt && j.silence(now) <= suspectIntervals*j.interval
+// worksBothWays reports whether the path has worked in both directions since it was lost:
+// a frame arrived, and the peer has received a frame of this entry.
+func (d *Detector) worksBothWays(now clock.Millis) bool {
+	return d.isConnected && d.lastReceived > d.lostAt && d.lastEcho > d.lostAt && d.silence(now) <= suspectIntervals*d.interval
 }
--- a/path/probe.go
+++ b/path/probe.go
@@ -3,43 +3,43 @@
 import "fuchsiapick.example/fuchsiapick/clock"
 
 const (
-	// PingDelay is how long a message may stay unanswered before the path is checked
-	// by a ping. What a gate refuses is answered within a round trip or two.
+	// PingDelay is how long a message may stay unanswered before a ping checks the path. A
+	// gate's refusals arrive within one or two round trips.
 	PingDelay = 50 * clock.Millis(1)
-	// PingTimeout is how long the answer to a ping may take: a lost packet is sent
-	// again after some 200 ms.
+	// PingTimeout is how long the answer to a ping may take. It leaves time for the
+	// retransmission of a lost packet, which takes about 200 ms.
 	PingTimeout = 300 * clock.Millis(1)
-	// maxCheckDelay is how late a check may come. One that is later shows that this
-	// process was paused, with the answer unread.
+	// maxCheckDelay is how late a check may run. A later check shows that this process was
+	// paused, so that the answer may be unread.
 	maxCheckDelay = 100 * clock.Millis(1)
 )
 
-// Action is what a check of a Probe asks for.
+// Action is what the caller of Probe.Check must do.
 type Action uint8
 
 // The values of Action.
 const (
-	// NoAction means that nothing is to be checked.
+	// NoAction means that no further check is needed.
 	NoAction Action = iota
 	// Wait means to check again later.
 	Wait
 	// Ping means to send a ping, and to check again later.
 	Ping
-	// DeclareLost means that the ping was not answered: the path is lost.
+	// DeclareLost means that the ping was not answered, so that the path is lost.
 	DeclareLost
 )
 
-// Probe finds a path that is cut sooner than missing heartbeats do, by a ping while a
-// message is unanswered. The zero value is ready. It is not safe for concurrent use.
+// Probe detects a cut path sooner than missing heartbeats do, by a ping while a message is
+// unanswered. The zero value is ready to use. A Probe is not safe for concurrent use.
 type Probe struct {
-	// firstUnanswered is when the first message was sent of those that the peer isn't known to
-	// have got, 0 without one; last is when the latest of them was.
+	// firstUnanswered is when the first message was sent that the peer is not known to have
+	// received, or 0 if there is none. lastSent is when the last message was sent.
 	firstUnanswered, lastSent clock.Millis
-	pingSentAt                clock.Millis // 0 without a ping under way
-	checkDue                  clock.Millis
+	pingSentAt                clock.Millis // 0 if no ping is unanswered
+	checkDue                  clock.Millis // when the next check is due
 }
 
-// Sent tells that a message was sent that the peer will answer.
+// Sent records that a message was sent that the peer answers.
 func (p *Probe) Sent(now clock.Millis) {
 	if p.firstUnanswered == 0 {
 		p.firstUnanswered = now
@@ -47,7 +47,8 @@
 	p.lastSent = now
 }
 
-// Answered tells that the peer has answered what was sent at an instant.
+// Answered records that the peer has answered a message or ping that was sent at the time
+// sent.
 func (p *Probe) Answered(sent clock.Millis) {
 	if sent >= p.pingSentAt {
 		p.pingSentAt = 0
@@ -60,8 +61,8 @@
 	}
 }
 
-// Check returns what to do now, and in what span to check again unless that is Rest or
-// Stall.
+// Check returns the action to take now and, for Wait and Ping, the delay until the next
+// call of Check.
 func (p *Probe) Check(now clock.Millis) (Action, clock.Millis) {
 	isLate := p.pingSentAt > 0 && now-p.checkDue > maxCheckDelay
 	switch {
@@ -81,6 +82,7 @@
 	}
 }
 
+// wait returns the result of a Check that is followed by another one at the time until.
 func (p *Probe) wait(now, until clock.Millis) (Action, clock.Millis) {
 	p.checkDue = until
 	return Wait, until - now
