--- a/node/crashes.go
+++ b/node/crashes.go
@@ -10,180 +10,187 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// crashTracker is what this node knows of requests that crash backend servers. It is safe for
-// concurrent use. Its lock is taken under those of gates and of the node, and none of these is
-// taken under it.
+// crashTracker holds what this node knows about requests that crash backend servers. It is
+// safe for concurrent use. Lock order: its lock may be acquired while the locks of the node
+// or of a gate are held, but not the other way round.
 type crashTracker struct {
 	now func() clock.Millis
-	// announce tells entries of other nodes at once.
+	// announce immediately sends a report to all entries that have a link to this node.
 	announce func(c *wire.CrashReport)
-	// isEmpty and digest are the register's, for readers that can't wait.
+	// isEmpty and digest copy values of the registry for callers that can't wait for the lock.
 	isEmpty atomic.Bool
 	digest  atomic.Uint64
-	// changed is filled when there is something for the loop.
+	// changed wakes runCrashUpdates after a change.
 	changed chan struct{}
 
 	mu       sync.Mutex
-	register *quarantine.Registry
-	// announcedRevision is up to where others were told, and untold what the readers are still to hear.
+	registry *quarantine.Registry
+	// announcedRevision is the revision of the registry up to which publish has handled
+	// changes. pending holds the crashes that are still to be sent to the reader nodes.
 	announcedRevision uint64
 	pending           []quarantine.Crash
 }
 
-func newCrashes(now func() clock.Millis, tell func(c *wire.CrashReport)) *crashTracker {
-	c := &crashTracker{now: now, announce: tell, register: quarantine.NewRegistry(), changed: make(chan struct{}, 1)}
+func newCrashTracker(now func() clock.Millis, announce func(c *wire.CrashReport)) *crashTracker {
+	c := &crashTracker{now: now, announce: announce, registry: quarantine.NewRegistry(), changed: make(chan struct{}, 1)}
 	c.isEmpty.Store(true)
 	return c
 }
 
-// IsEmpty reports whether nothing is suspected.
+// IsEmpty reports whether no request is suspected.
 func (c *crashTracker) IsEmpty() bool {
 	return c.isEmpty.Load()
 }
 
-// MayMatch reports whether a request with the hint may be a suspect.
+// MayMatch reports whether a request with this hint may be a suspect.
 func (c *crashTracker) MayMatch(hint uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.register.MayMatch(hint)
+	return c.registry.MayMatch(hint)
 }
 
-// Status says how a request may be sent.
+// Status returns how a request may be sent: freely, one at a time or not at all.
 func (c *crashTracker) Status(f quarantine.Fingerprint) quarantine.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.register.Status(c.now(), f)
+	return c.registry.Status(c.now(), f)
 }
 
-// RecordCrash takes in the end of a backend server beside this node.
-func (c *crashTracker) RecordCrash(e quarantine.Crash) {
+// RecordCrash records a crash of a backend server beside this node.
+func (c *crashTracker) RecordCrash(crash quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if isNews, _ := c.register.Merge(c.now(), []quarantine.Crash{e}); isNews {
+	if isNew, _ := c.registry.Merge(c.now(), []quarantine.Crash{crash}); isNew {
 		c.publish(true)
 	}
 }
 
-// RecordInconclusive takes in a trial beside this node that showed nothing.
-func (c *crashTracker) RecordInconclusive(e quarantine.Crash) {
+// RecordInconclusive records a trial beside this node that neither crashed the backend
+// server nor succeeded.
+func (c *crashTracker) RecordInconclusive(trial quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.register.AddInconclusive(c.now(), e) {
+	if c.registry.AddInconclusive(c.now(), trial) {
 		c.publish(true)
 	}
 }
 
-// RecordSuccess takes in that a run beside this node came to its end and didn't fail.
+// RecordSuccess records that a run beside this node finished without a failure.
 func (c *crashTracker) RecordSuccess(d *wire.Dispatch) {
 	if c.IsEmpty() {
 		return
 	}
-	subject := d.QuarantineRequest()
-	if !c.MayMatch(subject.Hint()) {
+	request := d.QuarantineRequest()
+	if !c.MayMatch(request.Hint()) {
 		return
 	}
-	c.Clear(subject.Fingerprint())
+	c.Clear(request.Fingerprint())
 }
 
-// Clear takes in that a request succeeded.
+// Clear records that a request succeeded.
 func (c *crashTracker) Clear(f quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.register.Clear(c.now(), f) {
+	if c.registry.Clear(c.now(), f) {
 		c.publish(true)
 	}
 }
 
-// merge takes in what a peer tells and returns what that peer lacks. A node that others
-// keep links to passes on what is new.
-func (c *crashTracker) merge(told *wire.CrashReport, passesOn bool) (behind []quarantine.Crash) {
+// merge adds the crashes of a peer's report and returns those that the peer lacks. With
+// forwards, new ones are sent on to other nodes: the reader nodes do so, as all nodes keep
+// links to some of them.
+func (c *crashTracker) merge(report *wire.CrashReport, forwards bool) (missing []quarantine.Crash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	isNews, behind := c.register.Merge(c.now(), told.ToQuarantine(c.now()))
-	if isNews {
-		c.publish(passesOn)
+	isNew, missing := c.registry.Merge(c.now(), report.ToQuarantine(c.now()))
+	if isNew {
+		c.publish(forwards)
 	}
-	return behind
-}
-
-// publish brings what is read without the lock up to date, tells entries with a link what has
-// changed if that is wanted, and wakes the loop. The lock is held.
-func (c *crashTracker) publish(tells bool) {
-	c.isEmpty.Store(c.register.IsEmpty())
-	c.digest.Store(c.register.Digest())
-	ends, told := c.register.ChangedSince(c.announcedRevision)
-	c.announcedRevision = told
-	if tells && len(ends) > 0 {
-		c.pending = append(c.pending, ends...)
-		for _, frame := range wire.NewCrashReports(c.now(), ends) {
-			c.announce(frame)
+	return missing
+}
+
+// publish updates the fields that are read without the lock and wakes runCrashUpdates. With
+// announces, it also sends the changed crashes to the entries with a link and queues them for
+// the reader nodes. The caller holds the lock.
+func (c *crashTracker) publish(announces bool) {
+	c.isEmpty.Store(c.registry.IsEmpty())
+	c.digest.Store(c.registry.Digest())
+	crashes, revision := c.registry.ChangedSince(c.announcedRevision)
+	c.announcedRevision = revision
+	if announces && len(crashes) > 0 {
+		c.pending = append(c.pending, crashes...)
+		for _, report := range wire.NewCrashReports(c.now(), crashes) {
+			c.announce(report)
 		}
 	}
 	select {
 	case c.changed <- struct{}{}:
-	default: // it is to look already
+	default: // a wake-up is pending already
 	}
 }
 
-// takePending returns what the readers are still to hear.
+// takePending returns the crashes that are still to be sent to the reader nodes, and clears
+// them.
 func (c *crashTracker) takePending() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends := c.pending
+	crashes := c.pending
 	c.pending = nil
-	return ends
+	return crashes
 }
 
-// all returns everything that is to be known elsewhere, with the digest of it.
-func (c *crashTracker) all() []quarantine.Crash {
+// allCrashes returns all crashes that other nodes need: those with a request that is still
+// suspected.
+func (c *crashTracker) allCrashes() []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ends, _ := c.register.ChangedSince(0)
-	return ends
+	crashes, _ := c.registry.ChangedSince(0)
+	return crashes
 }
 
 // cases returns the requests that are suspected or quarantined.
 func (c *crashTracker) cases() []quarantine.Case {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.register.Cases()
+	return c.registry.Cases()
 }
 
-// expire forgets what is too old.
+// expire drops crashes and verdicts that are too old.
 func (c *crashTracker) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.register.Expire(c.now())
+	c.registry.Expire(c.now())
 	c.publish(false)
 }
 
-// lift frees the requests that a table names.
+// lift releases the requests whose fingerprints operators list in the table, as long as they
+// are listed.
 func (c *crashTracker) lift(t *table.Table) {
-	var all []quarantine.Fingerprint
+	var lifted []quarantine.Fingerprint
 	for i := range t.Services {
 		for _, text := range t.Services[i].LiftedFingerprints {
-			if f, ok := quarantine.ParseFingerprint(text); ok { // the table was checked
-				all = append(all, f)
+			if f, ok := quarantine.ParseFingerprint(text); ok { // validated with the table
+				lifted = append(lifted, f)
 			}
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.register.Lift(all)
+	c.registry.Lift(lifted)
 	c.publish(false)
 }
 
-// gateCrashes is what gates ask.
+// gateCrashes adapts a crashTracker to gate.CrashTracker.
 type gateCrashes struct{ *crashTracker }
 
-// Status says how a dispatch's request may be sent.
-func (b gateCrashes) Status(d *wire.Dispatch) quarantine.Status {
-	if b.IsEmpty() {
+// Status returns how a dispatch's request may be sent.
+func (g gateCrashes) Status(d *wire.Dispatch) quarantine.Status {
+	if g.IsEmpty() {
 		return quarantine.Status{}
 	}
-	subject := d.QuarantineRequest()
-	if d.Verdict == uint8(quarantine.Free) && !b.MayMatch(subject.Hint()) {
+	request := d.QuarantineRequest()
+	if d.Verdict == uint8(quarantine.Free) && !g.MayMatch(request.Hint()) {
 		return quarantine.Status{}
 	}
-	return b.crashTracker.Status(subject.Fingerprint())
+	return g.crashTracker.Status(request.Fingerprint())
 }
--- a/node/gates.go
+++ b/node/gates.go
@@ -16,52 +16,55 @@
 	return strconv.FormatUint(v, 10)
 }
 
-// applyGates makes, edits and removes the gates of the upstreams beside this
-// node. A gate that is removed finishes what it has admitted.
+// applyGates creates, updates and removes the gates of the upstreams beside this node. A
+// removed gate finishes the requests that it has admitted. The caller holds the node's lock.
 func (n *Node) applyGates(t *table.Table) {
-	beside := map[string]bool{}
+	named := map[string]bool{}
 	for i := range t.Services {
 		s := &t.Services[i]
 		for _, u := range s.Upstreams {
 			if u.Node == n.address() {
-				beside[u.Name] = true
+				named[u.Name] = true
 				n.applyGate(*s, u)
 			}
 		}
 	}
 	for name := range n.gates {
-		if !beside[name] {
+		if !named[name] {
 			n.retireGate(name)
 		}
 	}
 	n.closeRetiredGates()
 }
 
-// retiredGateTTL is how long a gate that was removed is asked what became of its
-// dispatches: longer than the longest deadline of today's routes, 15 s, and the
-// memory of a fence.
+// retiredGateTTL is how long a removed gate still answers entries that ask for the outcome of
+// a dispatch. It is longer than the longest deadline of the current routes, 15 s, and than
+// lease.Retention.
 const retiredGateTTL = clock.Minute
 
-// retireGate removes a gate, which finishes what it has begun. It is asked on: its upstream
-// may come back under its name, after its registration lapsed or as another process,
-// and an entry may still want to know what became of a request.
+// retireGate removes a gate, which finishes the requests that it has begun. The gate still
+// answers for its dispatches: its upstream may return under the same name, after its
+// registration expired or as a new process, while an entry still needs the outcome of a
+// request.
 func (n *Node) retireGate(name string) {
 	g := n.gates[name]
 	g.Leave()
 	delete(n.gates, name)
-	n.retired[name] = retiredGate{gate: g, at: n.clock.Now()}
+	n.retired[name] = retiredGate{gate: g, retiredAt: n.clock.Now()}
 }
 
-// retiredGate is a gate that was removed.
+// retiredGate is a removed gate that still answers for its dispatches.
 type retiredGate struct {
-	gate *gate.Gate
-	at   clock.Millis
+	gate      *gate.Gate
+	retiredAt clock.Millis
 }
 
+// closeRetiredGates closes the idle gates that were removed more than retiredGateTTL ago, and
+// makes the current gates drop their predecessors of that age.
 func (n *Node) closeRetiredGates() {
 	before := n.clock.Now() - retiredGateTTL
 	for name, r := range n.retired {
-		if r.at < before && r.gate.Pending() == 0 {
+		if r.retiredAt < before && r.gate.Pending() == 0 {
 			delete(n.retired, name)
 			r.gate.Close()
 		}
@@ -71,6 +74,8 @@
 	}
 }
 
+// applyGate creates or updates the gate of one upstream. A change of its service or address
+// retires the old gate.
 func (n *Node) applyGate(s table.Service, u table.Upstream) {
 	if g, ok := n.gates[u.Name]; ok && g.Serves(s.Name, u.Address) {
 		g.Update(s, u)
@@ -116,7 +121,8 @@
 	return g, ok
 }
 
-// gateOrRetired is the gate that knows what became of an upstream's dispatches.
+// gateOrRetired returns the current gate of an upstream or else its retired gate, which still
+// knows the outcomes of its dispatches. It returns false if there is neither.
 func (n *Node) gateOrRetired(upstream string) (*gate.Gate, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,15 +136,15 @@
 func (n *Node) allGates() []*gate.Gate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make([]*gate.Gate, 0, len(n.gates))
+	gates := make([]*gate.Gate, 0, len(n.gates))
 	for _, g := range n.gates {
-		all = append(all, g)
+		gates = append(gates, g)
 	}
-	return all
+	return gates
 }
 
-// handle gives a dispatch to its gate.
-func (n *Node) handle(d *wire.Dispatch, answer func(*wire.Reply)) {
+// handleDispatch passes a dispatch to its gate. It answers NotRun if there is no such gate.
+func (n *Node) handleDispatch(d *wire.Dispatch, answer func(*wire.Reply)) {
 	g, ok := n.gate(d.Upstream)
 	if !ok {
 		answer(&wire.Reply{
@@ -147,7 +153,7 @@
 			Outcome:  wire.NotRun,
 			Reason:   wire.ReasonNoUpstream,
 			Time:     n.clock.Now(),
-			Upstream: n.unknownUpstream(d.Upstream),
+			Upstream: n.unknownUpstreamStatus(d.Upstream),
 		})
 		return
 	}
@@ -155,18 +161,22 @@
 }
 
 const (
-	// unknownUpstreamDelay is how long an entry leaves an upstream alone that its node doesn't
-	// know: about as long as the news of a change take. Left alone for good, one that
-	// its node learns of a moment later would get no request while the entry lives.
+	// unknownUpstreamDelay is how long an entry sends no requests to an upstream that the
+	// node beside it doesn't know: about as long as a change takes to reach all nodes.
+	// Without a limit, an upstream that its node learns about a moment later would get no
+	// request as long as the entry's process lives.
 	unknownUpstreamDelay = 2 * clock.Second
-	// staleTableDelay is for how long an upstream is asked for before its node doubts its
-	// own table: entries ask for one that has left until they hear of it, within 2 s.
+	// staleTableDelay is how long entries must have asked for an unknown upstream before the
+	// node suspects that its own table is stale: entries also ask for an upstream that has
+	// left until they learn of it, within 2 s.
 	staleTableDelay = 2 * unknownUpstreamDelay
 )
 
-// unknownUpstream is what entries are told of an upstream that they ask for and this node
-// doesn't know. It has left, is not known here yet, or never will be.
-func (n *Node) unknownUpstream(upstream string) wire.Upstream {
+// unknownUpstreamStatus returns the status that is reported to an entry which asks for an
+// upstream that this node doesn't know: the upstream is ejected for unknownUpstreamDelay. The
+// upstream has left, or its registration has not arrived here or never will. If entries ask
+// for it for staleTableDelay or longer, the node checks its copy of the platform's values.
+func (n *Node) unknownUpstreamStatus(upstream string) wire.Upstream {
 	now := n.clock.Now()
 	n.mu.Lock()
 	first, ok := n.unknownUpstreams[upstream]
@@ -182,73 +192,78 @@
 	return wire.Upstream{Name: upstream, State: uint8(health.Ejected), Severity: 1, Until: unknownUpstreamDelay}
 }
 
-// requestWork asks an entry for a request to an upstream beside this node.
-func (n *Node) requestWork(entry uint64, i *wire.WorkRequest) bool {
+// requestWork asks an entry for a request to an upstream beside this node; entry 0 stands for
+// the next entry in turn. It returns false if the message can't be sent.
+func (n *Node) requestWork(entry uint64, r *wire.WorkRequest) bool {
 	if entry == n.incarnation {
-		n.entry.HandleWorkRequest(i)
+		n.entry.HandleWorkRequest(r)
 		return true
 	}
-	return n.links.SendWorkRequest(entry, i)
+	return n.links.SendWorkRequest(entry, r)
 }
 
-// notifyHung tells an entry of a run that most likely comes to no end. One that doesn't hear it
-// waits on.
-func (n *Node) notifyHung(entry uint64, s *wire.HungRun) {
+// notifyHung tells an entry that one of its runs most likely hangs. If the message is lost,
+// the entry keeps waiting for the reply.
+func (n *Node) notifyHung(entry uint64, m *wire.HungRun) {
 	if entry == n.incarnation {
-		n.localWaiters.notifyHung(s)
+		n.localWaiters.notifyHung(m)
 		return
 	}
-	n.links.SendHungRun(entry, s)
+	n.links.SendHungRun(entry, m)
 }
 
-// Dispatch takes in a request from another node's entry.
+// Dispatch handles a request from another node's entry.
 func (n *Node) Dispatch(from uint64, d *wire.Dispatch) {
-	n.handle(d, func(r *wire.Reply) { n.links.SendReply(from, r) })
+	n.handleDispatch(d, func(r *wire.Reply) { n.links.SendReply(from, r) })
 }
 
-// ProbeCapacity answers another node's entry that looks for a slot.
-func (n *Node) ProbeCapacity(from uint64, e *wire.CapacityProbe) {
-	n.probeCapacity(e, func(h *wire.Reservation) { n.links.SendReservation(from, h) })
+// ProbeCapacity answers a capacity probe of another node's entry.
+func (n *Node) ProbeCapacity(from uint64, p *wire.CapacityProbe) {
+	n.probeCapacity(p, func(r *wire.Reservation) { n.links.SendReservation(from, r) })
 }
 
-func (n *Node) probeCapacity(e *wire.CapacityProbe, answer func(*wire.Reservation)) {
-	g, ok := n.gate(e.Upstream)
+// probeCapacity passes a capacity probe to its gate. Without such a gate it answers
+// immediately that nothing is reserved.
+func (n *Node) probeCapacity(p *wire.CapacityProbe, answer func(*wire.Reservation)) {
+	g, ok := n.gate(p.Upstream)
 	if !ok {
 		answer(&wire.Reservation{
-			ID: e.ID, Attempt: e.Attempt, Reason: wire.ReasonNoUpstream, Time: n.clock.Now(),
-			Upstream: n.unknownUpstream(e.Upstream),
+			ID: p.ID, Attempt: p.Attempt, Reason: wire.ReasonNoUpstream, Time: n.clock.Now(),
+			Upstream: n.unknownUpstreamStatus(p.Upstream),
 		})
 		return
 	}
-	g.ProbeCapacity(e, answer)
+	g.ProbeCapacity(p, answer)
 }
 
-// ReleaseReservation lets go of a slot that an entry asked for.
-func (n *Node) ReleaseReservation(w *wire.ReleaseReservation) {
-	if g, ok := n.gate(w.Upstream); ok {
-		g.ReleaseReservation(w)
+// ReleaseReservation releases a slot that an entry has asked for.
+func (n *Node) ReleaseReservation(r *wire.ReleaseReservation) {
+	if g, ok := n.gate(r.Upstream); ok {
+		g.ReleaseReservation(r)
 	}
 }
 
-// Resolve answers another node's entry about one of its dispatches.
-func (n *Node) Resolve(from uint64, s *wire.Resolve) {
-	g, ok := n.gateOrRetired(s.Upstream)
+// Resolve tells another node's entry the outcome of one of its dispatches. If the gate has the
+// reply, it is sent again; otherwise the entry gets a resolution.
+func (n *Node) Resolve(from uint64, r *wire.Resolve) {
+	g, ok := n.gateOrRetired(r.Upstream)
 	if !ok {
-		n.links.SendResolution(from, &wire.Resolution{ID: s.ID, Attempt: s.Attempt, Unknown: true, Time: n.clock.Now()})
+		n.links.SendResolution(from, &wire.Resolution{ID: r.ID, Attempt: r.Attempt, Unknown: true, Time: n.clock.Now()})
 		return
 	}
-	settled, reply := g.Resolve(s)
+	resolution, reply := g.Resolve(r)
 	if reply != nil {
 		n.links.SendReply(from, reply)
 		return
 	}
-	n.links.SendResolution(from, settled)
+	n.links.SendResolution(from, resolution)
 }
 
-// target returns the way to the node beside an upstream.
-func (n *Node) target(u table.Upstream) entry.GateClient {
+// gateClient returns the client for the gate of an upstream: in this process, or over a link
+// to the node beside the upstream.
+func (n *Node) gateClient(u table.Upstream) entry.GateClient {
 	if u.Node == n.address() {
-		return localTarget{n}
+		return localGates{n}
 	}
 	return n.peers[u.Node].link
 }
--- a/node/leave.go
+++ b/node/leave.go
@@ -12,18 +12,17 @@
 	"fuchsiapick.example/fuchsiapick/access"
 )
 
-// drainPollInterval is how often a leaving node looks whether it has finished.
+// drainPollInterval is how often a leaving node checks whether it has finished.
 const drainPollInterval = 20 * time.Millisecond
 
-// Leave begins a graceful shutdown: gates take no new work from now on, and
-// Run returns when all requests in flight are finished or the grace is over. A
-// second call changes nothing.
+// Leave begins a graceful shutdown: gates accept no new requests, and Run returns when all
+// requests in flight are finished or the grace period is over. Further calls have no effect.
 func (n *Node) Leave() {
 	n.leaveOnce.Do(func() { close(n.leave) })
 }
 
-// leaveGates says on every link at once that the upstreams beside this node
-// get no new work.
+// leaveGates stops the gates from accepting new requests and announces that immediately, with
+// a heartbeat on every link.
 func (n *Node) leaveGates() {
 	n.mu.Lock()
 	n.leaving = true
@@ -35,19 +34,21 @@
 	n.links.BroadcastHeartbeat()
 }
 
-// callerDrainTimeout bounds how long a leaving node still takes callers' requests, its
-// linger included, beside half of the grace: what comes later could not be
-// finished within it. The instance list lags, and a caller that follows it needs
-// some seconds.
+// callerDrainTimeout bounds how long a leaving node still accepts callers' requests, the
+// linger time included. Half of the grace period bounds it as well, so that accepted requests
+// can finish within the grace period. The node doesn't stop earlier because the instance list
+// lags and callers that follow it need some seconds.
 const callerDrainTimeout = 5 * clock.Second
 
-// shutdownMargin is taken from the grace for the process's own end: what is left of it
-// after the grace is killed, connections that were just answered included.
+// shutdownMargin is the part of the grace period that is reserved for the exit of the
+// process. A process that is still there after the grace period is killed, together with
+// connections that were just answered.
 const shutdownMargin = 300 * clock.Millis(1)
 
-// drain finishes what is in flight. Gates refuse new work at once, and entries
-// send it elsewhere. Callers are served, over other nodes, until none has come
-// for a while; then their port closes, and what they have begun is finished.
+// drain finishes the requests in flight. Gates immediately refuse new requests, and entries
+// send these to other nodes. Callers are served by upstreams of other nodes until no request
+// has come for idleWindow or callerDrainTimeout is over; then the caller port closes, and the
+// requests that were accepted are finished. Requests that outlast the grace period are cut.
 func (n *Node) drain(ctx context.Context) {
 	n.entry.Leave()
 	left := n.clock.Now()
@@ -56,22 +57,22 @@
 	ctx, cancel := context.WithTimeout(ctx, (n.settings.Grace - min(n.settings.Grace/10, shutdownMargin)).Duration())
 	defer cancel()
 	n.linger(ctx)
-	callers, stop := context.WithTimeout(ctx, (min(callerDrainTimeout, n.settings.Grace/2) - n.settings.Linger).Duration())
+	callersCtx, stop := context.WithTimeout(ctx, (min(callerDrainTimeout, n.settings.Grace/2) - n.settings.Linger).Duration())
 	defer stop()
-	_ = n.awaitIdle(callers, n.entry.InFlight) // callers that go on coming don't hold the node
+	_ = n.awaitIdle(callersCtx, n.entry.InFlight) // callers that keep sending requests must not delay the shutdown
 	if err := n.callerServer.ShutdownWithContext(ctx); err != nil {
 		n.log.WithError(err).Warn("callers' connections are cut")
 	}
 	if err := n.awaitPeers(ctx, left); err != nil {
-		n.log.Warn("grace is over; a peer has not heard that the node leaves")
+		n.log.Warn("grace is over; a peer has not confirmed that the node is leaving")
 	}
 	if err := n.awaitIdle(ctx, n.InFlight); err != nil {
 		n.log.WithFields(logrus.Fields{"requests": n.InFlight()}).Warn("grace is over; requests are cut")
 	}
 }
 
-// linger lets callers come until those who watch the node's readiness have sent
-// them elsewhere. They would meet a closed port.
+// linger keeps accepting callers' requests until load balancers that watch the node's
+// readiness have sent callers to other nodes. Without it, callers would find a closed port.
 func (n *Node) linger(ctx context.Context) {
 	if n.settings.Linger <= 0 {
 		return
@@ -84,13 +85,13 @@
 	}
 }
 
-// awaitPeers waits until all peers with a link have heard that this node leaves.
-// A request that an entry sent before, over a link that is slow at that moment,
-// would else meet a closed one, and its caller hear that its outcome is unknown.
-func (n *Node) awaitPeers(ctx context.Context, left clock.Millis) error {
+// awaitPeers waits until all peers with a link have confirmed a heartbeat sent since the node
+// began to leave. Otherwise a request that an entry sent earlier over a slow link would
+// arrive after the link is closed, and its caller would get an unknown outcome.
+func (n *Node) awaitPeers(ctx context.Context, since clock.Millis) error {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for !n.links.HeartbeatEchoed(left) {
+	for !n.links.HeartbeatEchoed(since) {
 		select {
 		case <-ctx.Done():
 			return errors.Trace(ctx.Err())
@@ -100,17 +101,18 @@
 	return nil
 }
 
-// awaitIdle waits until nothing has been in flight for settleDown.
-func (n *Node) awaitIdle(ctx context.Context, busy func() int) error {
-	since := n.clock.Now()
+// awaitIdle waits until inFlight has returned 0 for idleWindow. It returns the context's
+// error if that ends first.
+func (n *Node) awaitIdle(ctx context.Context, inFlight func() int) error {
+	idleSince := n.clock.Now()
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		now := n.clock.Now()
-		if busy() > 0 {
-			since = now
+		if inFlight() > 0 {
+			idleSince = now
 		}
-		if now-since > idleWindow {
+		if now-idleSince > idleWindow {
 			return nil
 		}
 		select {
@@ -121,22 +123,22 @@
 	}
 }
 
-// idleWindow is how long nothing must be in flight: peers hear within it that
-// the node leaves, before its links close.
+// idleWindow is how long no request must have been in flight before the node counts as idle.
+// In this time peers learn that the node is leaving, before its links close.
 const idleWindow = clock.Millis(300)
 
-// InFlight counts the requests in flight, as entry and as gate.
+// InFlight returns how many requests are in flight, in the entry and in all gates.
 func (n *Node) InFlight() int {
-	busy := n.entry.InFlight()
+	count := n.entry.InFlight()
 	for _, g := range n.allGates() {
-		busy += g.Pending()
+		count += g.Pending()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.retired {
-		busy += r.gate.Pending()
+		count += r.gate.Pending()
 	}
-	return busy
+	return count
 }
 
 func (n *Node) isLeaving() bool {
@@ -152,12 +154,12 @@
 	return n.table != nil && !n.leaving
 }
 
-// InForce is closed when the first table is in force.
+// InForce returns a channel that is closed when the first table is in force.
 func (n *Node) InForce() <-chan struct{} {
 	return n.inForce
 }
 
-// Snapshot is what a report reads of this node.
+// Snapshot returns the records and states of this node that match a filter, for reports.
 func (n *Node) Snapshot(f access.Filter) access.Snapshot {
 	s := n.book.Snapshot(n.clock.Now(), f)
 	s.Name, s.Node, s.Domain, s.Table = n.settings.Node, n.address(), n.settings.Domain, n.version()
@@ -169,7 +171,7 @@
 	return s
 }
 
-// States describes all upstreams as this node's entry sees them.
+// States returns the states of all upstreams as this node's entry sees them.
 func (n *Node) States() []access.UpstreamState {
 	return n.entry.States()
 }
--- a/node/stalls.go
+++ b/node/local_waiters.go
@@ -8,8 +8,8 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// localWaiters finds who waits for the dispatches of this node's own gates. It is safe for
-// concurrent use.
+// localWaiters holds the observers of the dispatches that this node's entry sends to the
+// node's own gates. It is safe for concurrent use.
 type localWaiters struct {
 	mu      sync.Mutex
 	waiters map[lease.Key]link.DispatchObserver
@@ -31,7 +31,7 @@
 	delete(s.waiters, d.ID.Key(d.Attempt))
 }
 
-// notifyHung tells the waiter of a dispatch that its run most likely comes to no end.
+// notifyHung tells the observer of a dispatch that its run most likely hangs.
 func (s *localWaiters) notifyHung(m *wire.HungRun) {
 	s.mu.Lock()
 	w, ok := s.waiters[m.ID.Key(m.Attempt)]
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one instance's process: an entry for callers, a gate for
-// each upstream beside it, links to other nodes, the reader of the platform and
-// the admin address, under one supervisor.
+// Package node runs the process of one instance: an entry for callers, a gate for each
+// upstream beside it, links to other nodes, the platform reader and the admin server, under
+// one supervisor.
 package node
 
 import (
@@ -30,8 +30,8 @@
 )
 
 const (
-	// gateWorkers bounds the requests that all gates of a node run at once:
-	// 83 upstreams of 7 slots at the size to design for, and as many waiting.
+	// gateWorkers bounds the requests that all gates of a node run concurrently. The design
+	// size is 83 upstreams with 7 slots each, and as many waiting requests.
 	gateWorkers = 2048
 	maxEvents   = 2000
 	maxCallers  = 1000
@@ -41,21 +41,21 @@
 type Config struct {
 	Settings *settings.Settings
 	Log      *logrus.Logger
-	// Listeners are open ports to serve on. Without them Run opens those that
-	// the settings name. Run closes them.
+	// Listeners are the open ports to serve on. If nil, Run opens the ports that the settings
+	// name. Run closes them in either case.
 	Listeners *Listeners
-	// KeyMargin is by how much the age of an idempotency key may be
-	// understated; 0 means resend.Margin. Tests set it, to resend at once.
+	// KeyMargin is by how much the age of an idempotency key may be understated; 0 stands for
+	// resend.Margin. Tests set it to be able to resend immediately.
 	KeyMargin clock.Millis
-	// Store is the platform's; nil without a platform.
+	// Store is the platform's store, or nil if there is no platform.
 	Store mirror.Store
-	// TableBuilder makes the tables where the platform publishes in a form of its own;
-	// nil where it holds those of this project.
+	// TableBuilder builds the tables if the platform publishes them in a format of its own.
+	// It is nil if the platform holds tables in this project's format.
 	TableBuilder TableBuilder
-	// LogDrops tells of log lines that were left out; it may be nil.
+	// LogDrops reports how many log lines were dropped; it may be nil.
 	LogDrops metrics.LogDrops
-	// CallerHeaders and UpstreamHeaders are the names that the platform gives
-	// to headers; empty ones stand for this project's.
+	// CallerHeaders and UpstreamHeaders are the platform's names of headers; empty names stand
+	// for those of this project.
 	CallerHeaders   entry.Headers
 	UpstreamHeaders gate.Headers
 }
@@ -64,9 +64,9 @@
 type Node struct {
 	settings     *settings.Settings
 	tableBuilder TableBuilder
-	follower     *mirror.Follower // nil without a platform
+	follower     *mirror.Follower // nil if there is no platform
 	listeners    *Listeners
-	// upstreamHeaders are the names that backend servers know.
+	// upstreamHeaders are the names of the headers that backend servers receive.
 	upstreamHeaders gate.Headers
 	log             logrus.FieldLogger
 	clock           *clock.System
@@ -87,14 +87,17 @@
 	peerSupervisor  *suture.Supervisor
 	leave           chan struct{}
 	leaveOnce       sync.Once
-	// peerVersionKnown is closed when a peer has said which table it has in force.
+	// peerVersionKnown is closed when the heartbeat of a dialled peer has shown that this
+	// node's table is at least as new as the peer's. With a TableBuilder, the first heartbeat
+	// of a dialled peer closes it.
 	peerVersionKnown chan struct{}
 	peerVersionOnce  sync.Once
 	// inForce is closed when the first table is in force.
 	inForce     chan struct{}
 	inForceOnce sync.Once
 
-	// heartbeatRequested is filled when entries of other nodes should hear at once of a gate.
+	// heartbeatRequested is filled when a change of a gate should reach the entries of other
+	// nodes immediately.
 	heartbeatRequested chan struct{}
 
 	mu           sync.Mutex
@@ -102,21 +105,21 @@
 	table        *table.Table
 	tableText    []byte
 	gates        map[string]*gate.Gate
-	// retired are the gates that were removed, strangers since when upstreams are
-	// asked for that this node doesn't know.
+	// retired holds the removed gates by the name of their upstream. unknownUpstreams holds
+	// when an upstream that this node doesn't know was asked for first.
 	retired          map[string]retiredGate
 	unknownUpstreams map[string]clock.Millis
 	peers            map[string]*peer
 	leaving          bool
-	// readRevisions are the revisions of the values that were taken in, by key. The
-	// follower alone uses it.
+	// readRevisions holds the revisions of the values that were applied, by key. Only the
+	// follower's goroutine uses it.
 	readRevisions       map[string]uint64
-	neighbourSeed       maphash.Seed // of neighbours
+	neighbourSeed       maphash.Seed // for rank
 	platformUnavailable bool
-	listedLeaving       map[string]bool // nodes that the instance list says are leaving
+	listedLeaving       map[string]bool // by the instance list: whether a node is leaving
 }
 
-// New builds a node; Run starts it.
+// New returns a node that Run starts. It returns an error if a worker pool can't be created.
 func New(c Config) (*Node, error) {
 	n := &Node{
 		settings:           c.Settings,
@@ -147,7 +150,7 @@
 	}
 	n.seed = n.incarnation
 	n.keys = gate.NewKeyStore(n.clock.Now)
-	n.crashes = newCrashes(n.clock.Now, func(c *wire.CrashReport) { n.links.BroadcastCrashes(c) })
+	n.crashes = newCrashTracker(n.clock.Now, func(c *wire.CrashReport) { n.links.BroadcastCrashes(c) })
 	n.quotas = newQuotas(n)
 	n.metrics = n.newMetrics(c.LogDrops)
 	if err := n.buildPools(); err != nil {
@@ -162,7 +165,7 @@
 		Now:          n.clock.Now,
 		Pool:         n.entryPool,
 		Recorder:     n.metrics,
-		GateClient:   n.target,
+		GateClient:   n.gateClient,
 		CrashTracker: n.crashes,
 		Quotas:       n.quotas,
 		KeyMargin:    c.KeyMargin,
@@ -182,8 +185,8 @@
 	return n, nil
 }
 
-// newMetrics returns the metrics of the node, whose parts they read.
-func (n *Node) newMetrics(lines metrics.LogDrops) *metrics.Set {
+// newMetrics returns the node's metrics, which read the state of its parts.
+func (n *Node) newMetrics(drops metrics.LogDrops) *metrics.Set {
 	return metrics.New(metrics.Config{
 		Recorder:  n.book,
 		State:     n,
@@ -192,7 +195,7 @@
 		Links:     n,
 		Gates:     n,
 		Quotas:    n.quotas,
-		LogDrops:  lines,
+		LogDrops:  drops,
 		Requests:  n.settings.Limits.Requests,
 	})
 }
@@ -201,10 +204,10 @@
 	var err error
 	n.entryPool, err = ants.NewPool(n.settings.Limits.Requests, ants.WithNonblocking(true))
 	if err != nil {
-		return errors.Annotate(err, "making the entry's pool")
+		return errors.Annotate(err, "creating the worker pool of the entry")
 	}
 	n.gatePool, err = ants.NewPool(gateWorkers, ants.WithNonblocking(true))
-	return errors.Annotate(err, "making the gates' pool")
+	return errors.Annotate(err, "creating the worker pool of the gates")
 }
 
 func randomUint64() uint64 {
@@ -213,7 +216,7 @@
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// address is the link address under which tables name this node.
+// address returns the link address under which tables name this node.
 func (n *Node) address() string {
 	if n.settings.Listen.Announce != "" {
 		return n.settings.Listen.Announce
@@ -229,16 +232,16 @@
 	return max(n.settings.Limits.Body, wire.ChunkSize, maxPlatformValue) + wire.MaxOverhead
 }
 
-// maxPlatformValue is the largest value of the platform, which an edition frame
-// carries.
+// maxPlatformValue is the size in bytes of the platform's largest value, which a table
+// version frame has to hold.
 const maxPlatformValue = 1 << 20
 
-// ErrRequestsCut means that the node stopped with requests in flight: its grace was
-// over, or it was told to stop at once.
+// ErrRequestsCut means that the node stopped with requests in flight: its grace period was
+// over, or the context of Run ended.
 const ErrRequestsCut = errors.ConstError("requests in flight were cut")
 
-// Run serves until the context ends or Leave has finished. It returns ErrCut
-// when requests were still in flight.
+// Run serves until the context ends or the shutdown that Leave began is finished. It returns
+// ErrRequestsCut if requests were still in flight, and an error if a port can't be opened.
 func (n *Node) Run(ctx context.Context) error {
 	listeners := n.listeners
 	if listeners == nil {
@@ -267,12 +270,12 @@
 	cut := n.InFlight()
 	cancel()
 	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
-		n.log.WithError(err).Warn("supervisor ended")
+		n.log.WithError(err).Warn("supervisor stopped with an error")
 	}
 	n.stop()
 	n.log.Info("node stopped")
 	if cut > 0 {
-		return errors.Annotatef(ErrRequestsCut, "%d of them", cut)
+		return errors.Annotatef(ErrRequestsCut, "%d unfinished requests", cut)
 	}
 	return nil
 }
@@ -291,7 +294,7 @@
 	n.gatePool.Release()
 }
 
-// logSupervisorEvent logs what the supervisor restarts.
+// logSupervisorEvent logs failures and restarts of services.
 func (n *Node) logSupervisorEvent(e suture.Event) {
 	n.log.WithFields(logrus.Fields(e.Map())).Warn("supervisor event")
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -14,25 +14,28 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// peer is another node that this one may dial.
+// peer is another node that this node may dial.
 type peer struct {
 	link  *link.Peer
 	token suture.ServiceToken
-	// leaving is what the node last said of itself.
+	// leaving is whether the peer's last heartbeat said that it is leaving.
 	leaving      bool
-	lossRecorded bool // noted as lost
-	// crashesAskedAt is when it was asked last what it knows of crashes; 0 for never.
+	lossRecorded bool // the last event recorded for the path says that it is lost
+	// crashesAskedAt is when the peer was last asked for the crashes that it knows; 0 for
+	// never.
 	crashesAskedAt clock.Millis
-	// removedAt is when the table ceased to name it; 0 while it does.
+	// removedAt is when the peer was first found missing in the table; 0 while the table
+	// names it.
 	removedAt clock.Millis
 }
 
-// redialDelay is about how long after a failed dial a peer is tried again: a process
-// that was restarted takes links after some 0.3 s, and until then its upstream is
-// lost to this entry.
+// redialDelay is the approximate delay between a failed dial of a peer and the next one. A
+// restarted process accepts links after some 0.3 s, and until then this entry can't use its
+// upstreams.
 const redialDelay = 250 * clock.Millis(1)
 
-// applyPeers makes and removes the peers that the table names.
+// applyPeers adds the peers that the table names, and removes the others once canRemovePeer
+// allows it. The caller holds the node's lock.
 func (n *Node) applyPeers(t *table.Table) {
 	named := map[string]bool{}
 	for i := range t.Services {
@@ -51,8 +54,8 @@
 	}
 }
 
-// linkTo returns the way to another node, nil where the table names none.
-func (n *Node) linkTo(address string) *link.Peer {
+// peerLink returns the link to another node, or nil if there is no such peer.
+func (n *Node) peerLink(address string) *link.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p, ok := n.peers[address]; ok {
@@ -61,7 +64,7 @@
 	return nil
 }
 
-// isCutOff reports whether more nodes are out of reach than have an open link.
+// isCutOff reports whether more peers are unreachable than have an open link.
 func (n *Node) isCutOff() bool {
 	n.mu.Lock()
 	peers := make([]*link.Peer, 0, len(n.peers))
@@ -81,7 +84,8 @@
 	return lost > open
 }
 
-// addPeer makes a peer unless it is there. The node's lock is held.
+// addPeer returns the peer at an address and creates it if necessary. The caller holds the
+// node's lock.
 func (n *Node) addPeer(address string) *peer {
 	if p, ok := n.peers[address]; ok {
 		return p
@@ -104,7 +108,9 @@
 	return p
 }
 
-// Status is what this node's heartbeats say.
+// Status returns the content of this node's heartbeats: the version in force, whether the
+// node is leaving and the states of its upstreams. With a TableBuilder, the version is the
+// revision of the platform's values.
 func (n *Node) Status() wire.Heartbeat {
 	gates := n.allGates()
 	upstreams := make([]wire.Upstream, 0, len(gates))
@@ -120,15 +126,16 @@
 	return wire.Heartbeat{Version: current.Version, Digest: current.Digest, Leaving: n.leaving, CrashDigest: n.crashes.digest.Load(), Upstreams: upstreams}
 }
 
-// requestHeartbeat asks for heartbeats at once.
+// requestHeartbeat asks for an immediate heartbeat on all links.
 func (n *Node) requestHeartbeat() {
 	select {
 	case n.heartbeatRequested <- struct{}{}:
-	default: // they are asked for already
+	default: // a heartbeat is requested already
 	}
 }
 
-// sendRequestedHeartbeats sends heartbeats when a gate has news.
+// sendRequestedHeartbeats sends heartbeats when the state of a gate has changed, until the
+// context ends.
 func (n *Node) sendRequestedHeartbeats(ctx context.Context) error {
 	for {
 		select {
@@ -143,14 +150,15 @@
 	}
 }
 
-// Heartbeat takes in a heartbeat of an entry that dialled this node.
-func (n *Node) Heartbeat(node string, b *wire.Heartbeat) {
-	n.requestNewerTable(node, b)
+// Heartbeat handles a heartbeat of an entry that dialled this node.
+func (n *Node) Heartbeat(node string, h *wire.Heartbeat) {
+	n.requestNewerTable(node, h)
 }
 
-// requestNewerTable asks a peer for its table if that goes before this node's. It
-// reports whether the peer has one that doesn't.
-func (n *Node) requestNewerTable(node string, b *wire.Heartbeat) (settled bool) {
+// requestNewerTable asks a peer for its table if that supersedes this node's. It returns true
+// if the peer has a table and this node's is at least as new. With a TableBuilder it only
+// returns true.
+func (n *Node) requestNewerTable(node string, h *wire.Heartbeat) (isUpToDate bool) {
 	if n.tableBuilder != nil {
 		return true
 	}
@@ -158,9 +166,9 @@
 	current := n.versionGuard.Current()
 	p, ok := n.peers[node]
 	n.mu.Unlock()
-	theirs := versionguard.Candidate{Version: b.Version, Digest: b.Digest}
+	theirs := versionguard.Candidate{Version: h.Version, Digest: h.Digest}
 	if !theirs.Supersedes(current) {
-		return b.Version > 0
+		return h.Version > 0
 	}
 	if ok {
 		p.link.EnsureLink()
@@ -169,53 +177,54 @@
 	return false
 }
 
-// PeerHeartbeat takes in a heartbeat of a node that this one dialled.
-func (n *Node) PeerHeartbeat(node string, b *wire.Heartbeat) {
-	for _, u := range b.Upstreams {
+// PeerHeartbeat handles a heartbeat of a node that this node dialled.
+func (n *Node) PeerHeartbeat(node string, h *wire.Heartbeat) {
+	for _, u := range h.Upstreams {
 		n.entry.UpdateUpstream(u)
 	}
 	n.mu.Lock()
 	if p, ok := n.peers[node]; ok {
-		p.leaving = b.Leaving
+		p.leaving = h.Leaving
 	}
 	n.mu.Unlock()
-	n.seedPeer(node, b)
-	n.syncCrashes(node, b)
-	if n.requestNewerTable(node, b) {
+	n.seedPeer(node, h)
+	n.syncCrashes(node, h)
+	if n.requestNewerTable(node, h) {
 		n.peerVersionOnce.Do(func() { close(n.peerVersionKnown) })
 	}
 }
 
-// PeerUpstream takes in what a gate says of its upstream on a reply.
+// PeerUpstream handles the state of an upstream that a reply carries.
 func (n *Node) PeerUpstream(_ string, u wire.Upstream) {
 	n.entry.UpdateUpstream(u)
 }
 
-// PeerWorkRequest takes in a gate's wish for a request.
-func (n *Node) PeerWorkRequest(i *wire.WorkRequest) {
-	n.entry.HandleWorkRequest(i)
+// PeerWorkRequest handles a gate's request for work.
+func (n *Node) PeerWorkRequest(r *wire.WorkRequest) {
+	n.entry.HandleWorkRequest(r)
 }
 
-// PeerTableVersion takes in a table that was asked for.
-func (n *Node) PeerTableVersion(node string, e *wire.TableVersion) {
-	n.ReceiveTable(node, e)
+// PeerTableVersion handles a table that this node asked a peer for.
+func (n *Node) PeerTableVersion(node string, received *wire.TableVersion) {
+	n.ReceiveTable(node, received)
 }
 
-// PeerPath takes in whether a node can be reached from here.
+// PeerPath handles a change of the path to a peer. It records an event when the path is lost
+// or restored.
 //
-// The path to a node that said it is leaving, or that the table no longer
-// names, ends as announced: that is no finding for a manager.
+// The loss of a path to a node that announced that it is leaving, or that the table no longer
+// names, is expected, and no event is recorded.
 func (n *Node) PeerPath(node string, state path.State) {
 	isLost := state == path.Lost
 	n.entry.UpdatePath(node, isLost)
 	n.mu.Lock()
 	p, ok := n.peers[node]
-	noted := ok && p.lossRecorded != isLost && (!isLost || !p.leaving) && state != path.Suspected
-	if noted {
+	isRecorded := ok && p.lossRecorded != isLost && (!isLost || !p.leaving) && state != path.Suspected
+	if isRecorded {
 		p.lossRecorded = isLost
 	}
 	n.mu.Unlock()
-	if !noted {
+	if !isRecorded {
 		return
 	}
 	kind := access.PathRestored
@@ -225,9 +234,9 @@
 	n.metrics.RecordEvent(access.Event{At: n.clock.Now(), Kind: kind, Node: node, Reason: access.ReasonUnreachable})
 }
 
-// bootstrap asks the peers that the settings name for a table, so that a node
-// that starts while the platform is away, or meets a stale replica of it, gets
-// the edition that the fleet has in force.
+// bootstrap opens links to the peers that the settings name. Their heartbeats lead to a
+// request for a newer table, so that a node that starts while the platform is unavailable, or
+// reads a stale replica of it, gets the table that the fleet has in force.
 func (n *Node) bootstrap() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/platform.go
+++ b/node/platform.go
@@ -19,38 +19,40 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// Keys of the values that a platform holds for this project.
+// Keys of the values that a platform holds in this project's format.
 const (
 	keyTable     = "table"
 	keyInstances = "instances"
 )
 
-// TableBuilder makes tables from what a platform publishes in a form of its own.
+// TableBuilder builds tables from the values of a platform that has a format of its own.
 type TableBuilder interface {
-	// Table returns the table that the values make, and false where it would be
-	// the same as the one before.
+	// Table returns the table that is built from the values, or false if it would be the same
+	// as the previous one.
 	Table(items []mirror.Item) (*table.Table, bool)
-	// Hash sums up what of a value may make another table.
+	// Hash returns a hash of those parts of a value that can change the table.
 	Hash(item mirror.Item) uint64
-	// ExpectedRemoval reports whether a value that is gone was expected to go.
+	// ExpectedRemoval reports whether the removal of a value was expected.
 	ExpectedRemoval(old mirror.Item) bool
 }
 
-// addPlatformReader adds the reader of the platform's values.
+// addPlatformReader adds the services that read the platform's values and keep the links over
+// which other nodes' updates arrive. It adds none if there is no platform.
 func (n *Node) addPlatformReader(tree *suture.Supervisor) {
 	if n.follower == nil {
 		return
 	}
-	tree.Add(service{"relay", every(relayInterval, n.keepNeighbourLinks)})
-	tree.Add(service{"readers", every(relayInterval, n.keepReaderLinks)})
+	tree.Add(service{"relay", every(linkCheckInterval, n.keepNeighbourLinks)})
+	tree.Add(service{"readers", every(linkCheckInterval, n.keepReaderLinks)})
 	tree.Add(service{"platform reader", func(ctx context.Context) error {
 		n.awaitPeerVersion(ctx)
 		return n.follower.Serve(ctx)
 	}})
 }
 
+// newFollower returns the follower that reads the platform's values from a store.
 func (n *Node) newFollower(store mirror.Store) *mirror.Follower {
-	c := mirror.FollowerConfig{
+	config := mirror.FollowerConfig{
 		Store:          store,
 		Now:            n.clock.Now,
 		MaxStaleness:   n.settings.Platform.MaxStaleness,
@@ -61,55 +63,58 @@
 		Seed:           n.seed,
 		Log:            n.log,
 	}
-	if counting, ok := store.(interface{ Received() uint64 }); ok {
-		c.BytesReceived = counting.Received
+	if counter, ok := store.(interface{ Received() uint64 }); ok {
+		config.BytesReceived = counter.Received
 	}
 	if n.tableBuilder != nil {
-		c.Hash, c.ExpectedRemoval = n.tableBuilder.Hash, n.tableBuilder.ExpectedRemoval
+		config.Hash, config.ExpectedRemoval = n.tableBuilder.Hash, n.tableBuilder.ExpectedRemoval
 	}
 	if n.settings.Platform.Form == settings.FormTable {
-		c.MaxBackoff = n.settings.Platform.PollInterval
+		config.MaxBackoff = n.settings.Platform.PollInterval
 	}
-	return mirror.NewFollower(c)
+	return mirror.NewFollower(config)
 }
 
-// fleetSize is how many nodes read the platform, and whether this one does it ahead of the
-// others.
+// fleetSize returns how many nodes read the platform, and whether this node is one of those
+// that read it ahead of the others.
 func (n *Node) fleetSize() (int, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.peers) + 1, slices.Contains(n.readers(), n.address())
 }
 
-// readers are the nodes that read the platform ahead of the others. The node's lock is
-// held.
+// readers returns the addresses of the nodes that read the platform ahead of the others in
+// this node's group. The caller holds the node's lock.
 func (n *Node) readers() []string {
-	return mirror.Readers(n.address(), n.nodes())
+	return mirror.Readers(n.address(), n.knownNodes())
 }
 
-// nodes are all that the table names, and this one. The node's lock is held.
-func (n *Node) nodes() []string {
+// knownNodes returns the addresses of all peers and of this node. The caller holds the node's
+// lock.
+func (n *Node) knownNodes() []string {
 	return append(slices.Collect(maps.Keys(n.peers)), n.address())
 }
 
-// keepReaderLinks keeps links to the nodes that read the platform ahead of the others, over
-// which their news come.
+// keepReaderLinks keeps links to the nodes that read the platform ahead of the others,
+// because their updates arrive over these links.
 func (n *Node) keepReaderLinks() {
 	n.mu.Lock()
-	var kept []*peer
+	var readers []*peer
 	for _, address := range n.readers() {
 		if p, ok := n.peers[address]; ok {
-			kept = append(kept, p)
+			readers = append(readers, p)
 		}
 	}
 	n.mu.Unlock()
-	for _, p := range kept {
+	for _, p := range readers {
 		p.link.EnsureLink()
 	}
 }
 
-// deliver takes in the platform's values.
-func (n *Node) deliver(items []mirror.Item, isTold bool) {
+// deliver applies the platform's values: through the TableBuilder if there is one, otherwise
+// the table and the instance list if their revisions have changed. fromUpdate says that the
+// values come from another node's update.
+func (n *Node) deliver(items []mirror.Item, fromUpdate bool) {
 	if n.tableBuilder != nil {
 		if t, ok := n.tableBuilder.Table(items); ok {
 			n.Adopt(t)
@@ -120,7 +125,7 @@
 		switch {
 		case item.Key == keyTable && n.readRevisions[keyTable] != item.Revision:
 			n.readRevisions[keyTable] = item.Revision
-			n.offerTable(item.Value, sourceOf(isTold))
+			n.offerTable(item.Value, sourceOf(fromUpdate))
 		case item.Key == keyInstances && n.readRevisions[keyInstances] != item.Revision:
 			n.readRevisions[keyInstances] = item.Revision
 			n.updateInstances(item.Value)
@@ -128,71 +133,73 @@
 	}
 }
 
-func sourceOf(isTold bool) versionguard.Source {
-	if isTold {
+// sourceOf returns the source of a table that was delivered.
+func sourceOf(fromUpdate bool) versionguard.Source {
+	if fromUpdate {
 		return fromPeer
 	}
 	return fromPlatform
 }
 
-// announceUpdate tells all nodes with a link what was learned from the platform.
-func (n *Node) announceUpdate(learned mirror.Update) {
-	news := &wire.StoreUpdate{
-		Since: learned.Since, Revision: learned.Revision, IsTruncated: learned.IsTruncated, IsUnavailable: learned.IsUnavailable, Age: learned.Age,
-		IsListDiff: learned.IsListDiff, Bytes: learned.Bytes, Digest: learned.Digest,
+// announceUpdate sends an update of the platform's values to all nodes with a link.
+func (n *Node) announceUpdate(update mirror.Update) {
+	message := &wire.StoreUpdate{
+		Since: update.Since, Revision: update.Revision, IsTruncated: update.IsTruncated, IsUnavailable: update.IsUnavailable, Age: update.Age,
+		IsListDiff: update.IsListDiff, Bytes: update.Bytes, Digest: update.Digest,
 	}
-	if len(learned.Events) > 0 {
+	if len(update.Events) > 0 {
 		var err error
-		news.Changes, err = wire.Pack(learned.Events)
+		message.Changes, err = wire.Pack(update.Events)
 		if err != nil {
-			n.log.WithError(err).Error("changes of the platform's values not told to peers")
+			n.log.WithError(err).Error("update of the platform's values not sent to peers; packing it failed")
 			return
 		}
 	}
-	n.links.BroadcastUpdate(news)
+	n.links.BroadcastUpdate(message)
 }
 
-// PeerStoreUpdate takes in what another node has learned from the platform.
-func (n *Node) PeerStoreUpdate(news *wire.StoreUpdate) {
+// PeerStoreUpdate handles another node's update of the platform's values.
+func (n *Node) PeerStoreUpdate(message *wire.StoreUpdate) {
 	if n.follower == nil {
 		return
 	}
-	heard := mirror.Update{
-		Since: news.Since, Revision: news.Revision, IsTruncated: news.IsTruncated, IsUnavailable: news.IsUnavailable, Age: news.Age,
-		IsListDiff: news.IsListDiff, Bytes: news.Bytes, Digest: news.Digest,
+	update := mirror.Update{
+		Since: message.Since, Revision: message.Revision, IsTruncated: message.IsTruncated, IsUnavailable: message.IsUnavailable, Age: message.Age,
+		IsListDiff: message.IsListDiff, Bytes: message.Bytes, Digest: message.Digest,
 	}
-	if len(news.Changes) > 0 {
-		if err := wire.Unpack(news.Changes, &heard.Events); err != nil {
-			n.log.WithError(err).Error("changes that a peer told can't be read")
+	if len(message.Changes) > 0 {
+		if err := wire.Unpack(message.Changes, &update.Events); err != nil {
+			n.log.WithError(err).Error("update from a peer ignored; its changes can't be unpacked")
 			return
 		}
 	}
-	n.follower.ReceiveUpdate(heard)
+	n.follower.ReceiveUpdate(update)
 }
 
-// seedersPerRound is about how many nodes help one that knows nothing, with each round of
-// heartbeats: with all of 300, a node that was restarted got 45 MB.
+// seedersPerRound is the approximate number of nodes that send a peer without a table their
+// copy of the platform's values in each heartbeat interval. When all of 300 nodes did so, a
+// restarted node received 45 MB.
 const seedersPerRound = 6
 
-// seedPeer gives a peer that knows nothing of the platform what is known here. A node
-// that is replaced while the platform is away would else refuse all requests of
-// its callers until that is back. Its peers dial it, for they have it in their
-// tables; it could dial nobody.
-func (n *Node) seedPeer(node string, b *wire.Heartbeat) {
-	if n.tableBuilder == nil || b.Version > 0 || b.Leaving || n.follower.Revision() == 0 {
+// seedPeer sends the platform's values to a peer that has none. Otherwise a node that is
+// replaced while the platform is unavailable would refuse all requests of its callers until
+// the platform is back. The node knows no peers to dial, but its peers have it in their
+// tables and dial it.
+func (n *Node) seedPeer(node string, h *wire.Heartbeat) {
+	if n.tableBuilder == nil || h.Version > 0 || h.Leaving || n.follower.Revision() == 0 {
 		return
 	}
 	if nodes, _ := n.fleetSize(); rand.IntN(nodes) >= seedersPerRound {
-		return // others do, or this node after the next heartbeat
+		return // other nodes do it, or this node at a later heartbeat
 	}
 	items, revision := n.follower.Snapshot()
 	if size := mirror.SizeOf(items); size > maxSeedBytes {
-		n.log.WithFields(logrus.Fields{"values": len(items), "bytes": size}).Warn("peer without a table not helped: the values are more than it would read")
+		n.log.WithFields(logrus.Fields{"values": len(items), "bytes": size}).Warn("peer has no table; the platform's values are too large to send to it")
 		return
 	}
 	body, err := wire.Pack(chunkItems(items))
 	if err != nil {
-		n.log.WithError(err).Error("peer without a table not helped")
+		n.log.WithError(err).Error("peer has no table; the platform's values can't be packed for it")
 		return
 	}
 	n.mu.Lock()
@@ -203,52 +210,53 @@
 	}
 }
 
-// maxSeedBytes bounds, in bytes, the values that are handed to a peer. It reads 4 MB; the
-// rest is for their encoding, some 50 bytes a value. What it rejects it would be sent
-// again with each heartbeat.
+// maxSeedBytes bounds, in bytes, the values that are sent to a peer. A peer unpacks up to 4
+// MB; the rest is for the encoding, some 50 bytes per value. A larger message would be
+// rejected and sent again at each heartbeat.
 const maxSeedBytes = 3 << 20
 
-// chunkItems cuts values into arrays that a peer reads.
+// chunkItems splits values into arrays of at most wire.MaxItems, the most that a peer decodes.
 func chunkItems(items []mirror.Item) [][]mirror.Item {
 	return slices.Collect(slices.Chunk(items, wire.MaxItems))
 }
 
-// seedFromPeer takes in another node's copy of the platform's values while nothing is known
-// here.
-func (n *Node) seedFromPeer(node string, e *wire.TableVersion) {
-	var parts [][]mirror.Item
+// seedFromPeer takes over another node's copy of the platform's values if this node has none.
+func (n *Node) seedFromPeer(node string, received *wire.TableVersion) {
+	var chunks [][]mirror.Item
 	log := n.log.WithField("peer", node)
-	if err := wire.Unpack(e.Text, &parts); err != nil {
-		log.WithError(err).Error("peer's copy rejected")
+	if err := wire.Unpack(received.Text, &chunks); err != nil {
+		log.WithError(err).Error("copy of the platform's values from a peer rejected")
 		return
 	}
-	if n.follower.Seed(slices.Concat(parts...), e.Version) {
-		log.WithField("revision", e.Version).Info("platform's values taken over from a peer")
+	if n.follower.Seed(slices.Concat(chunks...), received.Version) {
+		log.WithField("revision", received.Version).Info("platform's values taken over from a peer")
 	}
 }
 
-// recordPlatformState notes when the platform goes away, with the cause, and when it is
-// back. The table in force stays however long it is away.
+// recordPlatformState logs and records that the platform has become unavailable, with the
+// cause, or, for a nil cause, that it is available again. The table in force stays for as
+// long as the platform is unavailable.
 func (n *Node) recordPlatformState(cause error) {
 	n.mu.Lock()
 	n.platformUnavailable = cause != nil
 	n.mu.Unlock()
-	e := access.Event{At: n.clock.Now(), Kind: access.PlatformRestored}
+	event := access.Event{At: n.clock.Now(), Kind: access.PlatformRestored}
 	if cause != nil {
-		e.Kind, e.Reason = access.PlatformLost, cause.Error()
+		event.Kind, event.Reason = access.PlatformLost, cause.Error()
 		n.log.WithError(cause).Warn("platform doesn't answer; the table in force stays")
 	} else {
 		n.log.Info("platform answers again")
 	}
-	n.metrics.RecordEvent(e)
+	n.metrics.RecordEvent(event)
 }
 
-// peerVersionTimeout bounds the wait for the peers that the settings name.
+// peerVersionTimeout bounds how long a starting node waits for a peer's table version.
 const peerVersionTimeout = 2 * time.Second
 
-// awaitPeerVersion waits until a peer has said which table it has in force. A node that
-// is replaced while the platform's replica is stale would otherwise put an
-// older table in force than the one its predecessor served.
+// awaitPeerVersion waits until peerVersionKnown is closed, at most for peerVersionTimeout.
+// Without peers in the settings it returns immediately. A node that is replaced while the
+// platform's replica is stale would otherwise put an older table in force than its
+// predecessor had.
 func (n *Node) awaitPeerVersion(ctx context.Context) {
 	if len(n.settings.Peers) == 0 {
 		return
@@ -262,18 +270,19 @@
 	}
 }
 
-// PlatformStats tells how reading the platform's values goes.
+// PlatformStats returns statistics of reading the platform's values, zero if there is no
+// platform.
 func (n *Node) PlatformStats() metrics.PlatformStats {
 	if n.follower == nil {
 		return metrics.PlatformStats{}
 	}
 	s := n.follower.Stats()
-	r := metrics.PlatformStats{
+	stats := metrics.PlatformStats{
 		Answered: metrics.CallStats(s.Answered), Failed: metrics.CallStats(s.Failed), UpdatesReceived: s.UpdatesReceived, CopyErrors: s.CopyErrors,
 		Revision: n.follower.Revision(), Lag: s.Lag, LateChanges: s.LateChanges,
 	}
 	if s.IsKnown {
-		r.IsKnown, r.Age = true, max(n.clock.Now()-s.KnownAt, 0)
+		stats.IsKnown, stats.Age = true, max(n.clock.Now()-s.KnownAt, 0)
 	}
-	return r
+	return stats
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	// expireInterval is how often what is known of crashes is looked through.
+	// expireInterval is how often crashes that are too old are dropped.
 	expireInterval = 5 * time.Second
-	// crashSyncInterval is how often a peer that knows something else of crashes is asked.
+	// crashSyncInterval is the minimum interval between two synchronizations with a peer whose
+	// crash digest differs.
 	crashSyncInterval = 2 * clock.Second
 )
 
-// runCrashUpdates tells the readers of what has changed, and acts on it here.
+// runCrashUpdates sends changed crashes to the reader nodes and applies the resulting
+// verdicts on this node, until the context ends.
 func (n *Node) runCrashUpdates(ctx context.Context) error {
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
-	held := map[quarantine.Fingerprint]struct{}{}
+	quarantined := map[quarantine.Fingerprint]struct{}{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -34,39 +36,42 @@
 		case <-ticker.C:
 			n.crashes.expire()
 		case <-n.crashes.changed:
-			if ends := n.crashes.takePending(); len(ends) > 0 {
-				n.announceToReaders(wire.NewCrashReports(n.clock.Now(), ends))
+			if crashes := n.crashes.takePending(); len(crashes) > 0 {
+				n.announceToReaders(wire.NewCrashReports(n.clock.Now(), crashes))
 			}
 		}
-		n.applyCases(n.crashes.cases(), held)
+		n.applyCases(n.crashes.cases(), quarantined)
 	}
 }
 
-// announceToReaders tells the nodes that all others keep links to.
-func (n *Node) announceToReaders(frames []*wire.CrashReport) {
+// announceToReaders sends crash reports to the reader nodes of all groups, because every node
+// keeps links to some of them.
+func (n *Node) announceToReaders(reports []*wire.CrashReport) {
 	for _, p := range n.allReaders() {
 		p.link.EnsureLink()
-		for _, c := range frames {
-			p.link.SendCrashes(c)
+		for _, report := range reports {
+			p.link.SendCrashes(report)
 		}
 	}
 }
 
+// allReaders returns the peers that read the platform ahead of the others, of all groups.
 func (n *Node) allReaders() []*peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var all []*peer
-	for _, address := range mirror.AllReaders(n.nodes()) {
+	var readers []*peer
+	for _, address := range mirror.AllReaders(n.knownNodes()) {
 		if p, ok := n.peers[address]; ok {
-			all = append(all, p)
+			readers = append(readers, p)
 		}
 	}
-	return all
+	return readers
 }
 
-// applyCases says which requests are held back from now on, and which no longer, and tells the
-// gates of upstreams that are not to blame for their crashes.
-func (n *Node) applyCases(cases []quarantine.Case, held map[quarantine.Fingerprint]struct{}) {
+// applyCases logs and records which requests are newly quarantined and which no longer are,
+// and updates the set of quarantined requests. It clears the crashes that a quarantined
+// request caused from the evidence against the upstreams.
+func (n *Node) applyCases(cases []quarantine.Case, quarantined map[quarantine.Fingerprint]struct{}) {
 	now := n.clock.Now()
 	current := map[quarantine.Fingerprint]struct{}{}
 	for i := range cases {
@@ -75,10 +80,10 @@
 			continue
 		}
 		current[c.Fingerprint] = struct{}{}
-		if _, ok := held[c.Fingerprint]; ok {
+		if _, ok := quarantined[c.Fingerprint]; ok {
 			continue
 		}
-		held[c.Fingerprint] = struct{}{}
+		quarantined[c.Fingerprint] = struct{}{}
 		n.log.WithFields(logrus.Fields{
 			"fingerprint": c.Fingerprint.String(), "service": c.Service, "upstreams": c.Servers, "requests": c.Requests,
 			"trials": c.Trials, "chance": wire.RoundFloat(c.Chance), "age": (now - c.Last).String(), "until": (c.Until - now).String(),
@@ -94,34 +99,35 @@
 			}
 		}
 	}
-	for f := range held {
+	for f := range quarantined {
 		if _, ok := current[f]; !ok {
-			delete(held, f)
-			n.log.WithField("fingerprint", f.String()).Info("request quarantined no longer")
+			delete(quarantined, f)
+			n.log.WithField("fingerprint", f.String()).Info("request is no longer quarantined")
 			n.metrics.RecordEvent(access.Event{At: now, Kind: access.Released, Reason: f.String()})
 		}
 	}
 }
 
-// ReceiveCrashes takes in what a node with a link to this one tells.
-func (n *Node) ReceiveCrashes(c *wire.CrashReport) []*wire.CrashReport {
+// ReceiveCrashes merges the crash report of a node that dialled this one. It returns the
+// crashes that the sender lacks, preceded by all crashes if the report asks for a reply.
+func (n *Node) ReceiveCrashes(report *wire.CrashReport) []*wire.CrashReport {
 	_, isReader := n.fleetSize()
-	behind := n.crashes.merge(c, isReader)
-	if c.WantsReply {
-		behind = append(n.crashes.all(), behind...)
+	missing := n.crashes.merge(report, isReader)
+	if report.WantsReply {
+		missing = append(n.crashes.allCrashes(), missing...)
 	}
-	return wire.NewCrashReports(n.clock.Now(), behind)
+	return wire.NewCrashReports(n.clock.Now(), missing)
 }
 
-// PeerCrashReport takes in what a node that this one dialled tells.
-func (n *Node) PeerCrashReport(c *wire.CrashReport) {
+// PeerCrashReport merges the crash report of a node that this one dialled.
+func (n *Node) PeerCrashReport(report *wire.CrashReport) {
 	_, isReader := n.fleetSize()
-	n.crashes.merge(c, isReader)
+	n.crashes.merge(report, isReader)
 }
 
-// syncCrashes asks a peer that knows something else of crashes.
-func (n *Node) syncCrashes(node string, b *wire.Heartbeat) {
-	if b.CrashDigest == n.crashes.digest.Load() {
+// syncCrashes exchanges all crashes with a peer whose crash digest differs from this node's.
+func (n *Node) syncCrashes(node string, h *wire.Heartbeat) {
+	if h.CrashDigest == n.crashes.digest.Load() {
 		return
 	}
 	now := n.clock.Now()
@@ -135,17 +141,18 @@
 	if !isDue {
 		return
 	}
-	for _, c := range wire.NewCrashReports(now, n.crashes.all()) {
-		p.link.SendCrashes(c)
+	for _, report := range wire.NewCrashReports(now, n.crashes.allCrashes()) {
+		p.link.SendCrashes(report)
 	}
 	p.link.SendCrashes(&wire.CrashReport{WantsReply: true})
 }
 
-// Quarantine lists the requests under which backend servers crash.
+// Quarantine returns the requests that are suspected of crashing backend servers or
+// quarantined.
 func (n *Node) Quarantine() []access.Suspect {
 	now := n.clock.Now()
 	cases := n.crashes.cases()
-	all := make([]access.Suspect, 0, len(cases))
+	suspects := make([]access.Suspect, 0, len(cases))
 	for i := range cases {
 		c := &cases[i]
 		s := access.Suspect{
@@ -155,7 +162,7 @@
 		if c.Verdict == quarantine.Quarantined && now < c.Until {
 			s.Verdict, s.Remaining = access.VerdictQuarantined, c.Until-now
 		}
-		all = append(all, s)
+		suspects = append(suspects, s)
 	}
-	return all
+	return suspects
 }
--- a/node/quota.go
+++ b/node/quota.go
@@ -19,37 +19,40 @@
 )
 
 const (
-	// maxAccounts bounds the client accounts that are remembered, as home and as a node
-	// that asks; the one heard of least lately is forgotten first.
+	// maxAccounts bounds the client accounts whose state is kept, both as their home and as a
+	// node that asks a home. The least recently used one is evicted first.
 	maxAccounts = 50_000
-	// quotaRequestTimeout is how long a home may take to answer before the next one is asked.
+	// quotaRequestTimeout bounds the wait for a home's answer before the next home is asked.
 	quotaRequestTimeout = 100 * clock.Millis(1)
-	// relayTimeout is the same for a home that asks the one before it for a node that can't.
-	relayTimeout = 40 * clock.Millis(1)
+	// quotaRelayTimeout bounds the wait for a home that comes earlier in the order, when
+	// another home asks it on behalf of a node that can't reach it.
+	quotaRelayTimeout = 40 * clock.Millis(1)
 )
 
-// quotas asks the homes of client accounts for leave to send their requests, and grants it
-// for those whose home this node is. It is safe for concurrent use.
+// quotas admits requests of client accounts within their quotas: it asks the homes of the
+// accounts for grants, and grants requests of those accounts whose home this node is. It is
+// safe for concurrent use.
 type quotas struct {
 	now  func() clock.Millis
 	self string
-	// peer returns the way to a node, nil where there is none.
+	// peer returns the link to a node, or nil if there is no such peer.
 	peer func(node string) *link.Peer
-	// isCutOff reports whether most nodes are out of reach.
+	// isCutOff reports whether more peers are unreachable than have an open link.
 	isCutOff func() bool
 
 	sequence atomic.Uint64
 	counts   metrics.QuotaCounts
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	ledger   *quota.Allocator
-	nodes    []string // that the table names, in order
-	homes    map[string][]string
-	accounts *simplelru.LRU[string, *accountQuota]
+	mu        sync.Mutex
+	random    *rand.Rand
+	allocator *quota.Allocator
+	nodes     []string // that the table names, sorted
+	homes     map[string][]string
+	accounts  *simplelru.LRU[string, *accountQuota]
 }
 
-// accountQuota is what this node asks of one account.
+// accountQuota is the state of one client account on a node that asks the account's home for
+// grants.
 type accountQuota struct {
 	history      quota.History
 	limit        quota.Limit
@@ -61,16 +64,17 @@
 func newQuotas(n *Node) *quotas {
 	accounts, err := simplelru.NewLRU[string, *accountQuota](maxAccounts, nil)
 	if err != nil {
-		panic(err) // only a size below 1 is refused
+		panic(err) // NewLRU fails only for a size below 1
 	}
 	return &quotas{
-		now: n.clock.Now, self: n.address(), peer: n.linkTo, isCutOff: n.isCutOff, random: rand.New(rand.NewPCG(n.seed, 4)),
-		ledger: quota.NewAllocator(maxAccounts, n.seed), homes: map[string][]string{}, accounts: accounts,
+		now: n.clock.Now, self: n.address(), peer: n.peerLink, isCutOff: n.isCutOff, random: rand.New(rand.NewPCG(n.seed, 4)),
+		allocator: quota.NewAllocator(maxAccounts, n.seed), homes: map[string][]string{}, accounts: accounts,
 	}
 }
 
-// update takes in the nodes that a table names.
-func (q *quotas) update(t *table.Table) {
+// setNodes sets the nodes that may be homes to those that a table names. A change clears the
+// cached homes.
+func (q *quotas) setNodes(t *table.Table) {
 	var nodes []string
 	for i := range t.Services {
 		for _, u := range t.Services[i].Upstreams {
@@ -87,7 +91,8 @@
 	}
 }
 
-// homesFor returns the nodes to ask for an account. The lock is held.
+// homesFor returns the addresses of an account's homes, in the order in which they are asked.
+// The caller holds the lock.
 func (q *quotas) homesFor(account string) []string {
 	homes, ok := q.homes[account]
 	if !ok {
@@ -100,21 +105,23 @@
 	return homes
 }
 
-// Admit waits until it is known whether a request of an account may be sent.
+// Admit waits until it is decided whether a request of an account may be sent. It returns a
+// zero Admission if left is closed first, because the caller has gone. An account without a
+// rate has no limit.
 func (q *quotas) Admit(a *table.Account, left <-chan struct{}) entry.Admission {
 	if !(a.Rate > 0) {
 		return entry.Admission{OK: true}
 	}
 	admitted := make(chan entry.Admission, 1)
 	q.mu.Lock()
-	d := q.account(a.Name)
-	d.limit = quota.Limit{Rate: a.Rate, Burst: a.Burst}
-	d.waiting = append(d.waiting, admitted)
-	starts := !d.isRequesting
-	d.isRequesting = true
+	state := q.account(a.Name)
+	state.limit = quota.Limit{Rate: a.Rate, Burst: a.Burst}
+	state.waiting = append(state.waiting, admitted)
+	starts := !state.isRequesting
+	state.isRequesting = true
 	q.mu.Unlock()
 	if starts {
-		go q.requestQuota(a.Name, d)
+		go q.requestQuota(a.Name, state)
 	}
 	select {
 	case admission := <-admitted:
@@ -124,168 +131,173 @@
 	}
 }
 
-// Refund gives back the leave of a request that was not run.
+// Refund returns the grant of a request that was not run. The next quota request reports it.
 func (q *quotas) Refund(a *table.Account) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if d, ok := q.accounts.Get(a.Name); ok {
-		d.returned = min(d.returned+1, quota.MaxCount)
+	if state, ok := q.accounts.Get(a.Name); ok {
+		state.returned = min(state.returned+1, quota.MaxCount)
 	}
 }
 
-// account returns what is remembered of an account. The lock is held.
+// account returns the state of an account and creates it if necessary. The caller holds the
+// lock.
 func (q *quotas) account(account string) *accountQuota {
-	d, ok := q.accounts.Get(account)
+	state, ok := q.accounts.Get(account)
 	if !ok {
-		d = &accountQuota{}
-		q.accounts.Add(account, d)
+		state = &accountQuota{}
+		q.accounts.Add(account, state)
 	}
-	return d
+	return state
 }
 
-// requestQuota asks for leave until nobody waits for it. Requests that come meanwhile are asked for
-// together.
-func (q *quotas) requestQuota(account string, d *accountQuota) {
+// requestQuota sends quota requests for an account until no request waits for one. Requests
+// that arrive while one is in progress are combined into the next.
+func (q *quotas) requestQuota(account string, state *accountQuota) {
 	for {
 		q.mu.Lock()
-		if len(d.waiting) == 0 {
-			d.isRequesting = false
+		if len(state.waiting) == 0 {
+			state.isRequesting = false
 			q.mu.Unlock()
 			return
 		}
-		count := min(len(d.waiting), quota.MaxCount)
-		waiting := d.waiting[:count]
-		d.waiting = d.waiting[count:]
+		count := min(len(state.waiting), quota.MaxCount)
+		waiting := state.waiting[:count]
+		state.waiting = state.waiting[count:]
 		now := q.now()
-		draw := quota.Request{Account: account, Limit: d.limit, Count: count, Returned: d.returned}
-		draw.Hint, draw.HintHome = d.history.Hint(now)
-		d.returned = 0
+		request := quota.Request{Account: account, Limit: state.limit, Count: count, Returned: state.returned}
+		request.Hint, request.HintHome = state.history.Hint(now)
+		state.returned = 0
 		homes := q.homesFor(account)
 		q.mu.Unlock()
-		grant, ok := q.tryHomes(homes, draw)
-		q.resolveWaiters(d, waiting, grant, ok)
+		grant, ok := q.tryHomes(homes, request)
+		q.resolveWaiters(state, waiting, grant, ok)
 	}
 }
 
-// resolveWaiters tells those that wait what was granted, or decides without a home.
-func (q *quotas) resolveWaiters(d *accountQuota, waiting []chan<- entry.Admission, g quota.Grant, ok bool) {
+// resolveWaiters tells the waiting requests whether they are admitted: by the grant, or by the
+// account's history if no home has answered.
+func (q *quotas) resolveWaiters(state *accountQuota, waiting []chan<- entry.Admission, grant quota.Grant, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
 	if ok {
-		d.history.RecordGrant(now, d.limit, g)
+		state.history.RecordGrant(now, state.limit, grant)
 	}
-	for i, one := range waiting {
+	for i, waiter := range waiting {
 		switch {
-		case ok && i < g.Granted:
+		case ok && i < grant.Granted:
 			q.counts.Granted++
-			one <- entry.Admission{OK: true}
+			waiter <- entry.Admission{OK: true}
 		case ok:
 			q.counts.Refused++
-			one <- entry.Admission{OverQuota: true, RetryAfter: retryAfter(g, i)}
-		case d.history.AdmitWithoutHome(now, d.limit, q.random.Float64()):
+			waiter <- entry.Admission{OverQuota: true, RetryAfter: retryAfter(grant, i)}
+		case state.history.AdmitWithoutHome(now, state.limit, q.random.Float64()):
 			q.counts.Alone++
-			one <- entry.Admission{OK: true}
+			waiter <- entry.Admission{OK: true}
 		default:
 			q.counts.Unknown++
-			one <- entry.Admission{RetryAfter: clock.Second}
+			waiter <- entry.Admission{RetryAfter: clock.Second}
 		}
 	}
 }
 
-// retryAfter is when the request at a place among those asked for may come back.
-func retryAfter(g quota.Grant, place int) clock.Millis {
-	if i := place - g.Granted; i < len(g.RetryAfter) {
-		return g.RetryAfter[i]
+// retryAfter returns the delay after which the refused request at an index of a quota request
+// may be sent again.
+func retryAfter(grant quota.Grant, index int) clock.Millis {
+	if i := index - grant.Granted; i < len(grant.RetryAfter) {
+		return grant.RetryAfter[i]
 	}
 	return clock.Second
 }
 
-// tryHomes asks the homes one after the other, and returns false if none answered. For its
-// own requests this node is the home only where it comes first and isn't cut off: it would
-// else grant beside a home that all others ask.
-func (q *quotas) tryHomes(homes []string, d quota.Request) (quota.Grant, bool) {
-	for passed, home := range homes {
+// tryHomes asks the homes in order, and returns false if none has answered. This node grants
+// its own requests only if it is the first home and isn't cut off. Otherwise it would grant
+// requests in addition to a home that all other nodes ask.
+func (q *quotas) tryHomes(homes []string, request quota.Request) (quota.Grant, bool) {
+	for skipped, home := range homes {
 		if home == q.self {
-			if passed == 0 && !q.isCutOff() {
-				return q.grant(d), true
+			if skipped == 0 && !q.isCutOff() {
+				return q.grant(request), true
 			}
 			continue
 		}
-		frame := wire.NewQuotaRequest(q.sequence.Add(1), d)
-		frame.SkippedHomes = passed
-		if drawn := q.requestFromHome(home, frame, quotaRequestTimeout); drawn != nil {
-			return drawn.ToQuota(), true
+		frame := wire.NewQuotaRequest(q.sequence.Add(1), request)
+		frame.SkippedHomes = skipped
+		if grant := q.requestFromHome(home, frame, quotaRequestTimeout); grant != nil {
+			return grant.ToQuota(), true
 		}
 	}
 	return quota.Grant{}, false
 }
 
-// requestFromHome asks one home and waits for its answer, nil without one.
-func (q *quotas) requestFromHome(home string, d *wire.QuotaRequest, span clock.Millis) *wire.QuotaGrant {
+// requestFromHome asks one home and waits for its grant. It returns nil if the home is
+// unreachable or doesn't answer within the timeout.
+func (q *quotas) requestFromHome(home string, request *wire.QuotaRequest, timeout clock.Millis) *wire.QuotaGrant {
 	peer := q.peer(home)
 	if peer == nil || peer.IsLost() {
 		return nil
 	}
-	told := make(chan *wire.QuotaGrant, 1)
-	if peer.RequestQuota(d, func(a *wire.QuotaGrant) { told <- a }) != nil {
+	granted := make(chan *wire.QuotaGrant, 1)
+	if peer.RequestQuota(request, func(grant *wire.QuotaGrant) { granted <- grant }) != nil {
 		return nil // the next home is asked
 	}
-	timer := time.NewTimer(span.Duration())
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
-	case a := <-told:
-		return a
+	case grant := <-granted:
+		return grant
 	case <-timer.C:
-		peer.ForgetQuotaRequest(d.Seq)
+		peer.ForgetQuotaRequest(request.Seq)
 		return nil
 	}
 }
 
-// grant decides as the account's home.
-func (q *quotas) grant(d quota.Request) quota.Grant {
+// grant decides about a quota request as the account's home.
+func (q *quotas) grant(request quota.Request) quota.Grant {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Grant(q.now(), d)
+	return q.allocator.Grant(q.now(), request)
 }
 
-// answer answers another node that asks. A home that isn't the first grants only where
-// those before it are out of its own reach, too, and then a part of the limit: one that some
-// nodes have lost goes on for the others.
-func (q *quotas) answer(d *wire.QuotaRequest) *wire.QuotaGrant {
-	draw := d.ToQuota()
-	if d.SkippedHomes > 0 && !d.IsRelayed {
+// answer answers a quota request of another node. If the sender has skipped homes that come
+// before this one, this node first asks those itself, because a home that some nodes can't
+// reach still grants requests of the others. Only if this node can't reach them either, it
+// grants requests, and then only within a part of the limit.
+func (q *quotas) answer(message *wire.QuotaRequest) *wire.QuotaGrant {
+	request := message.ToQuota()
+	if message.SkippedHomes > 0 && !message.IsRelayed {
 		q.mu.Lock()
-		homes := q.homesFor(d.Account)
+		homes := q.homesFor(message.Account)
 		q.mu.Unlock()
-		relayed := *d
+		relayed := *message
 		relayed.IsRelayed, relayed.Seq = true, q.sequence.Add(1)
-		for _, home := range homes[:min(d.SkippedHomes, len(homes))] {
+		for _, home := range homes[:min(message.SkippedHomes, len(homes))] {
 			if home == q.self {
 				break
 			}
-			if drawn := q.requestFromHome(home, &relayed, relayTimeout); drawn != nil {
-				drawn.Seq = d.Seq
-				return drawn
+			if grant := q.requestFromHome(home, &relayed, quotaRelayTimeout); grant != nil {
+				grant.Seq = message.Seq
+				return grant
 			}
 		}
-		draw.Limit = draw.Limit.Fallback()
+		request.Limit = request.Limit.Fallback()
 	}
-	return wire.NewQuotaGrant(d.Seq, q.grant(draw))
+	return wire.NewQuotaGrant(message.Seq, q.grant(request))
 }
 
-// QuotaCounts counts the decisions about requests of client accounts here.
+// QuotaCounts returns how many requests of client accounts this node has admitted and refused.
 func (q *quotas) QuotaCounts() metrics.QuotaCounts {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.counts
 }
 
-// RequestQuota answers another node that asks for leave to send requests of a client account.
-func (n *Node) RequestQuota(from uint64, d *wire.QuotaRequest) {
-	if d.SkippedHomes == 0 || d.IsRelayed {
-		n.links.SendQuotaGrant(from, n.quotas.answer(d))
+// RequestQuota answers a quota request of another node.
+func (n *Node) RequestQuota(from uint64, message *wire.QuotaRequest) {
+	if message.SkippedHomes == 0 || message.IsRelayed {
+		n.links.SendQuotaGrant(from, n.quotas.answer(message))
 		return
 	}
-	go func() { n.links.SendQuotaGrant(from, n.quotas.answer(d)) }() // it may wait for another home
+	go func() { n.links.SendQuotaGrant(from, n.quotas.answer(message)) }() // answering may wait for another home
 }
--- a/node/resend.go
+++ b/node/resend.go
@@ -7,26 +7,27 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// RevokeKey says what this node knows of a resend's key and forbids its gates to
-// begin earlier sends. The memory is the node's, not a gate's: it answers also
-// for gates that a table edit has removed.
+// RevokeKey returns what this node has recorded about the idempotency key of a resend, and
+// forbids its gates to begin earlier sends. The node holds the records, not a gate, so that
+// they also cover gates that a table edit has removed.
 func (n *Node) RevokeKey(v *wire.KeyRevocation) *wire.KeyRevocationReply {
-	out := n.keys.Revoke(v)
-	out.Version = n.version()
-	return out
+	reply := n.keys.Revoke(v)
+	reply.Version = n.version()
+	return reply
 }
 
-// RevokeKey asks the gates in this process.
-func (l localTarget) RevokeKey(v *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
+// RevokeKey looks the key up in this process and calls the observer before it returns.
+func (l localGates) RevokeKey(v *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
 	w.Revoked(l.node.RevokeKey(v))
 	return nil
 }
 
-// ForgetRevocation has nothing to drop: the answer is given at once.
-func (localTarget) ForgetRevocation(wire.RequestID) {}
+// ForgetRevocation does nothing: RevokeKey gives its answer immediately.
+func (localGates) ForgetRevocation(wire.RequestID) {}
 
-// canRemovePeer reports whether a peer that the table names no longer may go. It stays
-// within reach as long as it may have run a key that is sent again.
+// canRemovePeer reports whether a peer that the table no longer names can be removed. The
+// peer is kept for resend.Retention, as long as it may have run an idempotency key that is
+// sent again.
 func (n *Node) canRemovePeer(p *peer) bool {
 	now := n.clock.Now()
 	if p.removedAt == 0 {
--- a/node/services.go
+++ b/node/services.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// callerIdleTimeout closes a caller's connection that sends nothing.
+	// callerIdleTimeout is how long an idle caller's connection stays open.
 	callerIdleTimeout = 75 * time.Second
-	// callerReadTimeout and callerWrite bound a caller that sends or reads slowly.
+	// callerReadTimeout and callerWriteTimeout bound how long a slow caller may take to send a
+	// request and to read the response.
 	callerReadTimeout  = 30 * time.Second
 	callerWriteTimeout = 60 * time.Second
-	// maxCallerHeaders bounds the headers of a request in bytes: twice what
-	// today's callers may send, 16 KB.
+	// maxCallerHeaders bounds the headers of a request in bytes. It is twice the 16 KB that
+	// current callers may send.
 	maxCallerHeaders = 32 << 10
 )
 
@@ -30,31 +31,32 @@
 	Caller net.Listener
 	Link   net.Listener
 	Admin  net.Listener
-	// Metrics is nil without an address of its own for metrics.
+	// Metrics is nil if metrics have no address of their own.
 	Metrics net.Listener
 }
 
-// Listen opens the ports that the settings name.
+// Listen opens the ports that the settings name and skips empty addresses. After an error no
+// port is open.
 func Listen(ctx context.Context, addresses settings.Listen) (*Listeners, error) {
 	l := &Listeners{}
 	var err error
-	for _, one := range []struct {
-		name    string
-		address string
-		into    *net.Listener
+	for _, port := range []struct {
+		name     string
+		address  string
+		listener *net.Listener
 	}{
 		{"caller", addresses.Caller, &l.Caller},
 		{"link", addresses.Link, &l.Link},
 		{"admin", addresses.Admin, &l.Admin},
 		{"metrics", addresses.Metrics, &l.Metrics},
 	} {
-		if one.address == "" {
+		if port.address == "" {
 			continue
 		}
-		*one.into, err = (&net.ListenConfig{}).Listen(ctx, "tcp", one.address)
+		*port.listener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", port.address)
 		if err != nil {
 			l.Close()
-			return nil, errors.Annotatef(err, "listening on the %s address %s", one.name, one.address)
+			return nil, errors.Annotatef(err, "listening on the %s address %s", port.name, port.address)
 		}
 	}
 	return l, nil
@@ -62,20 +64,21 @@
 
 // Close closes the ports.
 func (l *Listeners) Close() {
-	for _, one := range []net.Listener{l.Caller, l.Link, l.Admin, l.Metrics} {
-		if one != nil {
-			_ = one.Close() // closed already by its service, or no longer wanted
+	for _, listener := range []net.Listener{l.Caller, l.Link, l.Admin, l.Metrics} {
+		if listener != nil {
+			_ = listener.Close() // its service may have closed it already
 		}
 	}
 }
 
-// service adapts a function to the supervisor.
+// service adapts a function to the supervisor's interface of services.
 type service struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
-// Serve runs until the context ends.
+// Serve runs the function and returns its error, or the context's error once the context has
+// ended.
 func (s service) Serve(ctx context.Context) error {
 	err := s.run(ctx)
 	if ctx.Err() != nil {
@@ -89,23 +92,24 @@
 	return s.name
 }
 
-// buildSupervisors lays out the supervisors. A part that fails is restarted beside the
-// others: a platform that can't be read stops no request, and peers that come
-// and go hold up neither.
+// buildSupervisors builds a supervisor each for serving, for the platform and for the peers.
+// A part that fails is restarted without an effect on the others: an unreadable platform
+// doesn't stop requests, and peers that come and go affect neither requests nor the platform
+// reader.
 func (n *Node) buildSupervisors(l *Listeners) {
 	n.root = n.newSupervisor("node")
 	serving := n.newSupervisor("serving")
 	reading := n.newSupervisor("platform")
 	n.peerSupervisor = n.newSupervisor("peers")
-	for _, branch := range []*suture.Supervisor{serving, reading, n.peerSupervisor} {
-		n.root.Add(branch)
+	for _, child := range []*suture.Supervisor{serving, reading, n.peerSupervisor} {
+		n.root.Add(child)
 	}
 	n.addServing(serving, l)
 	n.addPlatformReader(reading)
 }
 
-// restart policy of each branch: more than failures within a minute or so make
-// it pause before it tries again.
+// Restart policy of each supervisor: more than failureThreshold failures within about a
+// minute make it wait for failureBackoff before the next restart.
 const (
 	failureThreshold = 5
 	failureDecay     = 30 // seconds
@@ -121,6 +125,8 @@
 	})
 }
 
+// addServing adds the servers for callers, links, admin requests and metrics, and the
+// services that send heartbeats, exchange crashes and probe upstreams.
 func (n *Node) addServing(tree *suture.Supervisor, l *Listeners) {
 	n.callerServer = &fasthttp.Server{
 		Handler:                       n.entry.Serve,
@@ -153,48 +159,48 @@
 	tree.Add(service{"probes", every(probeInterval, n.probe)})
 }
 
-// probeInterval is the interval of probes: a probe may end a hold-off of 5 s or
-// more, and takes 25 ms of an upstream's time.
+// probeInterval is the interval of health probes. A probe may end a hold-off of 5 s or more
+// early, and costs an upstream 25 ms.
 const probeInterval = 2 * time.Second
 
-// probe asks the health endpoints of the upstreams beside this node.
+// probe starts a health probe of each upstream beside this node.
 func (n *Node) probe() {
 	for _, g := range n.allGates() {
-		_ = n.gatePool.Submit(g.ProbeHealth) // a busy node probes at the next tick
+		_ = n.gatePool.Submit(g.ProbeHealth) // if the pool is full, the next tick probes again
 	}
 }
 
-// every runs an action at an interval until the context ends.
-func every(span time.Duration, act func()) func(ctx context.Context) error {
+// every returns a service function that runs an action at an interval until the context ends.
+func every(interval time.Duration, action func()) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
-		ticker := time.NewTicker(span)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return errors.Trace(ctx.Err())
 			case <-ticker.C:
-				act()
+				action()
 			}
 		}
 	}
 }
 
-// discardLogger drops what the HTTP library logs: malformed requests are accounted
-// for, and a caller must not be able to fill the log.
+// discardLogger discards what the HTTP library logs: the entry records malformed requests,
+// and a caller must not be able to fill the log.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf discards a log line.
 func (discardLogger) Printf(string, ...any) {}
 
-// serveHTTP runs an HTTP server that finishes what it has begun before it
-// stops.
+// serveHTTP returns a service that runs an HTTP server. When the context ends, requests in
+// progress have one second to finish.
 func (n *Node) serveHTTP(name string, server *fasthttp.Server, l net.Listener) suture.Service {
 	return service{name, func(ctx context.Context) error {
 		stop := context.AfterFunc(ctx, func() {
-			bound, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+			shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
-			_ = server.ShutdownWithContext(bound) // what is left is cut by the exit
+			_ = server.ShutdownWithContext(shutdownCtx) // the exit of the process cuts remaining requests
 		})
 		defer stop()
 		err := server.Serve(l)
