--- a/versionguard/versionguard_test.go
+++ b/versionguard/versionguard_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against a result that depends on the order of arrival. A node receives table versions
-// from a stale replica, from peers and repeatedly; nodes would end with two different tables, or
-// return to a weight that an operator has withdrawn.
+// Guards against a result that depends on the order of arrival. A node receives table
+// versions from a stale replica, from peers and repeatedly; nodes would end with two
+// different tables, or return to a weight that an operator has withdrawn.
 func TestVersionNeverDecreasesAndOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		candidates := rapid.Custom(func(t *rapid.T) versionguard.Candidate {
