--- a/mirror/copy.go
+++ b/mirror/copy.go
@@ -9,54 +9,55 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// returnGrace is how long after the store's return a value that vanished during
-// its absence still counts: leases of live writers lapse while the store is
-// away, and these write again within two seconds of its return.
+// returnGrace is how long after the store's return a value that was removed during the
+// outage still counts: leases of live writers expire while the store is unavailable, and
+// the writers register again within two seconds of its return.
 const returnGrace = 2 * clock.Second
 
-// HashFunc sums up what of a value matters to its readers, the key included: a change
-// that leaves it as it was needs no telling. 0 stands for a value that matters to
-// nobody.
+// HashFunc returns a hash of the key and of those parts of a value that matter to its
+// readers. A change that leaves the hash as it was is not published to other nodes. 0
+// means that the value matters to no reader.
 type HashFunc func(item Item) uint64
 
-// Copy is the state of the store as this process knows it. It is not safe for
-// concurrent use.
+// Copy is the state of the store as this process knows it. It is not safe for concurrent
+// use.
 type Copy struct {
 	hash  HashFunc
 	items map[string]Item
-	// hashes are those of the items.
+	// hashes holds the hash of each item, by key.
 	hashes map[string]uint64
-	// expiring holds the instants at which values that are gone cease to count.
+	// expiring holds, by key, the time at which a removed value ceases to count.
 	expiring map[string]clock.Millis
-	// tombstones holds the revisions of removals. An answer that was on its way while
-	// news of a removal came would else bring the value back, and nothing would tell
-	// its removal again.
+	// tombstones holds the revisions of removals, by key. Without it, an answer that is
+	// in transit while the update with a removal arrives would restore the value, and the
+	// removal would not be announced again.
 	tombstones map[string]uint64
 	revision   uint64
-	// maxRevision is the last revision of any value, which is ahead of revision after a
-	// list: its pages aren't a snapshot.
+	// maxRevision is the highest revision of any value. It exceeds revision after a list
+	// whose pages are not a snapshot.
 	maxRevision uint64
-	// bytes are those of all values and keys.
+	// bytes is the size of all values and keys.
 	bytes int
-	// mayLackRemovals says that the last list may lack values that went while its pages were read.
+	// mayLackRemovals is true if the last list may contain values that were removed while
+	// its pages were read.
 	mayLackRemovals bool
-	// digest is the exclusive or of the marks of all values that are not gone.
+	// digest is the exclusive or of the hashes of all values that are not removed.
 	digest uint64
-	// graceEnd is the end of the grace after the store's last return.
+	// graceEnd is the end of the grace period after the store's last return.
 	graceEnd clock.Millis
 }
 
-// emptyDigest is the digest of a copy without values: that of none stands for one that
-// isn't told.
+// emptyDigest is the digest of a copy without values. It is not 0, because a digest of 0
+// means that a node publishes none.
 const emptyDigest = 1
 
-// NewCopy returns an empty copy. Without a mark all of a value matters.
-func NewCopy(mark HashFunc) *Copy {
-	if mark == nil {
-		mark = hashWhole
+// NewCopy returns an empty copy. If hash is nil, the whole value matters.
+func NewCopy(hash HashFunc) *Copy {
+	if hash == nil {
+		hash = hashWhole
 	}
 	return &Copy{
-		hash:       mark,
+		hash:       hash,
 		items:      map[string]Item{},
 		hashes:     map[string]uint64{},
 		expiring:   map[string]clock.Millis{},
@@ -65,45 +66,45 @@
 	}
 }
 
-// hashWhole is the mark of a value of which all matters.
+// hashWhole is the HashFunc that covers all of a value.
 func hashWhole(item Item) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s\x00%d\x00%s", item.Key, item.Created, item.Value) // a hash's Write never fails
 	return max(hash.Sum64(), 1)
 }
 
-// Revision is where the next watch begins; 0 before the first list.
+// Revision returns the revision at which the next watch starts; 0 before the first list.
 func (c *Copy) Revision() uint64 {
 	return c.revision
 }
 
-// Bytes is the size of all values, with their keys.
+// Bytes returns the size of all values with their keys.
 func (c *Copy) Bytes() int {
 	return c.bytes
 }
 
-// StoreReturned takes in that the store answers again after it was away.
+// StoreReturned starts the grace period of the store's return after an outage.
 func (c *Copy) StoreReturned(now clock.Millis) {
 	c.graceEnd = now + returnGrace
 }
 
-// Digest sums up the values that are not gone, as far as they matter. Two copies at the
-// same revision have the same one. It returns false where the copy holds values that
-// are newer than its revision.
+// Digest returns a hash over the relevant parts of all values that are not removed. Two
+// correct copies at the same revision have the same digest. It returns false if the copy
+// contains values that are newer than its revision.
 func (c *Copy) Digest() (uint64, bool) {
 	return c.digest, c.maxRevision <= c.revision
 }
 
-// WatchedThrough takes in that a watch of this process has told all changes up to a revision: none
-// that a list before it has missed is left.
+// WatchedThrough records that a watch of this process has returned all changes up to a
+// revision, which includes the removals that an earlier list missed.
 func (c *Copy) WatchedThrough(revision uint64) {
 	if revision > c.revision {
 		c.mayLackRemovals = false
 	}
 }
 
-// IsExact reports whether the copy is what the store held at its revision: no value is newer,
-// and none is gone by a later change.
+// IsExact reports whether the copy equals the store's state at the copy's revision: no
+// value is newer, and none was removed by a later change.
 func (c *Copy) IsExact() bool {
 	if c.mayLackRemovals || c.maxRevision > c.revision {
 		return false
@@ -116,9 +117,10 @@
 	return true
 }
 
-// Reset takes in a whole list. What is known to be newer than the list stays.
-func (c *Copy) Reset(now clock.Millis, all Listing) {
-	items, revision := all.Items, all.Revision
+// Reset replaces the copy with a list. Values and removals that are newer than the list
+// stay.
+func (c *Copy) Reset(now clock.Millis, list Listing) {
+	items, revision := list.Items, list.Revision
 	listed := make(map[string]struct{}, len(items))
 	for _, item := range items {
 		listed[item.Key] = struct{}{}
@@ -129,46 +131,47 @@
 			c.remove(now, key, revision)
 		}
 	}
-	c.revision, c.mayLackRemovals = revision, !all.IsSnapshot
+	c.revision, c.mayLackRemovals = revision, !list.IsSnapshot
 	c.maxRevision = revision
 	for _, item := range c.items {
 		c.maxRevision = max(c.maxRevision, item.Revision)
 	}
 }
 
-// CountWrong counts the values in which the copy is shown wrong by a list, which it has not
-// taken in yet: those that it should hold already, by its revision, and doesn't, and,
-// where nothing has changed since, those that are gone or another.
+// CountWrong returns the number of values for which a list shows that the copy is wrong.
+// It is called before the list is applied. It counts the values that the copy lacks or
+// holds in an older state although the copy's revision covers them. If the store hasn't
+// changed since that revision, it also counts the values that are no longer in the store.
 func (c *Copy) CountWrong(items []Item, revision uint64) int {
 	wrong := 0
 	listed := make(map[string]struct{}, len(items))
 	for _, item := range items {
 		listed[item.Key] = struct{}{}
-		held, isHeld := c.items[item.Key]
+		current, isKnown := c.items[item.Key]
 		_, isRemoved := c.tombstones[item.Key]
-		isMissed := item.Created <= c.revision && !isHeld && !isRemoved
-		isOther := isHeld && item.Revision <= c.revision && held.Revision < item.Revision && c.hashes[item.Key] != c.hash(item)
-		if isMissed || isOther {
+		isMissing := item.Created <= c.revision && !isKnown && !isRemoved
+		isOutdated := isKnown && item.Revision <= c.revision && current.Revision < item.Revision && c.hashes[item.Key] != c.hash(item)
+		if isMissing || isOutdated {
 			wrong++
 		}
 	}
 	for key := range c.items {
 		_, isListed := listed[key]
-		_, isVanished := c.expiring[key]
-		if !isListed && !isVanished && revision == c.revision {
+		_, isExpiring := c.expiring[key]
+		if !isListed && !isExpiring && revision == c.revision {
 			wrong++
 		}
 	}
 	return wrong
 }
 
-// PruneTombstones takes in that a call of this process was answered as of a revision: no
-// later answer tells of changes up to it.
+// PruneTombstones drops the tombstones up to a revision as of which a call of this
+// process was answered: no later answer contains changes up to it.
 func (c *Copy) PruneTombstones(revision uint64) {
 	maps.DeleteFunc(c.tombstones, func(_ string, at uint64) bool { return at <= revision })
 }
 
-// Apply takes in changes in their order.
+// Apply applies changes in order.
 func (c *Copy) Apply(now clock.Millis, events []Event, revision uint64) {
 	for _, e := range events {
 		switch {
@@ -181,16 +184,17 @@
 	c.revision = max(c.revision, revision)
 }
 
-// put keeps the newer of two values: the pages of a list aren't a snapshot, and
-// a watch that goes on from the first page's revision tells changes again.
+// put stores an item unless the copy holds a newer one: the pages of a list are not a
+// snapshot, and a watch that continues from the first page's revision returns some
+// changes again.
 func (c *Copy) put(item Item) {
 	old, ok := c.items[item.Key]
 	if (ok && old.Revision > item.Revision) || c.tombstones[item.Key] > item.Revision {
 		return
 	}
-	_, isVanished := c.expiring[item.Key]
+	_, isExpiring := c.expiring[item.Key]
 	switch {
-	case !ok, isVanished:
+	case !ok, isExpiring:
 		c.hashes[item.Key] = c.hash(item)
 		c.digest ^= c.hashes[item.Key]
 	case old.Revision != item.Revision:
@@ -205,8 +209,8 @@
 	delete(c.tombstones, item.Key)
 }
 
-// remove takes a value out at a revision, or, in the grace after the store's return,
-// lets it count until that is over.
+// remove removes a value at a revision. During the grace period after the store's return,
+// the value still counts until the period ends.
 func (c *Copy) remove(now clock.Millis, key string, revision uint64) {
 	c.tombstones[key] = max(c.tombstones[key], revision)
 	if _, ok := c.expiring[key]; ok {
@@ -227,7 +231,7 @@
 	delete(c.hashes, key)
 }
 
-// Items returns what counts now, by key.
+// Items returns the values that count now, sorted by key.
 func (c *Copy) Items(now clock.Millis) []Item {
 	for key, end := range c.expiring {
 		if now >= end {
--- a/mirror/copy_test.go
+++ b/mirror/copy_test.go
@@ -19,44 +19,44 @@
 	return all
 }
 
-// The store was away, and the leases of all upstreams lapsed meanwhile though
-// they live. Taken at its word on its return, the list would leave the node
-// without an upstream until they have written again.
-func TestLapsedEntriesAreHeldForTheirReturn(t *testing.T) {
+// The leases of all upstreams expire during an outage of the store although the upstreams
+// are alive. If the node applied the list at the store's return immediately, it would
+// have no upstream until they register again.
+func TestCopyKeepsExpiredValuesDuringReturnGrace(t *testing.T) {
 	c := mirror.NewCopy(nil)
 	c.Reset(0, mirror.Listing{Items: []mirror.Item{item("a", 1), item("b", 2)}, Revision: 2})
 	c.StoreReturned(10_000)
 	c.Reset(10_000, mirror.Listing{Items: []mirror.Item{item("a", 9)}, Revision: 9})
 	if got := keys(c.Items(11_000)); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("a second after the return: got %v, want both", got)
+		t.Errorf("one second after the return: got %v, want both", got)
 	}
 	c.Apply(11_500, []mirror.Event{{Item: item("b", 12)}}, 12)
 	if got := keys(c.Items(13_000)); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("after it was written again: got %v, want both", got)
+		t.Errorf("after b was written again: got %v, want both", got)
 	}
 	c.Apply(13_000, []mirror.Event{{Item: mirror.Item{Key: "b", Revision: 13}, Gone: true}}, 13)
 	if got := keys(c.Items(13_001)); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("gone while the store is in order: got %v, want a alone", got)
+		t.Errorf("after b was removed outside the grace period: got %v, want only a", got)
 	}
 }
 
-// One that isn't back two seconds after the return is gone for good.
-func TestLapsedEntriesGoAfterTheGrace(t *testing.T) {
+// A value that isn't written again within two seconds of the store's return is removed.
+func TestCopyDropsExpiredValuesAfterReturnGrace(t *testing.T) {
 	c := mirror.NewCopy(nil)
 	c.Reset(0, mirror.Listing{Items: []mirror.Item{item("a", 1)}, Revision: 1})
 	c.StoreReturned(5000)
 	c.Apply(5100, []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 4}, Gone: true}}, 4)
 	if got := len(c.Items(6999)); got != 1 {
-		t.Errorf("before the grace is over: got %d values, want 1", got)
+		t.Errorf("before the grace period ends: got %d values, want 1", got)
 	}
 	if got := len(c.Items(7000)); got != 0 {
-		t.Errorf("after it: got %d values, want none", got)
+		t.Errorf("after the grace period: got %d values, want none", got)
 	}
 }
 
-// The pages of a list aren't a snapshot, and a watch from the first page's
-// revision tells what the later pages held already, older values among it.
-func TestOlderValuesDoNotReplaceNewer(t *testing.T) {
+// The pages of a list are not a snapshot, and a watch from the first page's revision
+// returns changes that the later pages already contain, among them older values.
+func TestCopyIgnoresOlderValues(t *testing.T) {
 	c := mirror.NewCopy(nil)
 	c.Reset(0, mirror.Listing{Items: []mirror.Item{{Key: "configuration", Revision: 8, Value: []byte("new")}}, Revision: 5})
 	c.Apply(1, []mirror.Event{
--- a/mirror/edit.go
+++ b/mirror/edit.go
@@ -7,32 +7,35 @@
 )
 
 const (
-	// maxSteps bounds the steps of an edit: a frame's arrays have 4,096 entries at most.
+	// maxSteps limits the steps of an edit: an array in a frame has at most 4,096
+	// entries.
 	maxSteps = 2000
-	// maxValueSize bounds a value that an edit makes, in bytes: the platform holds a megabyte.
+	// maxValueSize limits the size in bytes of a value that an edit produces; the
+	// platform stores up to a megabyte.
 	maxValueSize = 1 << 20
 )
 
-// Edit tells a large value by what has changed, so that nodes hear of it within a hop and
-// need not read the value, each over its own line and the store's.
+// Edit describes a large value by its differences from the value before, so that nodes
+// receive a change within one hop. Otherwise each node would have to read the value over
+// its own connection and the store's.
 type Edit struct {
-	// Base and Sum are the hashes of the value before and of the one that the steps make:
-	// a node that holds another one reads the value itself.
+	// Base and Sum are the hashes of the previous value and of the one that Steps
+	// produce. A node that holds a different base reads the value from the store.
 	Base, Sum uint64
 	Steps     []difference.Step
 }
 
-// newEdit tells a value by what has changed since the one before, and returns false where
-// that takes about as much as the value.
-func newEdit(before, value []byte) (*Edit, bool) {
-	steps, ok := difference.Make(before, value, len(value)/2)
+// newEdit returns an edit that turns base into value. It returns false if the edit has
+// more than maxSteps steps or over half as many bytes of text as the value.
+func newEdit(base, value []byte) (*Edit, bool) {
+	steps, ok := difference.Make(base, value, len(value)/2)
 	if !ok || len(steps) > maxSteps {
 		return nil, false
 	}
-	return &Edit{Base: hashOf(before), Sum: hashOf(value), Steps: steps}, true
+	return &Edit{Base: hashOf(base), Sum: hashOf(value), Steps: steps}, true
 }
 
-// size is how many bytes of text the edit has.
+// size returns the number of bytes of text in the edit.
 func (e *Edit) size() int {
 	size := 0
 	for i := range e.Steps {
@@ -41,13 +44,14 @@
 	return size
 }
 
-// apply makes the value of the one before, and returns false where that isn't the base, or
-// the value not the one that the teller holds.
-func (e *Edit) apply(before []byte) ([]byte, bool) {
-	if hashOf(before) != e.Base {
+// apply returns the value that the edit makes of the previous one. It returns false if
+// the previous value is not the edit's base, or if the result differs from the sender's
+// value.
+func (e *Edit) apply(previous []byte) ([]byte, bool) {
+	if hashOf(previous) != e.Base {
 		return nil, false
 	}
-	value, err := difference.Apply(before, e.Steps, maxValueSize)
+	value, err := difference.Apply(previous, e.Steps, maxValueSize)
 	if err != nil || hashOf(value) != e.Sum {
 		return nil, false
 	}
@@ -60,18 +64,18 @@
 	return hash.Sum64()
 }
 
-// encodeEdits puts edits in place of large values, each against the value of the event
-// before it, or the one that the copy holds.
+// encodeEdits replaces large values by edits. The base of an edit is the value of the
+// preceding event for the key, or else the value in the copy.
 func encodeEdits(c *Copy, events []Event) {
-	before := map[string][]byte{}
+	previous := map[string][]byte{}
 	for i := range events {
 		e := &events[i]
-		old, ok := before[e.Key]
+		old, ok := previous[e.Key]
 		if !ok {
 			old = c.items[e.Key].Value
 		}
 		value := e.Value
-		before[e.Key] = value
+		previous[e.Key] = value
 		if len(value) < largeValueSize || len(old) == 0 {
 			continue
 		}
@@ -81,29 +85,29 @@
 	}
 }
 
-// decodeEdits puts values in place of edits. It returns false if there is one whose base is
-// not held here; that change is left out.
+// decodeEdits replaces edits by the values that they produce. It leaves out the changes
+// whose base this node doesn't hold, and returns false if there are any.
 func decodeEdits(c *Copy, events []Event) ([]Event, bool) {
-	before := map[string][]byte{}
-	isWhole := true
-	resolved := make([]Event, 0, len(events))
+	previous := map[string][]byte{}
+	isComplete := true
+	decoded := make([]Event, 0, len(events))
 	for _, e := range events {
 		if e.Edit != nil && c.items[e.Key].Revision >= e.Revision {
 			continue
 		}
 		if e.Edit != nil {
-			old, ok := before[e.Key]
+			old, ok := previous[e.Key]
 			if !ok {
 				old = c.items[e.Key].Value
 			}
 			e.Value, ok = e.Edit.apply(old)
 			if e.Edit = nil; !ok {
-				isWhole = false
+				isComplete = false
 				continue
 			}
 		}
-		before[e.Key] = e.Value
-		resolved = append(resolved, e)
+		previous[e.Key] = e.Value
+		decoded = append(decoded, e)
 	}
-	return resolved, isWhole
+	return decoded, isComplete
 }
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// defaultMaxStaleness is the least of the spans within which an upstream that reports
-	// its leaving gets no new work, and an edit is in force.
+	// defaultMaxStaleness is the shorter of two limits: the time until an upstream that
+	// announces its leaving gets no new requests, and the time until an edit is in force.
 	defaultMaxStaleness = 2 * clock.Second
-	// watchTimeout is what a watch waits for a change: with the registrations of a
-	// fleet there are always some. One that began before an absence of the store
-	// may never be answered; a longer wait would add to the time until that shows.
+	// watchTimeout is how long the store waits for a change before it answers a watch.
+	// With the registrations of a fleet there are always changes. A watch that starts
+	// shortly before an outage may never be answered; a longer timeout would delay the
+	// detection of the outage.
 	watchTimeout = clock.Millis(1)
 )
 
@@ -27,73 +28,74 @@
 type FollowerConfig struct {
 	Store Store
 	Now   func() clock.Millis
-	// MaxStaleness is how old what is known may be at most while the store answers; 0
-	// stands for two seconds.
+	// MaxStaleness is the maximum age of the copy while the store answers; 0 means two
+	// seconds.
 	MaxStaleness clock.Millis
-	// MaxBackoff is the longest span after a failed call; 0 stands for 0.3 s.
+	// MaxBackoff is the maximum delay after a failed call, before jitter; 0 means 0.3 s.
 	MaxBackoff clock.Millis
-	// Nodes tells how many nodes read the store, and whether this one does it ahead
-	// of the others; it may be nil.
+	// Nodes returns the number of nodes that read the store, and whether this node reads
+	// it ahead of the others. It may be nil.
 	Nodes func() (count int, isReader bool)
-	// Deliver takes in all values that count, after each call and, told, after
-	// news of a peer. It must not keep the slice's values beyond the next call.
-	Deliver func(items []Item, isTold bool)
-	// Hash sums up what of a value matters; changes beyond it are not told to other
-	// nodes. Tell tells them. Both may be nil, and must not block.
+	// Deliver receives all values that count, after each call and, with fromPeer, after
+	// an update from a peer. It must not retain the items beyond the next call.
+	Deliver func(items []Item, fromPeer bool)
+	// Hash covers the parts of a value that matter; other changes are not published.
+	// Publish sends an update to other nodes. Both may be nil, and neither may block.
 	Hash    HashFunc
-	Publish func(n Update)
-	// ExpectedRemoval reports whether a value that is gone was expected to go; it may be
-	// nil.
+	Publish func(u Update)
+	// ExpectedRemoval reports whether the removal of a value was expected. It may be nil.
 	ExpectedRemoval func(old Item) bool
-	// OnAvailability is told when the store goes away, with the cause, and with nil when
-	// it is back.
+	// OnAvailability is called with the cause when the store becomes unavailable, and
+	// with nil when it answers again.
 	OnAvailability func(cause error)
-	// BytesReceived counts the bytes that have come from the store; it may be nil.
+	// BytesReceived returns the total number of bytes received from the store. It may be
+	// nil.
 	BytesReceived func() uint64
 	Seed          uint64
-	// Log takes lines; nil stands for none.
+	// Log receives log lines; nil discards them.
 	Log logrus.FieldLogger
 }
 
-// Follower keeps a Copy up to date.
+// Follower keeps a Copy of the store up to date.
 type Follower struct {
 	config FollowerConfig
 
-	mu       sync.Mutex // guards copy and pace, and calls of Deliver
+	mu       sync.Mutex // guards copy and schedule, and serializes calls of Deliver
 	copy     *Copy
 	schedule *PollSchedule
-	// revision is the copy's. It is read without the lock: what Deliver calls
-	// may hold locks that its readers hold, too.
+	// revision is the copy's revision. Revision reads it without mu: code that Deliver
+	// calls takes locks that callers of Revision may hold already.
 	revision      atomic.Uint64
 	wakeup        chan struct{}
 	isUnavailable bool
-	// confirmedRevision is the revision of the last call that was answered, which began at
-	// confirmedAt. doubted is that of news since with removals that were not taken
-	// on a peer's word, 0 without.
+	// confirmedRevision is the revision of the last answered call, which started at
+	// confirmedAt. unconfirmedRevision is the revision of a later update with removals
+	// that the store has not confirmed; 0 if there is none.
 	confirmedRevision   uint64
 	confirmedAt         clock.Millis
 	unconfirmedRevision uint64
 	audit               audit
 	lag                 lag
 	pendingUpdates      []pendingUpdate
-	// peerBytes is the size of all values that a peer holds which knows newer ones.
+	// peerBytes is the size of all values in the copy of a peer with newer values.
 	peerBytes int
 	stats     Stats
 }
 
-// Stats counts what a follower met.
+// Stats holds the counters of a follower.
 type Stats struct {
-	// Answered and Failed sum up the calls with a whole answer, and those without.
+	// Answered counts the calls that returned a complete answer, Failed the others.
 	Answered, Failed CallStats
-	// LateChanges is how often a change that a peer knew was not read within Fresh; Lag is
-	// for how long the oldest one that is not read yet has been known of.
+	// LateChanges counts the periods in which a change known to a peer was not read
+	// within MaxStaleness. Lag is the time since a peer announced the oldest change that
+	// is still unread.
 	LateChanges uint64
 	Lag         clock.Millis
-	// UpdatesReceived is how often news of another node were taken in.
+	// UpdatesReceived counts the updates from other nodes that were applied in full.
 	UpdatesReceived uint64
-	// CopyErrors is how often a list showed that the copy was wrong.
+	// CopyErrors counts the lists that showed the copy to be wrong.
 	CopyErrors uint64
-	// KnownAt is the instant at which what is known was the store's, if IsKnown.
+	// KnownAt is the time at which the copy equalled the store, if IsKnown.
 	KnownAt clock.Millis
 	IsKnown bool
 }
@@ -101,7 +103,8 @@
 // CallStats sums up calls of the store.
 type CallStats struct {
 	Count uint64
-	// Bytes are those that came, heads included, and Took the time of all calls.
+	// Bytes is the number of bytes received, including headers, and Took the total
+	// duration of the calls.
 	Bytes uint64
 	Took  clock.Millis
 }
@@ -112,17 +115,17 @@
 	s.Took += took
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (f *Follower) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.stats
 	s.KnownAt, s.IsKnown = f.schedule.currentAt, f.schedule.currentAt >= 0
-	s.Lag = f.lag.span(f.config.Now())
+	s.Lag = f.lag.age(f.config.Now())
 	return s
 }
 
-// NewFollower returns a follower; Serve runs it.
+// NewFollower returns a follower that Serve runs.
 func NewFollower(c FollowerConfig) *Follower {
 	if c.MaxStaleness <= 0 {
 		c.MaxStaleness = defaultMaxStaleness
@@ -133,37 +136,37 @@
 	return &Follower{config: c, copy: NewCopy(c.Hash), schedule: NewPollSchedule(PollConfig{MaxStaleness: c.MaxStaleness, MaxBackoff: c.MaxBackoff, Seed: c.Seed}), wakeup: make(chan struct{}, 1)}
 }
 
-// Serve follows the store until the context ends.
+// Serve follows the store until the context ends, and returns the context's error.
 func (f *Follower) Serve(ctx context.Context) error {
 	for f.waitUntilDue(ctx) {
 		if f.config.Nodes != nil {
-			nodes, isReader := f.config.Nodes() // it may hold locks that take this one's
+			nodes, isReader := f.config.Nodes() // called without mu: it may take locks whose holders wait for mu
 			f.mu.Lock()
 			f.schedule.SetFleetSize(nodes, isReader)
 			f.mu.Unlock()
 		}
-		began, received := f.config.Now(), f.bytesReceived()
-		err := f.step(ctx)
+		startedAt, received := f.config.Now(), f.bytesReceived()
+		err := f.poll(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		f.recordCall(f.config.Now()-began, f.bytesReceived()-received, err)
+		f.recordCall(f.config.Now()-startedAt, f.bytesReceived()-received, err)
 	}
 	return errors.Trace(ctx.Err())
 }
 
-// waitUntilDue waits until a call is due, and returns false when the context ends.
+// waitUntilDue waits until a call is due. It returns false when the context ends.
 func (f *Follower) waitUntilDue(ctx context.Context) bool {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		left := f.schedule.Due() - f.config.Now()
+		remaining := f.schedule.Due() - f.config.Now()
 		f.mu.Unlock()
-		if left <= 0 {
+		if remaining <= 0 {
 			return true
 		}
-		timer.Reset(left.Duration())
+		timer.Reset(remaining.Duration())
 		select {
 		case <-ctx.Done():
 		case <-f.wakeup:
@@ -173,7 +176,7 @@
 	return false
 }
 
-// wake has await look again.
+// wake makes waitUntilDue check the schedule again.
 func (f *Follower) wake() {
 	select {
 	case f.wakeup <- struct{}{}:
@@ -181,21 +184,22 @@
 	}
 }
 
-// Revision is that of the copy; 0 while nothing is known.
+// Revision returns the copy's revision; 0 before the first list.
 func (f *Follower) Revision() uint64 {
 	return f.revision.Load()
 }
 
-// Snapshot returns the copy.
+// Snapshot returns the values that count now, and the copy's revision.
 func (f *Follower) Snapshot() ([]Item, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.copy.Items(f.config.Now()), f.copy.Revision()
 }
 
-// Seed takes in another process's copy while nothing is known: one that starts
-// while the store is away would else serve nobody until it is back. What has
-// changed since comes with the first watch from the copy's revision.
+// Seed initializes an empty copy with the copy of another process, and reports whether it
+// did: a node that starts while the store is unavailable would otherwise serve no
+// requests until the store answers. The first watch, which starts at the given revision,
+// returns the changes since.
 func (f *Follower) Seed(items []Item, revision uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,48 +212,50 @@
 	return true
 }
 
-// step makes one call and takes its answer in.
-func (f *Follower) step(ctx context.Context) error {
+// poll makes one call of the store and applies its answer.
+func (f *Follower) poll(ctx context.Context) error {
 	after, isAudit := f.watchStart()
 	if after == 0 || isAudit {
 		return f.relist(ctx, false)
 	}
-	asked := f.config.Now()
-	events, revision, err := f.config.Store.Watch(ctx, after, watchTimeout, f.listBytes())
+	startedAt := f.config.Now()
+	events, revision, err := f.config.Store.Watch(ctx, after, watchTimeout, f.maxWatchBytes())
 	if errors.Is(err, ErrCompacted) || errors.Is(err, ErrTooLarge) {
-		f.config.Log.WithError(err).WithField("revision", after).Info("changes are not to be had; all values are listed again")
+		f.config.Log.WithError(err).WithField("revision", after).Info("can't read the changes since this revision; listing all values")
 		return f.relist(ctx, errors.Is(err, ErrTooLarge))
 	}
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if len(events) == 0 {
-		// A store that is about to drop its history may tell of no changes though it
-		// counts them: gone on from its count, they would never be known.
+		// A store that is about to drop its history may return no changes although its
+		// revision advances. Continuing from that revision would skip the changes for
+		// good.
 		revision = after
 	}
-	f.applyAnswer(asked, revision, func(now clock.Millis) Update {
-		n := newUpdate(f.copy, after, revision, events)
+	f.applyAnswer(startedAt, revision, func(now clock.Millis) Update {
+		u := newUpdate(f.copy, after, revision, events)
 		f.copy.WatchedThrough(revision)
 		f.copy.Apply(now, events, revision)
-		return n
+		return u
 	})
 	return nil
 }
 
-// listBytes is how many bytes the values have that a list brings, as far as is known. A
-// watch tells each version of a value since a revision, a list the last one alone: for a
-// node that is several versions of a large configuration behind, the watch's answer is a
-// multiple of it, and larger with each further version. Bounded so, what a call brings
-// does not grow with how far the node is behind.
-func (f *Follower) listBytes() int {
+// maxWatchBytes returns the size of a watch's answer above which a list is read instead:
+// the size of all values, as far as it is known. A watch returns every version of a value
+// since a revision, a list only the last. For a node that is several versions of a large
+// configuration behind, a watch's answer is a multiple of a list, and grows with each
+// version. The limit keeps the size of an answer independent of how far the node is
+// behind.
+func (f *Follower) maxWatchBytes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(f.copy.Bytes(), f.peerBytes)
 }
 
-// watchStart is the revision from which changes are to be read, and whether all values are
-// to be listed in their place.
+// watchStart returns the revision from which changes are read, and whether all values are
+// to be listed instead.
 func (f *Follower) watchStart() (after uint64, isAudit bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,67 +266,68 @@
 	return f.copy.Revision(), f.audit.isDue
 }
 
-// relist reads all values anew and goes on from there. What has changed is told to others
-// if it was to be read.
-func (f *Follower) relist(ctx context.Context, isTold bool) error {
-	asked := f.config.Now()
-	all, err := f.config.Store.List(ctx)
+// relist lists all values and replaces the copy. It publishes the difference if
+// shouldPublish, that is, if the list replaces a watch whose answer was too large.
+func (f *Follower) relist(ctx context.Context, shouldPublish bool) error {
+	startedAt := f.config.Now()
+	list, err := f.config.Store.List(ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	f.applyAnswer(asked, all.Revision, func(now clock.Millis) Update {
-		var n Update
-		if isTold {
-			n = newListUpdate(f.copy, all.Items, all.Revision)
+	f.applyAnswer(startedAt, list.Revision, func(now clock.Millis) Update {
+		var u Update
+		if shouldPublish {
+			u = newListUpdate(f.copy, list.Items, list.Revision)
 		}
-		f.auditList(now, all.Items, all.Revision)
-		f.copy.Reset(now, all)
-		return n
+		f.auditList(now, list.Items, list.Revision)
+		f.copy.Reset(now, list)
+		return u
 	})
 	return nil
 }
 
-// applyAnswer changes the copy by an answer, delivers it and tells others. After an absence
-// of the store it begins the grace for values that lapsed meanwhile. An answer that is
-// older than removals in doubt confirms nothing: the next call does.
-func (f *Follower) applyAnswer(asked clock.Millis, revision uint64, change func(now clock.Millis) Update) {
+// applyAnswer changes the copy by an answer, delivers the values and publishes the
+// update. After an outage of the store it starts the grace period for values whose leases
+// expired meanwhile. An answer older than unconfirmed removals confirms nothing; another
+// call follows.
+func (f *Follower) applyAnswer(startedAt clock.Millis, revision uint64, change func(now clock.Millis) Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.config.Now()
 	if f.schedule.Failures() > 0 {
 		f.copy.StoreReturned(now)
 	}
-	news := change(now)
+	update := change(now)
 	f.copy.PruneTombstones(revision)
-	isUrgent := f.schedule.IsUrgent() // all others make such a call too, and need not be told
+	isUrgent := f.schedule.IsUrgent() // the other nodes make such a call too and need no update
 	f.revision.Store(f.copy.Revision())
 	f.config.Deliver(f.copy.Items(now), false)
-	f.schedule.Answered(asked)
-	f.confirmedRevision, f.confirmedAt = revision, asked
+	f.schedule.Answered(startedAt)
+	f.confirmedRevision, f.confirmedAt = revision, startedAt
 	if revision >= f.unconfirmedRevision {
 		f.unconfirmedRevision = 0
 	} else {
 		f.schedule.PollSoon(now)
 	}
-	if digest, isSettled := f.copy.Digest(); isSettled && f.unconfirmedRevision == 0 && news.Revision == f.copy.Revision() {
-		news.Digest = digest
+	if digest, isSettled := f.copy.Digest(); isSettled && f.unconfirmedRevision == 0 && update.Revision == f.copy.Revision() {
+		update.Digest = digest
 	}
-	if news.IsTruncated {
-		news.Bytes = f.copy.Bytes()
+	if update.IsTruncated {
+		update.Bytes = f.copy.Bytes()
 	}
 	if !isUrgent {
-		f.publish(news, now, asked)
+		f.publish(update, now, startedAt)
 	}
 	f.peerBytes = 0
 	f.receivePending(now)
 	f.logLag()
-	if f.lag.isLarge() {
-		f.schedule.PollSoon(now) // it was told while the answer was on its way
+	if f.lag.hasTruncated() {
+		f.schedule.PollSoon(now) // a peer announced a large change during the call
 	}
 }
 
-// recordCall takes in what became of a call, and tells when the store goes away and when it is
-// back.
+// recordCall records the result of a call, and reports when the store becomes unavailable
+// and when it answers again.
 func (f *Follower) recordCall(took clock.Millis, bytes uint64, err error) {
 	f.mu.Lock()
 	if err == nil {
@@ -332,12 +339,12 @@
 	}
 	f.logLag()
 	f.mu.Unlock()
-	isGone := err != nil && !errors.Is(err, ErrTruncated) // others may be answered whole
-	if isGone && f.config.Publish != nil {
+	isUnanswered := err != nil && !errors.Is(err, ErrTruncated) // other nodes may get complete answers
+	if isUnanswered && f.config.Publish != nil {
 		f.config.Publish(Update{IsUnavailable: true})
 	}
-	if away := err != nil; away != f.isUnavailable {
-		f.isUnavailable = away
+	if hasFailed := err != nil; hasFailed != f.isUnavailable {
+		f.isUnavailable = hasFailed
 		f.config.OnAvailability(err)
 	}
 }
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -12,114 +12,116 @@
 	"fuchsiapick.example/fuchsiapick/mirror"
 )
 
-// script answers calls in order; the last answer stays.
-type script struct {
-	mu    sync.Mutex
-	lists [][]mirror.Item
-	watch []error
-	calls []string
-	waits []clock.Millis
-	at    []clock.Millis
-	now   func() clock.Millis
-	next  func()
+// scriptedStore returns the scripted answers in order and repeats the last list. It calls
+// onDone when a watch finds no scripted answer.
+type scriptedStore struct {
+	mu          sync.Mutex
+	lists       [][]mirror.Item
+	watchErrors []error
+	calls       []string
+	waits       []clock.Millis
+	callTimes   []clock.Millis
+	now         func() clock.Millis
+	onDone      func()
 }
 
-func (s *script) List(context.Context) (mirror.Listing, error) {
+func (s *scriptedStore) List(context.Context) (mirror.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls, s.at = append(s.calls, "list"), append(s.at, s.now())
-	first := s.lists[0]
+	s.calls, s.callTimes = append(s.calls, "list"), append(s.callTimes, s.now())
+	list := s.lists[0]
 	if len(s.lists) > 1 {
 		s.lists = s.lists[1:]
 	}
-	return mirror.Listing{Items: first, Revision: uint64(len(s.calls)), IsSnapshot: true}, nil
+	return mirror.Listing{Items: list, Revision: uint64(len(s.calls)), IsSnapshot: true}, nil
 }
 
-func (s *script) Watch(_ context.Context, _ uint64, wait clock.Millis, _ int) ([]mirror.Event, uint64, error) {
+func (s *scriptedStore) Watch(_ context.Context, _ uint64, wait clock.Millis, _ int) ([]mirror.Event, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls, s.at, s.waits = append(s.calls, "watch"), append(s.at, s.now()), append(s.waits, wait)
-	if len(s.watch) == 0 {
-		s.next()
+	s.calls, s.callTimes, s.waits = append(s.calls, "watch"), append(s.callTimes, s.now()), append(s.waits, wait)
+	if len(s.watchErrors) == 0 {
+		s.onDone()
 		return nil, uint64(len(s.calls)), nil
 	}
-	err := s.watch[0]
-	s.watch = s.watch[1:]
+	err := s.watchErrors[0]
+	s.watchErrors = s.watchErrors[1:]
 	return nil, uint64(len(s.calls)), err
 }
 
-// The store drops its history, then doesn't answer, then is back. The node must
-// list anew, say that the store was away and that it is back, and go on.
-func TestFollowerOutlivesLostHistoryAndOutages(t *testing.T) {
+// The store drops its history, then doesn't answer, then returns. The node must list all
+// values again, report the outage and its end, and continue.
+func TestFollowerSurvivesCompactionAndOutage(t *testing.T) {
 	log := logging.Silent()
 	ctx, cancel := context.WithCancel(t.Context())
-	s := &script{
-		lists: [][]mirror.Item{{item("a", 1)}, {item("a", 1), item("b", 2)}},
-		watch: []error{mirror.ErrCompacted, mirror.ErrUnavailable},
-		now:   clock.NewSystem().Now,
-		next:  cancel,
+	s := &scriptedStore{
+		lists:       [][]mirror.Item{{item("a", 1)}, {item("a", 1), item("b", 2)}},
+		watchErrors: []error{mirror.ErrCompacted, mirror.ErrUnavailable},
+		now:         clock.NewSystem().Now,
+		onDone:      cancel,
 	}
 	var delivered []int
-	var away []bool
+	var unavailable []bool
 	f := mirror.NewFollower(mirror.FollowerConfig{
 		Store:          s,
 		Now:            s.now,
 		Deliver:        func(items []mirror.Item, _ bool) { delivered = append(delivered, len(items)) },
-		OnAvailability: func(cause error) { away = append(away, cause != nil) },
+		OnAvailability: func(cause error) { unavailable = append(unavailable, cause != nil) },
 		Log:            log,
 	})
-	_ = f.Serve(ctx) // it ends with the context
+	_ = f.Serve(ctx) // returns when ctx ends
 	if got, want := len(s.calls), 5; got != want || s.calls[2] != "list" {
 		t.Errorf("got calls %v, want list, watch, list, watch, watch", s.calls)
 	}
 	if len(delivered) < 2 || delivered[0] != 1 || delivered[1] != 2 {
 		t.Errorf("got %v values delivered, want 1, then 2", delivered)
 	}
-	if len(away) == 0 || !away[0] {
-		t.Errorf("got %v for the store's absence, want it told", away)
+	if len(unavailable) == 0 || !unavailable[0] {
+		t.Errorf("got %v from OnAvailability, want the outage reported first", unavailable)
 	}
-	// A watch with its full wait that began just before the store's return may
-	// never be answered, and an edit made then would be in force seconds late.
+	// A watch with a long wait that starts shortly before the store's return may never be
+	// answered; an edit made at that time would then be in force seconds late.
 	if last := s.waits[len(s.waits)-1]; last > 10 {
-		t.Errorf("got a wait of %v while the store is away, want a call that ends at once", last)
+		t.Errorf("got a wait of %v during the outage, want a call that returns immediately", last)
 	}
-	if got := s.at[1] - s.at[0]; got < 790 {
-		t.Errorf("got %v between two calls, want at least 0.8 s: each call is priced", got)
+	if got := s.callTimes[1] - s.callTimes[0]; got < 790 {
+		t.Errorf("got %v between two calls, want at least 0.8 s, because each call has a price", got)
 	}
 }
 
-// counting is a store that counts changes that it doesn't tell.
-type counting struct {
-	script
+// emptyWatchStore is a store whose revision advances although its watches return no
+// changes.
+type emptyWatchStore struct {
+	scriptedStore
 
 	after []uint64
 }
 
-func (c *counting) Watch(ctx context.Context, after uint64, _ clock.Millis, _ int) ([]mirror.Event, uint64, error) {
+func (c *emptyWatchStore) Watch(ctx context.Context, after uint64, _ clock.Millis, _ int) ([]mirror.Event, uint64, error) {
 	c.after = append(c.after, after)
 	if len(c.after) == 2 {
-		c.next()
+		c.onDone()
 	}
 	return nil, 90, ctx.Err()
 }
 
-// The store is about to drop its history: for a second its watches hear nothing, but
-// its count of changes goes on. An upstream that joined meanwhile must be known once
-// the history is gone and all is listed anew.
-func TestUntoldChangesAreNotSkipped(t *testing.T) {
+// A store that is about to drop its history returns no changes for a second, but its
+// revision advances. An upstream that registers meanwhile must be known once the history
+// is dropped and all values are listed again.
+func TestEmptyWatchDoesNotAdvanceRevision(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &counting{script: script{lists: [][]mirror.Item{{item("a", 1)}}, now: clock.NewSystem().Now, next: cancel}}
+	c := &emptyWatchStore{scriptedStore: scriptedStore{lists: [][]mirror.Item{{item("a", 1)}}, now: clock.NewSystem().Now, onDone: cancel}}
 	f := mirror.NewFollower(mirror.FollowerConfig{
 		Store: c, Now: c.now, MaxStaleness: 100, Deliver: func([]mirror.Item, bool) {}, OnAvailability: func(error) {},
 	})
-	_ = f.Serve(ctx) // it ends with the context
+	_ = f.Serve(ctx) // returns when ctx ends
 	if !slices.Equal(c.after, []uint64{1, 1}) {
 		t.Errorf("got watches after %v, want both after 1", c.after)
 	}
 }
 
-// hearing returns a follower that knows a and b at revision 5.
-func hearing(t *testing.T, delivered *[][]mirror.Item) *mirror.Follower {
+// newFollowerAtRevision5 returns a follower that holds a and b at revision 5.
+func newFollowerAtRevision5(t *testing.T, delivered *[][]mirror.Item) *mirror.Follower {
 	t.Helper()
 	now := clock.Minute // long after any call
 	f := mirror.NewFollower(mirror.FollowerConfig{
@@ -129,19 +131,19 @@
 		ExpectedRemoval: func(old mirror.Item) bool { return string(old.Value) == "draining" },
 	})
 	if !f.Seed([]mirror.Item{item("a", 4), item("b", 5)}, 5) {
-		t.Fatal("got the first copy refused, want it taken")
+		t.Fatal("got the initial copy refused, want it accepted")
 	}
 	return f
 }
 
-// A node hears of changes from a peer. It may have missed those before: what it puts
-// in force would lack them, and it would believe itself up to date.
-func TestNewsWithAGapIsNotTaken(t *testing.T) {
+// A node receives changes from a peer but may have missed earlier ones. If it advanced
+// its revision, it would lack those changes and consider itself up to date.
+func TestUpdateWithGapDoesNotAdvanceRevision(t *testing.T) {
 	var delivered [][]mirror.Item
-	f := hearing(t, &delivered)
+	f := newFollowerAtRevision5(t, &delivered)
 	f.ReceiveUpdate(mirror.Update{Since: 7, Revision: 9, Events: []mirror.Event{{Item: item("c", 9)}}})
 	if got := f.Revision(); got != 5 {
-		t.Errorf("got revision %d after news with a gap, want 5", got)
+		t.Errorf("got revision %d after an update with a gap, want 5", got)
 	}
 	f.ReceiveUpdate(mirror.Update{Since: 4, Revision: 9, Events: []mirror.Event{{Item: item("c", 9)}, {Item: item("a", 8)}}})
 	if got := f.Revision(); got != 9 {
@@ -152,93 +154,94 @@
 	}
 	f.ReceiveUpdate(mirror.Update{Since: 4, Revision: 6, Events: []mirror.Event{{Item: item("a", 6)}}})
 	if got := f.Revision(); got != 9 {
-		t.Errorf("got revision %d after late news, want 9 kept", got)
+		t.Errorf("got revision %d after a late update, want 9 unchanged", got)
 	}
 }
 
-// A third of the nodes is cut off from the store, with the upstreams beside them. These
-// still serve, but their registrations lapse, and the others tell so. A node that is
-// cut off must go on using them until the store itself has told it that they are gone.
-func TestRemovalsAreConfirmedByTheStore(t *testing.T) {
+// A third of the nodes is cut off from the store, together with the upstreams next to
+// them. These upstreams still serve requests, but their registrations expire, and the
+// other nodes publish the removals. A node that is cut off must keep using the upstreams
+// until the store itself confirms the removals.
+func TestRemovalsNeedStoreConfirmation(t *testing.T) {
 	var delivered [][]mirror.Item
-	f := hearing(t, &delivered)
-	gone := mirror.Event{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}
-	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{gone, {Item: item("c", 9)}}})
+	f := newFollowerAtRevision5(t, &delivered)
+	removal := mirror.Event{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}
+	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{removal, {Item: item("c", 9)}}})
 	if got := keys(delivered[len(delivered)-1]); !slices.Equal(got, []string{"a", "b", "c"}) {
-		t.Errorf("got %v on a peer's word, want a kept and c known", got)
+		t.Errorf("got %v after a peer's update, want a kept and c added", got)
 	}
 	if got := f.Revision(); got != 9 {
 		t.Errorf("got revision %d, want 9", got)
 	}
 }
 
-// An upstream drains and leaves, as it had said. Each node would ask the store whether it
-// is really gone: 95 calls for each upstream of a release.
-func TestAnnouncedRemovalsAreTakenOnAPeersWord(t *testing.T) {
+// An upstream announces that it drains, and leaves. If each node asked the store to
+// confirm the removal, each upstream of a release would cost 95 calls.
+func TestExpectedRemovalsNeedNoConfirmation(t *testing.T) {
 	var delivered [][]mirror.Item
-	f := hearing(t, &delivered)
+	f := newFollowerAtRevision5(t, &delivered)
 	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{
 		{Item: mirror.Item{Key: "b", Revision: 7, Value: []byte("draining")}},
 	}})
 	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, Events: []mirror.Event{{Item: mirror.Item{Key: "b", Revision: 9}, Gone: true}}})
 	if got := keys(delivered[len(delivered)-1]); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("got %v, want a alone", got)
+		t.Errorf("got %v, want only a", got)
 	}
 }
 
-// interrupted is a store during whose answer news of a peer come in.
-type interrupted struct {
-	script
+// interruptedStore is a store that calls onFirstWatch while it answers the first watch.
+type interruptedStore struct {
+	scriptedStore
 
-	after []uint64
-	hear  func()
+	after        []uint64
+	onFirstWatch func()
 }
 
-func (s *interrupted) Watch(_ context.Context, after uint64, _ clock.Millis, _ int) ([]mirror.Event, uint64, error) {
+func (s *interruptedStore) Watch(_ context.Context, after uint64, _ clock.Millis, _ int) ([]mirror.Event, uint64, error) {
 	s.after = append(s.after, after)
 	switch len(s.after) {
 	case 1:
-		s.hear()
+		s.onFirstWatch()
 		return []mirror.Event{{Item: item("b", 6)}}, 6, nil
 	default:
-		s.next()
+		s.onDone()
 		return []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}}, 9, nil
 	}
 }
 
-// A peer tells of a removal while the answer to this node's own call is on its way. That
-// answer is older: taken for the confirmation, it would leave the upstream in use for
-// good.
-func TestOlderAnswerConfirmsNothing(t *testing.T) {
+// A peer sends a removal while this node waits for the answer to its own call. The answer
+// is older than the removal. If it counted as the store's confirmation, the upstream
+// would stay in use for good.
+func TestOlderAnswerDoesNotConfirmRemoval(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	system, passed := clock.NewSystem().Now, atomic.Int64{}
-	now := func() clock.Millis { return system() + clock.Millis(passed.Load()) }
-	s := &interrupted{script: script{lists: [][]mirror.Item{{item("a", 1), item("b", 2)}}, now: now, next: cancel}}
+	system, elapsed := clock.NewSystem().Now, atomic.Int64{}
+	now := func() clock.Millis { return system() + clock.Millis(elapsed.Load()) }
+	s := &interruptedStore{scriptedStore: scriptedStore{lists: [][]mirror.Item{{item("a", 1), item("b", 2)}}, now: now, onDone: cancel}}
 	var delivered [][]mirror.Item
 	f := mirror.NewFollower(mirror.FollowerConfig{
 		Store: s, Now: now, MaxStaleness: 100,
 		Deliver: func(items []mirror.Item, _ bool) { delivered = append(delivered, items) }, OnAvailability: func(error) {},
 	})
-	s.hear = func() {
-		passed.Store(int64(clock.Minute)) // since the last call that was answered
+	s.onFirstWatch = func() {
+		elapsed.Store(int64(clock.Minute)) // time since the last answered call
 		f.ReceiveUpdate(mirror.Update{Since: 1, Revision: 8, Events: []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 8}, Gone: true}}})
 	}
-	_ = f.Serve(ctx) // it ends with the context
+	_ = f.Serve(ctx) // returns when ctx ends
 	if want := []uint64{1, 6}; !slices.Equal(s.after, want) {
 		t.Errorf("got watches after %v, want %v", s.after, want)
 	}
 	if got := keys(delivered[len(delivered)-1]); !slices.Equal(got, []string{"b"}) {
-		t.Errorf("got %v, want b alone", got)
+		t.Errorf("got %v, want only b", got)
 	}
 }
 
-// A configuration is too large to be told to a hundred nodes. They must know that
-// there is one, and read it.
-func TestLargeChangesAreReadNotTold(t *testing.T) {
+// A configuration is too large to be sent to a hundred nodes. An update without it must
+// not advance a node's revision, so that the node reads it from the store.
+func TestTruncatedUpdateDoesNotAdvanceRevision(t *testing.T) {
 	var delivered [][]mirror.Item
-	f := hearing(t, &delivered)
+	f := newFollowerAtRevision5(t, &delivered)
 	f.ReceiveUpdate(mirror.Update{Since: 5, Revision: 9, IsTruncated: true})
 	if got := f.Revision(); got != 5 {
-		t.Errorf("got revision %d, want 5: what changed isn't known", got)
+		t.Errorf("got revision %d, want 5, because the changes are unknown", got)
 	}
 }
--- a/mirror/lag.go
+++ b/mirror/lag.go
@@ -6,77 +6,78 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// maxAwaited bounds the changes that are remembered as unread; the first ones count.
+// maxAwaited limits the number of unread changes that are retained; the oldest are kept.
 const maxAwaited = 64
 
-// lag tells for how long a node has known of changes that it has not read. It is not
+// lag measures for how long a node has known of changes that it hasn't read. It is not
 // safe for concurrent use.
 type lag struct {
-	// awaited holds the revisions that peers have told of, in order, with the instants
-	// at which they did.
+	// awaited holds the unread revisions that peers have announced, in ascending order.
 	awaited []awaitedRevision
-	// lastReported is the span at which it was last said that changes are late, 0 while they
-	// aren't.
-	lastReported clock.Millis
+	// reportedAge is the age of the oldest unread change when lateness was last reported;
+	// 0 while no change is late.
+	reportedAge clock.Millis
 }
 
-// awaitedRevision is a revision that a peer has told of.
+// awaitedRevision is an unread revision that a peer announced at since.
 type awaitedRevision struct {
-	revision uint64
-	since    clock.Millis
-	isLarge  bool
+	revision    uint64
+	since       clock.Millis
+	isTruncated bool
 }
 
-// recordUpdate takes in that a peer knows the store up to a revision, and this node doesn't, and
-// whether there are changes that are too large to be told.
-func (l *lag) recordUpdate(now clock.Millis, revision uint64, isLarge bool) {
+// recordUpdate records that a peer knows the store up to a revision that this node hasn't
+// read, and whether the peer's update leaves out large changes.
+func (l *lag) recordUpdate(now clock.Millis, revision uint64, isTruncated bool) {
 	if len(l.awaited) == maxAwaited || (len(l.awaited) > 0 && l.awaited[len(l.awaited)-1].revision >= revision) {
 		return
 	}
-	l.awaited = append(l.awaited, awaitedRevision{revision, now, isLarge})
+	l.awaited = append(l.awaited, awaitedRevision{revision, now, isTruncated})
 }
 
-// recordRead takes in that all changes up to a revision are known. It returns how long the
-// oldest had been awaited if that was late and what is left is not, else 0.
+// recordRead records that all changes up to a revision are known. If lateness was
+// reported and the remaining changes are within the bound, it returns how long the oldest
+// change was awaited, otherwise 0.
 func (l *lag) recordRead(now, bound clock.Millis, revision uint64) clock.Millis {
-	span := l.span(now)
+	age := l.age(now)
 	for len(l.awaited) > 0 && l.awaited[0].revision <= revision {
 		l.awaited = l.awaited[1:]
 	}
-	if l.lastReported == 0 || l.span(now) > bound {
+	if l.reportedAge == 0 || l.age(now) > bound {
 		return 0
 	}
-	l.lastReported = 0
-	return span
+	l.reportedAge = 0
+	return age
 }
 
-// span is for how long the oldest change that is known of has not been read.
-func (l *lag) span(now clock.Millis) clock.Millis {
+// age returns the time since the oldest unread change was announced; 0 if there is none.
+func (l *lag) age(now clock.Millis) clock.Millis {
 	if len(l.awaited) == 0 {
 		return 0
 	}
 	return now - l.awaited[0].since
 }
 
-// late reports whether a change has been awaited for longer than the bound, and whether
-// that is to be said now: at first, and whenever the span has doubled since.
-func (l *lag) late(now, bound clock.Millis) (isFirst, isDue bool) {
-	span := l.span(now)
-	if span <= max(bound, 2*l.lastReported) {
+// checkLate returns isDue if a change has been unread for longer than the bound and is to
+// be reported now: the first time, with isFirst, and each time its age has doubled since.
+func (l *lag) checkLate(now, bound clock.Millis) (isFirst, isDue bool) {
+	age := l.age(now)
+	if age <= max(bound, 2*l.reportedAge) {
 		return false, false
 	}
-	isFirst = l.lastReported == 0
-	l.lastReported = span
+	isFirst = l.reportedAge == 0
+	l.reportedAge = age
 	return isFirst, true
 }
 
-// isLarge reports whether a change that is too large to be told has not been read.
-func (l *lag) isLarge() bool {
-	return slices.ContainsFunc(l.awaited, func(a awaitedRevision) bool { return a.isLarge })
+// hasTruncated reports whether an update that leaves out large changes is unread.
+func (l *lag) hasTruncated() bool {
+	return slices.ContainsFunc(l.awaited, func(a awaitedRevision) bool { return a.isTruncated })
 }
 
-// newest is the last revision that a peer has told of and that is not read; 0 for none.
-func (l *lag) newest() uint64 {
+// newestRevision returns the highest unread revision that a peer has announced; 0 if
+// there is none.
+func (l *lag) newestRevision() uint64 {
 	if len(l.awaited) == 0 {
 		return 0
 	}
--- a/mirror/logs.go
+++ b/mirror/log.go
@@ -8,7 +8,7 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// bytesReceived is how many bytes have come from the store.
+// bytesReceived returns the number of bytes received from the store so far.
 func (f *Follower) bytesReceived() uint64 {
 	if f.config.BytesReceived == nil {
 		return 0
@@ -16,10 +16,10 @@
 	return f.config.BytesReceived()
 }
 
-// logFailure writes how a call failed: the first of a row, and whenever their number has
-// doubled. A store that is down, one that is slow, and an answer that is too large for the
-// line or for the time that a call may take look alike in the error; the bytes that came
-// and the time that they took tell them apart. The lock is held.
+// logFailure logs a failed call: the first of a series, and each time the number of
+// failures has doubled. A store that is down, a slow store and an answer that is too
+// large for the connection or for the timeout of a call cause similar errors; the number
+// of bytes received and the duration tell them apart. f.mu is held.
 func (f *Follower) logFailure(took clock.Millis, bytes uint64, err error) {
 	failures := f.schedule.Failures()
 	if bits.OnesCount(uint(failures)) != 1 {
@@ -30,22 +30,22 @@
 	}).Warn("call of the platform failed")
 }
 
-// logLag writes that a change which a peer has read is not known here for longer than it
-// may take, so that what is in force is known to be old, and that it is read at last. The
-// lock is held.
+// logLag logs that a change which a peer has read has been unknown here for longer than
+// MaxStaleness, so that operators know that the configuration in force is old, and logs
+// when it is read. f.mu is held.
 func (f *Follower) logLag() {
-	now, fresh := f.config.Now(), f.config.MaxStaleness
-	if late := f.lag.recordRead(now, fresh, f.copy.Revision()); late > 0 {
+	now, bound := f.config.Now(), f.config.MaxStaleness
+	if late := f.lag.recordRead(now, bound, f.copy.Revision()); late > 0 {
 		f.config.Log.WithFields(logrus.Fields{"revision": f.copy.Revision(), "late": late.String()}).
 			Info("late changes of the platform's values were read")
 	}
-	isFirst, isDue := f.lag.late(now, fresh)
+	isFirst, isDue := f.lag.checkLate(now, bound)
 	if isFirst {
 		f.stats.LateChanges++
 	}
 	if isDue {
 		f.config.Log.WithFields(logrus.Fields{
-			"revision": f.copy.Revision(), "newest": f.lag.newest(), "late": f.lag.span(now).String(), "failures": f.schedule.Failures(),
+			"revision": f.copy.Revision(), "newest": f.lag.newestRevision(), "late": f.lag.age(now).String(), "failures": f.schedule.Failures(),
 		}).Warn("platform's values are old: changes that a peer has read are not known here")
 	}
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,8 +1,9 @@
-// Package mirror keeps a copy of the values that the platform's store holds
-// under one prefix: one list at the start, then a watch from its revision.
+// Package mirror keeps a copy of the values that the platform's store holds under one
+// prefix. It lists all values once, and then watches for changes from the list's
+// revision.
 //
-// The store can only be read. It may be down, slow, silent or without its
-// history at any time; the copy stays in force until it answers again.
+// The store is read-only. It may be down, slow, unresponsive or without its history at
+// any time; the copy stays in use until the store answers again.
 package mirror
 
 import (
@@ -13,28 +14,28 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Faults of a store.
+// Errors of a Store.
 const (
-	// ErrUnavailable means that the store gave no answer, or none in time.
+	// ErrUnavailable means that the store didn't answer, or not in time.
 	ErrUnavailable = errors.ConstError("the platform's store doesn't answer")
-	// ErrTruncated means that an answer began and did not end: the store is there.
-	ErrTruncated = errors.ConstError("the platform's answer did not end")
-	// ErrTooLarge means that a watch's answer is larger than was allowed; it was not read.
-	ErrTooLarge = errors.ConstError("the platform's answer is larger than all of its values")
-	// ErrCompacted means that the store has dropped the changes that were asked
-	// for: all values must be listed again.
-	ErrCompacted = errors.ConstError("the platform's store no longer has these changes")
-	// ErrMalformed means an answer that breaks the store's protocol.
-	ErrMalformed = errors.ConstError("the platform's store answered what can't be read")
+	// ErrTruncated means that an answer began but did not end; the store is reachable.
+	ErrTruncated = errors.ConstError("the platform's answer is truncated")
+	// ErrTooLarge means that a watch's answer exceeds the allowed size; it was not read.
+	ErrTooLarge = errors.ConstError("the platform's answer to a watch is larger than all values")
+	// ErrCompacted means that the store has dropped the requested changes: all values
+	// must be listed again.
+	ErrCompacted = errors.ConstError("the platform's store has dropped the requested changes")
+	// ErrMalformed means that an answer violates the store's protocol.
+	ErrMalformed = errors.ConstError("the platform's store returned a malformed answer")
 )
 
 // Item is one value of the store.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is the store's count of changes at the value's last one.
+	// Revision is the store's revision at the last change of the value.
 	Revision uint64
-	// Created is that count when the key was written first.
+	// Created is the store's revision at which the key was created.
 	Created uint64
 }
 
@@ -42,7 +43,7 @@
 	return len(i.Key) + len(i.Value)
 }
 
-// SizeOf is the bytes of values, with their keys.
+// SizeOf returns the size in bytes of values with their keys.
 func SizeOf(items []Item) int {
 	size := 0
 	for i := range items {
@@ -51,33 +52,35 @@
 	return size
 }
 
-// Event is one change. A key that is gone has no value.
+// Event is one change. A removed key has no value.
 type Event struct {
 	Item
 
 	Gone bool
-	// Edit makes the value of the one before, in news of a large value; nil where the
-	// value is told.
+	// Edit produces the value from the previous one, in updates with a large value. It is
+	// nil if Value is set.
 	Edit *Edit `cbor:",omitempty"`
 }
 
-// Listing is all values.
+// Listing holds all values.
 type Listing struct {
 	Items []Item
-	// Revision is one from which a watch misses no later change.
+	// Revision is a revision from which a watch misses no later change.
 	Revision uint64
-	// IsSnapshot says that these are the values as of Revision; what came in several
-	// pages may lack some that went meanwhile, and hold some that came.
+	// IsSnapshot is true if Items are the values as of Revision. A list that was read in
+	// several pages may lack values that were added meanwhile, and contain values that
+	// were removed.
 	IsSnapshot bool
 }
 
 // Store reads the platform's store.
 type Store interface {
-	// List returns all values. It returns ErrUnavailable, ErrCut, ErrLarge or ErrAnswer.
+	// List returns all values. It returns ErrUnavailable, ErrTruncated, ErrTooLarge or
+	// ErrMalformed.
 	List(ctx context.Context) (Listing, error)
-	// Watch waits for changes after a revision, at most for the span, and
-	// returns them with the revision to go on from. Changes whose values have more
-	// bytes than most, about, are not read. It returns ErrUnavailable, ErrCut,
-	// ErrHistory, ErrLarge or ErrAnswer.
-	Watch(ctx context.Context, after uint64, wait clock.Millis, most int) ([]Event, uint64, error)
+	// Watch waits for changes after a revision, at most for wait, and returns them with
+	// the revision from which to continue. An answer whose values have more than about
+	// maxBytes bytes is not read. Watch returns ErrUnavailable, ErrTruncated,
+	// ErrCompacted, ErrTooLarge or ErrMalformed.
+	Watch(ctx context.Context, after uint64, wait clock.Millis, maxBytes int) ([]Event, uint64, error)
 }
--- a/mirror/readers.go
+++ b/mirror/readers.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// maxReaders is how many nodes of a group read ahead of the others: one is
-	// enough, and the next is there when it dies, or can't reach the store.
+	// maxReaders is the number of nodes of a group that read the store ahead of the
+	// others. One is enough; the others take over if it dies or can't reach the store.
 	maxReaders = 3
-	// groupSize bounds the nodes that keep links to one reader: with all of 300 in one
-	// group a reader had 1,250 connections and 70 MB.
+	// groupSize limits the number of nodes that keep links to one reader: with 300 nodes
+	// in one group, a reader had 1,250 connections and used 70 MB.
 	groupSize = 128
 )
 
-// Readers returns the nodes that read the store ahead of the others of a node's group,
-// who keep links to them. Each node works them out for itself, by a rendezvous hash of
-// the nodes it knows; where views differ there are some more. Nothing depends on them:
-// when they are gone, or their news are lost, others read as late as without them.
+// Readers returns the nodes of the group of self that read the store ahead of the others.
+// All nodes of the group keep links to them. Each node computes the readers by a
+// rendezvous hash of the nodes that it knows; where the views of nodes differ, there are
+// a few more readers. Readers are an optimization: when they fail or their updates are
+// lost, the other nodes read the store as late as they would without readers.
 func Readers(self string, nodes []string) []string {
 	groups := groupCount(nodes)
 	return groupReaders(score(self)%groups, groups, nodes)
 }
 
-// AllReaders returns the readers of all groups: what these are told reaches every node.
+// AllReaders returns the readers of all groups. An update sent to them reaches every
+// node.
 func AllReaders(nodes []string) []string {
 	groups := groupCount(nodes)
 	all := make([]string, 0, maxReaders*groups)
@@ -43,13 +45,13 @@
 	return groups
 }
 
-func groupReaders(number, groups uint64, nodes []string) []string {
-	group := slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return score(node)%groups != number })
+func groupReaders(index, groups uint64, nodes []string) []string {
+	group := slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return score(node)%groups != index })
 	slices.SortFunc(group, func(a, b string) int { return cmp.Or(cmp.Compare(score(a), score(b)), cmp.Compare(a, b)) })
 	return group[:min(maxReaders, len(group))]
 }
 
-// score is a node's place in the order.
+// score returns the hash by which nodes are grouped and ordered.
 func score(node string) uint64 {
 	return rendezvous.Score("", node)
 }
