--- a/difference/difference.go
+++ b/difference/difference.go
@@ -1,6 +1,6 @@
-// Package difference tells a text as what has changed against another one that the
-// reader has: a configuration of hundreds of kilobytes of which an edit touches a line
-// costs some tens of bytes. It knows nothing of what the texts mean.
+// Package difference encodes a text as its differences from a base text that the receiver
+// has. An edit of one line in a configuration of hundreds of kilobytes takes a few tens
+// of bytes. The package doesn't interpret the texts.
 package difference
 
 import (
@@ -9,59 +9,62 @@
 	"github.com/juju/errors"
 )
 
-// ErrStep reports steps that don't fit the base, or that make more than is allowed.
-const ErrStep = errors.ConstError("steps don't fit the text that they are to change")
+// ErrStep reports steps that don't fit the base, or whose result exceeds the allowed
+// size.
+const ErrStep = errors.ConstError("steps don't fit the base text or exceed the size limit")
 
 const (
-	// blockSize is the length in bytes of the parts of the base that are looked for: shorter
-	// than a route with its name, so that one between two that are new is found, and long
-	// enough that the index of a megabyte has 32,768 entries.
+	// blockSize is the length in bytes of the blocks of the base that are searched for in
+	// the next text. It is shorter than a route with its name, so that an unchanged route
+	// between two new ones is found, and long enough that the index of a megabyte has no
+	// more than 32,768 entries.
 	blockSize = 32
-	// hashBase is the base of the hash that rolls over the text, that of FNV.
+	// hashBase is the base of the rolling hash. It is the FNV prime.
 	hashBase = 1099511628211
 )
 
-// Step takes a part of the base, then adds a text.
+// Step copies a part of the base and then appends a text.
 type Step struct {
 	_ struct{} `cbor:",toarray"`
-	// From and Length name the part of the base, in bytes.
+	// From and Length are the offset and the length in bytes of the part of the base.
 	From, Length int
 	Text         []byte
 }
 
-// Make returns steps from base to next. It returns false if they hold more than so many
-// bytes of text, as between texts that have little in common.
-func Make(base, next []byte, most int) ([]Step, bool) {
-	m := encoder{base: base, next: next, index: indexBlocks(base)}
-	for m.at+blockSize <= len(next) {
-		if m.at-m.encoded > most {
+// Make returns the steps that turn base into next. It returns false if they contain more
+// than maxText bytes of text, as they do for texts that have little in common. The steps
+// refer to the memory of next.
+func Make(base, next []byte, maxText int) ([]Step, bool) {
+	e := encoder{base: base, next: next, index: indexBlocks(base)}
+	for e.position+blockSize <= len(next) {
+		if e.position-e.encoded > maxText {
 			return nil, false
 		}
-		if from, ok := m.findBlock(); ok {
-			m.copyMatch(from)
+		if from, ok := e.findBlock(); ok {
+			e.copyMatch(from)
 			continue
 		}
-		m.roll()
+		e.roll()
 	}
-	m.addText(len(next))
+	e.addText(len(next))
 	text := 0
-	for i := range m.steps {
-		text += len(m.steps[i].Text)
+	for i := range e.steps {
+		text += len(e.steps[i].Text)
 	}
-	return m.steps, text <= most
+	return e.steps, text <= maxText
 }
 
-// Apply makes the text of which the steps tell. It returns ErrStep for steps that name no
-// part of the base, and for a text of more than so many bytes.
-func Apply(base []byte, steps []Step, most int) ([]byte, error) {
+// Apply returns the text that steps make of base. It returns ErrStep if a step refers to
+// a part outside of base, or if the text exceeds maxSize bytes.
+func Apply(base []byte, steps []Step, maxSize int) ([]byte, error) {
 	length := 0
 	for _, s := range steps {
 		if s.From < 0 || s.Length < 0 || s.Length > len(base) || s.From > len(base)-s.Length {
-			return nil, errors.Annotatef(ErrStep, "%d bytes from %d of %d", s.Length, s.From, len(base))
+			return nil, errors.Annotatef(ErrStep, "copying %d bytes at offset %d of a %d-byte base", s.Length, s.From, len(base))
 		}
 		length += s.Length + len(s.Text)
-		if length > most {
-			return nil, errors.Annotatef(ErrStep, "over %d bytes", most)
+		if length > maxSize {
+			return nil, errors.Annotatef(ErrStep, "result of over %d bytes", maxSize)
 		}
 	}
 	text := make([]byte, 0, length)
@@ -72,17 +75,17 @@
 	return text, nil
 }
 
-// encoder goes through the next text.
+// encoder scans the next text for blocks of the base.
 type encoder struct {
 	base, next []byte
-	// index holds the places of the base's blocks by their hash.
+	// index maps the hash of each block of the base to the block's offset.
 	index map[uint64]int
 	steps []Step
-	// at is where it looks, told up to where the steps go, hash that of the block at at,
-	// if isRolled.
-	at, encoded int
-	hash        uint64
-	isHashValid bool
+	// position is the offset in next of the current block, and encoded the length of next
+	// that the steps cover. hash is the hash of the current block, if isHashValid.
+	position, encoded int
+	hash              uint64
+	isHashValid       bool
 }
 
 func indexBlocks(base []byte) map[uint64]int {
@@ -96,7 +99,7 @@
 	return index
 }
 
-// hashOf is the hash of the first block of a text.
+// hashOf returns the hash of the first block of a text.
 func hashOf(text []byte) uint64 {
 	hash := uint64(0)
 	for _, b := range text[:blockSize] {
@@ -116,51 +119,52 @@
 	return result
 }
 
-// findBlock returns where in the base the block stands that is looked at.
-func (m *encoder) findBlock() (int, bool) {
-	if !m.isHashValid {
-		m.hash, m.isHashValid = hashOf(m.next[m.at:]), true
+// findBlock returns the offset in the base of a block equal to the current one. It
+// returns false if there is none.
+func (e *encoder) findBlock() (int, bool) {
+	if !e.isHashValid {
+		e.hash, e.isHashValid = hashOf(e.next[e.position:]), true
 	}
-	from, ok := m.index[m.hash]
-	if !ok || !bytes.Equal(m.base[from:from+blockSize], m.next[m.at:m.at+blockSize]) {
+	from, ok := e.index[e.hash]
+	if !ok || !bytes.Equal(e.base[from:from+blockSize], e.next[e.position:e.position+blockSize]) {
 		return 0, false
 	}
 	return from, true
 }
 
-// roll goes on by a byte.
-func (m *encoder) roll() {
-	if m.at+blockSize < len(m.next) {
-		m.hash = (m.hash-uint64(m.next[m.at])*firstByteWeight)*hashBase + uint64(m.next[m.at+blockSize])
+// roll advances the current block by one byte.
+func (e *encoder) roll() {
+	if e.position+blockSize < len(e.next) {
+		e.hash = (e.hash-uint64(e.next[e.position])*firstByteWeight)*hashBase + uint64(e.next[e.position+blockSize])
 	}
-	m.at++
+	e.position++
 }
 
-// copyMatch takes the part of the base that goes on as the next text does, to both sides of
-// the block.
-func (m *encoder) copyMatch(from int) {
-	at := m.at
-	for at > m.encoded && from > 0 && m.base[from-1] == m.next[at-1] {
+// copyMatch adds a step that copies the matching block at offset from of the base,
+// extended in both directions as far as base and next agree.
+func (e *encoder) copyMatch(from int) {
+	at := e.position
+	for at > e.encoded && from > 0 && e.base[from-1] == e.next[at-1] {
 		at--
 		from--
 	}
-	length := m.at - at + blockSize
-	for from+length < len(m.base) && at+length < len(m.next) && m.base[from+length] == m.next[at+length] {
+	length := e.position - at + blockSize
+	for from+length < len(e.base) && at+length < len(e.next) && e.base[from+length] == e.next[at+length] {
 		length++
 	}
-	m.addText(at)
-	m.steps = append(m.steps, Step{From: from, Length: length})
-	m.at, m.encoded, m.isHashValid = at+length, at+length, false
+	e.addText(at)
+	e.steps = append(e.steps, Step{From: from, Length: length})
+	e.position, e.encoded, e.isHashValid = at+length, at+length, false
 }
 
-// addText adds the text up to a place to the last step.
-func (m *encoder) addText(end int) {
-	if end == m.encoded {
+// addText appends the text of next up to end to the last step.
+func (e *encoder) addText(end int) {
+	if end == e.encoded {
 		return
 	}
-	if len(m.steps) == 0 {
-		m.steps = append(m.steps, Step{})
+	if len(e.steps) == 0 {
+		e.steps = append(e.steps, Step{})
 	}
-	m.steps[len(m.steps)-1].Text = m.next[m.encoded:end]
-	m.encoded = end
+	e.steps[len(e.steps)-1].Text = e.next[e.encoded:end]
+	e.encoded = end
 }
