--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -18,7 +18,7 @@
 		{"milliseconds", "250ms", 250, nil},
 		{"seconds", "5s", 5 * clock.Second, nil},
 		{"negative", "-1s", -clock.Second, nil},
-		{"too fine", "10us", 0, clock.ErrSpan},
+		{"finer than a millisecond", "10us", 0, clock.ErrSpan},
 		{"no unit", "12", 0, clock.ErrSpan},
 	}
 	for _, tt := range tests {
