--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -91,7 +91,7 @@
 	// is still unread.
 	LateChanges uint64
 	Lag         clock.Millis
-	// UpdatesReceived counts the updates from other nodes that were applied in full.
+	// UpdatesReceived counts the updates from other nodes that left no gap and were applied.
 	UpdatesReceived uint64
 	// CopyErrors counts the lists that showed the copy to be wrong.
 	CopyErrors uint64
