--- a/mirror/audit.go
+++ b/mirror/audit.go
@@ -28,8 +28,8 @@
 	// isSuspected is true if the next list was requested because the copy may be wrong.
 	isSuspected bool
 	// nextRelist is the earliest time at which a suspicion may request another list, and
-	// relistDelay the delay that led to it. accumulated sums auditRatio over the calls; a
-	// list is due when it reaches 1.
+	// relistDelay the delay that led to it. accumulated sums what the calls since
+	// the last list add towards an audit; a list is due when it reaches 1.
 	nextRelist, relistDelay clock.Millis
 	accumulated             float64
 }
--- a/mirror/convergence_test.go
+++ b/mirror/convergence_test.go
@@ -201,7 +201,7 @@
 	return max(hash.Sum64(), 1)
 }
 
-// simulation is one run.
+// simulation is one run of a store and its nodes.
 type simulation struct {
 	*storeModel
 
--- a/mirror/update.go
+++ b/mirror/update.go
@@ -174,7 +174,8 @@
 	return slices.DeleteFunc(slices.Clone(events), isKnown)
 }
 
-// isExpectedRemoval reports whether the removal of a value was expected.
+// isExpectedRemoval reports whether the removal of a value was expected. It is true for a
+// value that this node doesn't hold.
 func (f *Follower) isExpectedRemoval(key string) bool {
 	old, ok := f.copy.items[key]
 	return !ok || (f.config.ExpectedRemoval != nil && f.config.ExpectedRemoval(old))
