--- a/retry/quota.go
+++ b/retry/quota.go
@@ -4,22 +4,23 @@
 
 const (
 	// GrantedShare is the part of the service's bound that gates grant. The rest
-	// covers the calls that repeated runs make again, which count as retries at the
-	// service that is called and can't be told from first calls.
+	// covers calls that a repeated run makes again: at the called service they are
+	// retries, but can't be distinguished from first calls.
 	GrantedShare = 0.55
-	// likelyFailureShare is the part of a quota open to retries that will more
-	// likely fail than not, so that they can't take all of it.
+	// likelyFailureShare is the part of a quota that retries which will more likely
+	// fail than succeed may use, so that they can't use all of it.
 	likelyFailureShare = 0.5
-	// restartShare is the part of Extra open to a quota younger than its window: the
-	// processes before it may have spent theirs just before they were killed. With all
-	// upstreams killed twice in one window, the service's bound still holds.
+	// restartShare is the part of Extra that a quota younger than its window may use:
+	// the process that ran before may have spent its own quota just before it was
+	// killed. With this share the service's bound holds even if all its upstreams are
+	// killed twice in one window.
 	restartShare = 0.4
 )
 
-// QuotaConfig is what a Quota is made from.
+// QuotaConfig configures a Quota.
 type QuotaConfig struct {
-	// Share is the share of requests, from 0 to 1, that may be sent again, and Extra
-	// how many more in each Window, both of the whole service.
+	// Share is the share of requests, from 0 to 1, that may be retried, and Extra the
+	// number of further retries allowed in each Window. Both apply to the whole service.
 	Share  float64
 	Extra  float64
 	Window clock.Millis
@@ -27,26 +28,27 @@
 	Upstreams int
 }
 
-// Quota bounds the retries that arrive at one upstream. In each span of the
-// length of the window they are at most a part of Share x its own first arrivals +
-// Extra / Parts. Summed over the upstreams of a service that is at most a part of
-// Share x the service's requests + Extra, without a word between them. It is not safe
-// for concurrent use.
+// Quota bounds the retries that arrive at one upstream. In any period as long as the
+// window it allows at most GrantedShare x (Share x the upstream's own first arrivals +
+// Extra / Upstreams). Summed over the upstreams of a service, that is at most
+// GrantedShare x (Share x the service's requests + Extra), and the upstreams needn't
+// communicate for it. A Quota isn't safe for concurrent use.
 type Quota struct {
 	config  QuotaConfig
 	started clock.Millis
-	window  *window // nil without a Window: retries are not bounded here
+	window  *window // nil without a Window: this Quota doesn't bound retries
 }
 
-// NewQuota makes a Quota of a process that started at an instant.
-func NewQuota(made clock.Millis, c QuotaConfig) *Quota {
-	q := &Quota{started: made}
+// NewQuota returns the Quota of a process that started at the given instant.
+func NewQuota(started clock.Millis, c QuotaConfig) *Quota {
+	q := &Quota{started: started}
 	q.Adjust(c)
 	return q
 }
 
-// Adjust puts an edit of the bound in force. What was counted stays: begun anew with
-// each edit, the window would allow more than the bound.
+// Adjust applies a changed configuration. Unless the window's length changes, the Quota
+// keeps its counts: if each change cleared them, a window could hold more retries than
+// the bound.
 func (q *Quota) Adjust(c QuotaConfig) {
 	if c.Window != q.config.Window {
 		q.window = nil
@@ -64,8 +66,8 @@
 	}
 }
 
-// Allows reports whether one more retry stays within the bound, or, for one that will
-// likely fail, within the part of it that is open to such retries.
+// Allows reports whether the bound has room for one more retry. A retry that likely
+// fails may only use the part of the bound that is open to such retries.
 func (q *Quota) Allows(now clock.Millis, likelyFails bool) bool {
 	if q.window == nil {
 		return true
@@ -89,7 +91,8 @@
 	return true
 }
 
-// RetryAfter is when the oldest retry leaves the window, so that another may be sent.
+// RetryAfter returns the time until the oldest retry leaves the window, which makes room
+// for another one, and at least minRetryAfter.
 func (q *Quota) RetryAfter(now clock.Millis) clock.Millis {
 	if q.window == nil {
 		return minRetryAfter
@@ -101,7 +104,8 @@
 	return max(q.config.Window+q.window.bucketWidth-oldest, minRetryAfter)
 }
 
-// Usage is how many retries the window holds, and how many it may.
+// Usage returns the number of retries in the window and the bound on them, both 0 if
+// retries aren't bounded.
 func (q *Quota) Usage(now clock.Millis) (spent, bound float64) {
 	if q.window == nil {
 		return 0, 0
--- a/retry/quota_test.go
+++ b/retry/quota_test.go
@@ -12,42 +12,47 @@
 )
 
 const (
-	span  = 10 * clock.Second
-	share = 0.2
-	// mostAsks is how many gates a request asks at most for a retry.
-	mostAsks = 8
+	window = 10 * clock.Second
+	share  = 0.2
+	// maxGatesTried is the number of gates that a request asks at most for a retry.
+	maxGatesTried = 8
 )
 
-// granter takes a service's requests and grants their retries.
-type granter interface {
-	request(now clock.Millis, entry, upstream int)
-	retry(now clock.Millis, entry, first int, random *rand.Rand) bool
-	kill(now clock.Millis, upstream int)
+// retryLimiter bounds the retries of a service's requests. An entry and an upstream are
+// named by their indexes.
+type retryLimiter interface {
+	recordRequest(now clock.Millis, entry, upstream int)
+	// tryRetry reports whether a request whose first attempt was at the upstream first may
+	// be retried, and counts the retry if so.
+	tryRetry(now clock.Millis, entry, first int, random *rand.Rand) bool
+	restartUpstream(now clock.Millis, upstream int)
 }
 
-// quotas grants at the gates of a service's upstreams.
-type quotas struct {
+// gateQuotas bounds retries by one Quota at the gate of each upstream.
+type gateQuotas struct {
 	config retry.QuotaConfig
 	gates  []*retry.Quota
 }
 
-func newQuotas(made clock.Millis, upstreams, extra int) *quotas {
-	q := &quotas{config: retry.QuotaConfig{Share: share, Extra: float64(extra), Window: span, Upstreams: upstreams}}
+func newGateQuotas(started clock.Millis, upstreams, extra int) *gateQuotas {
+	q := &gateQuotas{config: retry.QuotaConfig{Share: share, Extra: float64(extra), Window: window, Upstreams: upstreams}}
 	for range upstreams {
-		q.gates = append(q.gates, retry.NewQuota(made, q.config))
+		q.gates = append(q.gates, retry.NewQuota(started, q.config))
 	}
 	return q
 }
 
-func (q *quotas) request(now clock.Millis, _, upstream int) { q.gates[upstream].RecordRequest(now) }
+func (q *gateQuotas) recordRequest(now clock.Millis, _, upstream int) {
+	q.gates[upstream].RecordRequest(now)
+}
 
-func (q *quotas) kill(now clock.Millis, upstream int) {
+func (q *gateQuotas) restartUpstream(now clock.Millis, upstream int) {
 	q.gates[upstream] = retry.NewQuota(now, q.config)
 }
 
-func (q *quotas) retry(now clock.Millis, _, first int, random *rand.Rand) bool {
+func (q *gateQuotas) tryRetry(now clock.Millis, _, first int, random *rand.Rand) bool {
 	for i, gate := range random.Perm(len(q.gates)) {
-		if i >= mostAsks {
+		if i >= maxGatesTried {
 			return false
 		}
 		if gate != first && q.gates[gate].Spend(now) {
@@ -57,79 +62,81 @@
 	return false
 }
 
-// split is a budget of each entry: an even part of what the service may have beyond its
-// share, or all of it.
-type split struct {
+// entryBudgets bounds retries by one budget at each entry. Each entry may make extra
+// retries beyond the share: an even part of the service's, or all of them.
+type entryBudgets struct {
 	extra   float64
 	entries []entryWindow
 }
 
 type entryWindow struct{ requests, retries []clock.Millis }
 
-func newSplit(entries int, extra float64) *split {
-	return &split{extra: extra, entries: make([]entryWindow, entries)}
+func newEntryBudgets(entries int, extra float64) *entryBudgets {
+	return &entryBudgets{extra: extra, entries: make([]entryWindow, entries)}
 }
 
-func (s *split) request(now clock.Millis, entry, _ int) {
-	s.entries[entry].requests = append(s.entries[entry].requests, now)
+func (b *entryBudgets) recordRequest(now clock.Millis, entry, _ int) {
+	b.entries[entry].requests = append(b.entries[entry].requests, now)
 }
 
-func (*split) kill(clock.Millis, int) {}
+func (*entryBudgets) restartUpstream(clock.Millis, int) {}
 
-func (s *split) retry(now clock.Millis, entry, _ int, _ *rand.Rand) bool {
-	w := &s.entries[entry]
-	bound := retry.GrantedShare * (share*float64(count(w.requests, now-span+1, now+1)) + s.extra)
-	if float64(count(w.retries, now-span+1, now+1)+1) > bound {
+func (b *entryBudgets) tryRetry(now clock.Millis, entry, _ int, _ *rand.Rand) bool {
+	w := &b.entries[entry]
+	bound := retry.GrantedShare * (share*float64(countBetween(w.requests, now-window+1, now+1)) + b.extra)
+	if float64(countBetween(w.retries, now-window+1, now+1)+1) > bound {
 		return false
 	}
 	w.retries = append(w.retries, now)
 	return true
 }
 
-// load is a service's traffic.
-type load struct {
+// workload is a service's traffic.
+type workload struct {
 	entries, upstreams int
 	perSecond          float64
-	failing            float64 // share of requests that want a retry
-	// skew is that of the requests among entries, uneven that among upstreams; 1 is even.
-	skew, uneven float64
-	latest       clock.Millis
-	killEvery    clock.Millis // at which all upstreams are killed, 0 for never
+	retryShare         float64 // share of requests that need a retry
+	// entrySkew says how unevenly requests are spread over entries, upstreamSkew the same
+	// for upstreams; 1 is even.
+	entrySkew, upstreamSkew float64
+	maxRetryDelay           clock.Millis
+	restartInterval         clock.Millis // between restarts of all upstreams, 0 for none
 }
 
-// play runs the load for a minute and returns when requests and retries were sent.
-func (l load) play(g granter, random *rand.Rand) (requests, retries []clock.Millis) {
-	type wish struct {
+// run simulates one minute of the workload and returns when requests and retries were sent.
+func (w workload) run(g retryLimiter, random *rand.Rand) (requests, retries []clock.Millis) {
+	type pendingRetry struct {
 		at           clock.Millis
 		entry, first int
 	}
-	var wishes []wish
-	killed := clock.Minute
-	for now := clock.Minute; now < 2*clock.Minute; now += clock.Millis(1 + random.ExpFloat64()*1000/l.perSecond) {
-		if l.killEvery > 0 && now-killed >= l.killEvery {
-			killed = now
-			for i := range l.upstreams {
-				g.kill(now, i)
+	var pending []pendingRetry
+	restarted := clock.Minute
+	for now := clock.Minute; now < 2*clock.Minute; now += clock.Millis(1 + random.ExpFloat64()*1000/w.perSecond) {
+		if w.restartInterval > 0 && now-restarted >= w.restartInterval {
+			restarted = now
+			for i := range w.upstreams {
+				g.restartUpstream(now, i)
 			}
 		}
-		w := wish{entry: draw(l.entries, l.skew, random), first: draw(l.upstreams, l.uneven, random)}
-		g.request(now, w.entry, w.first)
+		p := pendingRetry{entry: skewedIndex(w.entries, w.entrySkew, random), first: skewedIndex(w.upstreams, w.upstreamSkew, random)}
+		g.recordRequest(now, p.entry, p.first)
 		requests = append(requests, now)
-		if random.Float64() < l.failing {
-			w.at = now + clock.Millis(random.Int64N(int64(l.latest)+1))
-			wishes = append(wishes, w)
+		if random.Float64() < w.retryShare {
+			p.at = now + clock.Millis(random.Int64N(int64(w.maxRetryDelay)+1))
+			pending = append(pending, p)
 		}
-		for len(wishes) > 0 && wishes[0].at <= now {
-			if g.retry(now, wishes[0].entry, wishes[0].first, random) {
+		for len(pending) > 0 && pending[0].at <= now {
+			if g.tryRetry(now, pending[0].entry, pending[0].first, random) {
 				retries = append(retries, now)
 			}
-			wishes = wishes[1:]
+			pending = pending[1:]
 		}
 	}
 	return requests, retries
 }
 
-func draw(n int, skew float64, random *rand.Rand) int {
+// skewedIndex returns a random index below n. Its mean falls as skew grows.
+func skewedIndex(n int, skew float64, random *rand.Rand) int {
 	at := random.Float64()
 	for range int(skew) - 1 {
 		at = min(at, random.Float64())
@@ -137,34 +144,35 @@
 	return int(at * float64(n))
 }
 
-// most is the greatest use of the service's bound in any window that ends with
-// a retry, 1 for all of it. The requests are those of that window, the one before it or
-// the one half a window before it, whichever has most.
-func most(requests, retries []clock.Millis, extra int) float64 {
+// maxBoundUse returns the greatest use of the service's bound over all windows that end
+// with a retry, 1 for the whole bound. The bound is computed from the requests of that
+// window, of the one before it, or of the one half a window before it, whichever has most.
+func maxBoundUse(requests, retries []clock.Millis, extra int) float64 {
 	use := 0.0
 	for _, last := range retries {
-		asked := 0
-		for _, back := range []clock.Millis{0, span / 2, span} {
-			asked = max(asked, count(requests, last-back-span+1, last-back+1))
+		received := 0
+		for _, back := range []clock.Millis{0, window / 2, window} {
+			received = max(received, countBetween(requests, last-back-window+1, last-back+1))
 		}
-		bound := share*float64(asked) + float64(extra)
-		use = max(use, float64(count(retries, last-span+1, last+1))/bound)
+		bound := share*float64(received) + float64(extra)
+		use = max(use, float64(countBetween(retries, last-window+1, last+1))/bound)
 	}
 	return use
 }
 
-// sites are deployments by their nodes: a third of them is beside one service.
-var sites = []int{6, 30, 113, 300}
+// nodeCounts are sizes of deployments. In each, a third of the nodes serves one service.
+var nodeCounts = []int{6, 30, 113, 300}
 
-func loadOf(nodes int, random *rand.Rand) load {
-	return load{
+func randomWorkload(nodes int, random *rand.Rand) workload {
+	return workload{
 		entries: nodes, upstreams: max(nodes/3, 2), perSecond: float64(nodes) * (0.2 + 2*random.Float64()),
-		failing: random.Float64(), skew: float64(1 + random.IntN(5)), uneven: float64(1 + random.IntN(5)), latest: clock.Millis(random.Int64N(2000)),
+		retryShare: random.Float64(), entrySkew: float64(1 + random.IntN(5)), upstreamSkew: float64(1 + random.IntN(5)), maxRetryDelay: clock.Millis(random.Int64N(2000)),
 	}
 }
 
-// Half of a service's upstreams fail at once and every entry sends again what it may.
-// More than the operators allow in any span would fail the sound half as well.
+// Half of a service's upstreams fail at the same time and every entry retries as much as
+// the quotas allow. More retries in any window than the operators allow would overload the
+// healthy half as well.
 func TestQuotasStayWithinTheServicesBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -173,8 +181,9 @@
 	})
 }
 
+// The same as TestQuotasStayWithinTheServicesBound, for 113 and 300 nodes.
 func TestQuotasStayWithinTheBoundOfLargeServices(t *testing.T) {
-	for _, nodes := range sites[2:] {
+	for _, nodes := range nodeCounts[2:] {
 		random := rand.New(rand.NewPCG(uint64(nodes), 0))
 		for range 3 {
 			checkBound(t, nodes, random)
@@ -182,25 +191,25 @@
 	}
 }
 
-type failer interface{ Fatalf(string, ...any) }
+type fataler interface{ Fatalf(string, ...any) }
 
-func checkBound(t failer, nodes int, random *rand.Rand) {
-	extra, l := 2*nodes, loadOf(nodes, random)
-	for _, l.killEvery = range []clock.Millis{0, span / 2} {
-		requests, retries := l.play(newQuotas(0, l.upstreams, extra), random)
-		if got := most(requests, retries, extra); got > 1 {
-			t.Fatalf("%+v: got %.3f of the service's bound, want at most all", l, got)
+func checkBound(t fataler, nodes int, random *rand.Rand) {
+	extra, w := 2*nodes, randomWorkload(nodes, random)
+	for _, w.restartInterval = range []clock.Millis{0, window / 2} {
+		requests, retries := w.run(newGateQuotas(0, w.upstreams, extra), random)
+		if got := maxBoundUse(requests, retries, extra); got > 1 {
+			t.Fatalf("%+v: got %.3f of the service's bound, want at most all", w, got)
 		}
 	}
 }
 
-// Retries are wanted at twice the bound, and a budget that is split among entries ends
-// with most of it unused where requests come to few of them.
+// Twice as many requests need a retry as the bound allows. A budget split among entries
+// would stay largely unused if most requests arrive at a few entries.
 func TestQuotasAreUsedWhereRetriesAreWanted(t *testing.T) {
-	for _, nodes := range sites {
+	for _, nodes := range nodeCounts {
 		for _, skew := range []float64{1, 4} {
 			t.Run(fmt.Sprintf("%d nodes, skew %v", nodes, skew), func(t *testing.T) {
-				got := useOf(nodes, skew, func(l load, extra int) granter { return newQuotas(0, l.upstreams, extra) })
+				got := meanUse(nodes, skew, func(w workload, extra int) retryLimiter { return newGateQuotas(0, w.upstreams, extra) })
 				if got < 0.85 {
 					t.Errorf("got %.3f of the budget used, want at least 0.85", got)
 				}
@@ -209,49 +218,52 @@
 	}
 }
 
-// The checks above tell the ways apart: one part an entry leaves much unused, and all of
-// it at each entry breaks the bound.
+// Shows that the checks above detect wrong designs: with an even part of the extra retries
+// at each entry much of the budget stays unused, and with all of them at each entry the
+// service exceeds its bound.
 func TestBudgetsOfEntriesFailTheChecks(t *testing.T) {
-	for _, nodes := range sites[1:] {
-		even := useOf(nodes, 4, func(l load, extra int) granter { return newSplit(l.entries, float64(extra)/float64(l.entries)) })
-		if even >= 0.85 {
-			t.Errorf("%d nodes, divided: got %.3f of the budget used, want less than 0.85", nodes, even)
+	for _, nodes := range nodeCounts[1:] {
+		divided := meanUse(nodes, 4, func(w workload, extra int) retryLimiter {
+			return newEntryBudgets(w.entries, float64(extra)/float64(w.entries))
+		})
+		if divided >= 0.85 {
+			t.Errorf("%d nodes, divided: got %.3f of the budget used, want less than 0.85", nodes, divided)
 		}
-		whole := useOf(nodes, 4, func(l load, extra int) granter { return newSplit(l.entries, float64(extra)) })
-		if whole <= 1 {
-			t.Errorf("%d nodes, not divided: got %.3f of the budget used, want more than all", nodes, whole)
+		undivided := meanUse(nodes, 4, func(w workload, extra int) retryLimiter { return newEntryBudgets(w.entries, float64(extra)) })
+		if undivided <= 1 {
+			t.Errorf("%d nodes, not divided: got %.3f of the budget used, want more than all", nodes, undivided)
 		}
 	}
 }
 
-// useOf is the mean use of what may be granted, from the second window on, with twice as
-// many retries wanted.
-func useOf(nodes int, skew float64, newGranter func(l load, extra int) granter) float64 {
+// meanUse returns the mean share of the granted part of the bound that is used from the
+// second window on, if twice as many requests need a retry.
+func meanUse(nodes int, skew float64, newLimiter func(w workload, extra int) retryLimiter) float64 {
 	random := rand.New(rand.NewPCG(uint64(nodes), 1))
 	extra := 2 * nodes
-	l := load{entries: nodes, upstreams: max(nodes/3, 2), perSecond: 1.2 * float64(nodes), skew: skew, uneven: 1, latest: 200}
-	perSpan := l.perSecond * span.Seconds()
-	l.failing = min(2*retry.GrantedShare*(share*perSpan+float64(extra))/perSpan, 1)
-	plays := max(600/nodes, 1) // a small service has few retries in one
+	w := workload{entries: nodes, upstreams: max(nodes/3, 2), perSecond: 1.2 * float64(nodes), entrySkew: skew, upstreamSkew: 1, maxRetryDelay: 200}
+	perWindow := w.perSecond * window.Seconds()
+	w.retryShare = min(2*retry.GrantedShare*(share*perWindow+float64(extra))/perWindow, 1)
+	runs := max(600/nodes, 1) // one run of a small service has few retries
 	use := 0.0
-	for range plays {
-		requests, retries := l.play(newGranter(l, extra), random)
-		from := clock.Minute + span
-		bound := retry.GrantedShare * (share*float64(count(requests, from, 2*clock.Minute)) + float64(extra)*5)
-		use += float64(count(retries, from, 2*clock.Minute)) / bound / float64(plays)
+	for range runs {
+		requests, retries := w.run(newLimiter(w, extra), random)
+		from := clock.Minute + window
+		bound := retry.GrantedShare * (share*float64(countBetween(requests, from, 2*clock.Minute)) + float64(extra)*5)
+		use += float64(countBetween(retries, from, 2*clock.Minute)) / bound / float64(runs)
 	}
 	return use
 }
 
-// A quota by itself holds its part in every span that ends with a retry, whatever the
-// rates.
+// A single quota allows no more than its part in any window that ends with a retry, at
+// any rate of requests and failures.
 func TestRetriesStayWithinEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		perSecond := rapid.Float64Range(0.2, 30).Draw(t, "rate")
 		failing := rapid.Float64Range(0, 1).Draw(t, "failing")
 		const extra = 5
-		q := retry.NewQuota(0, retry.QuotaConfig{Share: share, Extra: extra, Window: span, Upstreams: 1})
+		q := retry.NewQuota(0, retry.QuotaConfig{Share: share, Extra: extra, Window: window, Upstreams: 1})
 		var requests, retries []clock.Millis
 		for now := clock.Minute; now < 2*clock.Minute; now += clock.Millis(1 + random.ExpFloat64()*1000/perSecond) {
 			q.RecordRequest(now)
@@ -261,19 +273,19 @@
 			}
 		}
 		for _, last := range retries {
-			got := count(retries, last-span+1, last+1)
-			want := retry.GrantedShare * (share*float64(count(requests, last-span+1, last+1)) + extra)
+			got := countBetween(retries, last-window+1, last+1)
+			want := retry.GrantedShare * (share*float64(countBetween(requests, last-window+1, last+1)) + extra)
 			if float64(got) > want {
-				t.Fatalf("up to %v: got %d retries in %v, want at most %.1f", last, got, span, want)
+				t.Fatalf("up to %v: got %d retries in %v, want at most %.1f", last, got, window, want)
 			}
 		}
 	})
 }
 
-// An edit of the table comes with each upstream that joins. Were the window begun anew
-// with it, a release would lift the bound.
+// Each upstream that joins changes the table. If each change cleared the window, a
+// rollout of a release would lift the bound.
 func TestAdjustKeepsWhatWasSpent(t *testing.T) {
-	c := retry.QuotaConfig{Extra: 4, Window: span, Upstreams: 1}
+	c := retry.QuotaConfig{Extra: 4, Window: window, Upstreams: 1}
 	q := retry.NewQuota(0, c)
 	got := 0
 	for now := clock.Minute; now < clock.Minute+5*clock.Second; now += 100 {
@@ -287,10 +299,11 @@
 	}
 }
 
-// A retry waits a second for its slot. Counted when it was granted, it would be out of
-// the window while its arrival is still in it, and the service get more than allowed.
+// A retry waits a second for its slot. If it were counted when it was granted, it would
+// leave the window earlier than its arrival does, and the service would receive more
+// retries than allowed.
 func TestRetryCountsWhenItIsSent(t *testing.T) {
-	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 2, Window: span, Upstreams: 1})
+	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 2, Window: window, Upstreams: 1})
 	at := clock.Minute
 	if !q.Allows(at, false) || !q.Spend(at+1500) {
 		t.Fatal("got no retry of an unused quota, want one")
@@ -306,10 +319,10 @@
 	}
 }
 
-// Half of a service fails, and requests are sent again to upstreams that will fail them
-// too. They must leave a part of the budget to those that are likely to succeed.
+// Half of a service's upstreams fail, and requests are retried at upstreams that likely fail
+// them too. Such retries must leave part of the budget to retries that likely succeed.
 func TestUnlikelyRetriesLeaveHalfOfTheBudget(t *testing.T) {
-	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 8, Window: span, Upstreams: 1})
+	q := retry.NewQuota(0, retry.QuotaConfig{Extra: 8, Window: window, Upstreams: 1})
 	unlikely := 0
 	for q.Allows(clock.Minute, true) && q.Spend(clock.Minute) {
 		unlikely++
@@ -322,7 +335,8 @@
 	}
 }
 
-func count(instants []clock.Millis, from, to clock.Millis) int {
+// countBetween returns how many instants are at or after from and before to.
+func countBetween(instants []clock.Millis, from, to clock.Millis) int {
 	n := 0
 	for _, at := range instants {
 		if at >= from && at < to {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a request that got no answer is sent again:
-// only what was not run or may run more than once, within a budget that is a
-// share of the service's requests.
+// Package retry decides whether a request whose attempt failed is sent again: only if the
+// request was not run or may run more than once, and only within a budget that is a share
+// of the service's requests.
 package retry
 
 import (
@@ -9,41 +9,42 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Result says how an attempt ended.
+// Result is how an attempt ended.
 type Result uint8
 
 // The values of Result.
 const (
-	// NotRun means that the gate refused it and it was not run.
+	// NotRun means that the request was refused and not run.
 	NotRun Result = iota
-	// Failed means that it ran, or may have run, and failed.
+	// Failed means that the request ran, or may have run, and failed.
 	Failed
-	// NoResponse means that no answer came.
+	// NoResponse means that no response came.
 	NoResponse
 )
 
-// Attempt describes the last attempt of a request.
+// Attempt describes the last attempt of a request and the attempts before it.
 type Attempt struct {
 	Result Result
-	// RefusedForLoad says that the gate refused it for load.
+	// RefusedForLoad says that the gate refused the attempt for load.
 	RefusedForLoad bool
 	// Repeatable says that the request may run more than once.
 	Repeatable bool
-	// Attempts is the number of attempts so far, Refused that of the refusals by gates
-	// since an upstream last got the request, Shed that of refusals by upstreams.
+	// Attempts is the number of attempts so far, Refused the number of refusals by gates
+	// since an upstream last received the request, and Shed the number of refusals by
+	// upstreams.
 	Attempts, Refused, Shed int
-	// Runs is how many of them an upstream ran, or may have run, and MostRan
-	// the bound that the route sets on that; 0 means none.
+	// Runs is the number of attempts that an upstream ran, or may have run, and MaxRuns
+	// the route's limit on it; 0 means that the route sets no limit.
 	Runs, MaxRuns int
 	// Remaining is the time left until the request's deadline.
 	Remaining clock.Millis
-	// RetryAfter is when to come back, as the gate computed it; 0 if unknown.
+	// RetryAfter is the gate's estimate of the time after which to retry; 0 if unknown.
 	RetryAfter clock.Millis
 	// Untried is the number of usable upstreams not yet tried.
 	Untried int
 }
 
-// Reason says why a request isn't sent again.
+// Reason is why a request isn't sent again.
 type Reason string
 
 // The values of Reason.
@@ -56,50 +57,53 @@
 	NoUpstreamLeft   Reason = "nowhere left"
 )
 
-// Decision is the answer for one attempt.
+// Decision says whether to send a request again after an attempt.
 type Decision struct {
 	Retry bool
 	// Reason is set when Retry is false.
 	Reason Reason
-	// RetryAfter is when the caller may come back, set when Retry is false.
+	// RetryAfter is the time after which the caller may retry. It is set when Retry is
+	// false, but for NotRepeatable.
 	RetryAfter clock.Millis
 }
 
-// Config is what a Budget is made from.
+// Config configures a Budget.
 type Config struct {
 	// Share is the share of requests, from 0 to 1, that may be sent again.
 	Share float64
-	// GateQuotas says that the gates' quotas bound the retries: the budget refuses none.
+	// GateQuotas says that the quotas of the gates bound the retries, so that the Budget
+	// refuses none for their number or for overload.
 	GateQuotas bool
-	// Seed makes the jitter of RetryAfter repeatable.
+	// Seed makes the jitter of RetryAfter reproducible.
 	Seed uint64
 }
 
 const (
-	// MinBurst is how many retries an idle service may make beyond its
-	// share: a handful of callers that meet a sick upstream before its verdict
-	// (six outcomes of an upstream that fails all) are served elsewhere.
+	// MinBurst is the number of retries that an idle service may make beyond its
+	// share. It lets a few callers that meet a failing upstream before it is ejected
+	// (which takes six outcomes of an upstream that fails every request) succeed
+	// elsewhere.
 	MinBurst = 5
-	// MaxBurst is how many a busy one may, and the bound over any window.
+	// MaxBurst is the same for a busy service, and the bound over any window.
 	MaxBurst = 20
-	// burstWindow is the time over which a service's requests set its burst
-	// between the two. Many entries before one service see few requests each;
-	// with a burst that doesn't follow the traffic, theirs would add up to
+	// burstWindow is the time over which a service's requests determine its burst,
+	// between MinBurst and MaxBurst. With many entries, each sees few requests of a
+	// service; if their bursts didn't follow the traffic, together they would be
 	// many times what the service can serve.
 	burstWindow = 10 * clock.Second
-	// MaxAttempts bounds the attempts of one request: of those that meet a
-	// sick third of the upstreams at random, 1 in 27 does so three times.
+	// MaxAttempts bounds the attempts of one request. If a third of the upstreams fails
+	// and the choice is random, 1 request in 27 meets failing ones three times.
 	MaxAttempts = 3
-	// MaxRefused bounds them while refusals cost no work: several verdicts
-	// may be new to an entry at once, each learned by such a refusal.
+	// MaxRefused bounds the attempts while refusals cost no work: an entry may not yet
+	// know that several upstreams are ejected, and learns each by such a refusal.
 	MaxRefused = 8
-	// MinRemaining is the time below which a further attempt can't be
-	// answered: two cross-domain round trips (1 ms one way), rounded up.
+	// MinRemaining is the remaining time below which a further attempt can't be
+	// answered: two round trips between failure domains (1 ms one way), rounded up.
 	MinRemaining clock.Millis = 5
 )
 
-// Budget holds the retries of one service at one entry. It is not safe for
-// concurrent use.
+// Budget bounds the retries of one service at one entry. It isn't safe for concurrent
+// use.
 type Budget struct {
 	share      float64
 	gateQuotas bool
@@ -109,37 +113,37 @@
 	overload   overloadMeter
 }
 
-// New makes a Budget with the burst of an idle service.
+// New returns a Budget with the burst of an idle service.
 func New(c Config) *Budget {
 	return &Budget{
 		share:      min(max(c.Share, 0), 1),
 		gateQuotas: c.GateQuotas,
 		random:     rand.New(rand.NewPCG(c.Seed, 0)),
 		tokens:     MinBurst,
-		requests:   decayingCounter{span: burstWindow},
+		requests:   decayingCounter{timeConstant: burstWindow},
 		overload:   newOverloadMeter(),
 	}
 }
 
-// RecordRequest counts a first attempt, which earns its share of a retry.
+// RecordRequest counts a first attempt, which adds Share of a retry to the budget.
 func (b *Budget) RecordRequest(now clock.Millis) {
 	b.requests.add(now, 1)
-	most := min(max(b.share*b.requests.value, MinBurst), MaxBurst)
-	b.tokens = min(b.tokens+b.share, most)
+	burst := min(max(b.share*b.requests.value, MinBurst), MaxBurst)
+	b.tokens = min(b.tokens+b.share, burst)
 }
 
-// RecordReply tells whether a gate refused an attempt for load (true) or took it
-// (false). It is to be told of each attempt that a gate answered.
-func (b *Budget) RecordReply(now clock.Millis, full bool) {
-	b.overload.add(now, full)
+// RecordReply counts a gate's reply to an attempt: whether the gate refused it for load
+// or accepted it. The caller must record every attempt that a gate answered.
+func (b *Budget) RecordReply(now clock.Millis, refusedForLoad bool) {
+	b.overload.add(now, refusedForLoad)
 }
 
-// Decide says whether to send the request again, and takes it from the budget
-// if so.
+// Decide says whether to send the request again. If so, and if the retry costs budget,
+// Decide takes it from the budget.
 func (b *Budget) Decide(now clock.Millis, a Attempt) Decision {
-	why := b.denialReason(now, a)
-	if why != "" {
-		return Decision{Reason: why, RetryAfter: b.retryAfter(now, why, a.RetryAfter)}
+	reason := b.denialReason(now, a)
+	if reason != "" {
+		return Decision{Reason: reason, RetryAfter: b.retryAfter(now, reason, a.RetryAfter)}
 	}
 	if !b.gateQuotas && a.costsBudget() {
 		b.tokens--
@@ -147,21 +151,21 @@
 	return Decision{Retry: true}
 }
 
-// isExhausted reports whether the budget has nothing left for the attempt.
+// isExhausted reports whether a retry after the attempt costs more than the budget has.
 func (b *Budget) isExhausted(a Attempt) bool {
 	return !b.gateQuotas && a.costsBudget() && b.tokens < 1
 }
 
-// costsBudget reports whether the attempt took work from an upstream or met a full
-// one. One that was refused otherwise (set aside, leaving, connection refused)
-// took none: sending it on doesn't multiply load, and to hold it back would lose
-// a request that other upstreams have room for.
+// costsBudget reports whether a retry after the attempt costs budget: the attempt caused
+// work at an upstream or was refused for load. An attempt that was refused for another
+// reason (upstream ejected or leaving, connection refused) caused no work: a retry doesn't
+// multiply load, and without it a request would fail that other upstreams have room for.
 func (a Attempt) costsBudget() bool {
 	return a.Result != NotRun || a.RefusedForLoad
 }
 
-// attemptsExhausted reports whether the request has had all its attempts. A route's bound is one
-// on runs: refusals by gates don't use it up.
+// attemptsExhausted reports whether the request has used all its attempts. A route's limit
+// (MaxRuns) counts runs only, not refusals.
 func (a Attempt) attemptsExhausted() bool {
 	switch {
 	case a.MaxRuns > 0:
@@ -173,8 +177,7 @@
 	}
 }
 
-// denialReason returns the reason not to send the request again, "" if there is
-// none.
+// denialReason returns the reason not to send the request again, "" if there is none.
 func (b *Budget) denialReason(now clock.Millis, a Attempt) Reason {
 	switch {
 	case a.Result != NotRun && !a.Repeatable:
@@ -196,43 +199,43 @@
 
 // Bounds of a computed RetryAfter before jitter.
 const (
-	// minRetryAfter is the least that the HTTP header can say.
+	// minRetryAfter is the shortest time that the HTTP header Retry-After can express.
 	minRetryAfter = clock.Second
 	// maxRetryAfter bounds the time in which an idle service earns a retry.
 	maxRetryAfter = 30 * clock.Second
 )
 
-// retryAfter is when the caller may come back: what the gate computed from its
-// queue, else what the reason lets expect, with jitter. It is 0 where coming
-// back isn't safe, for the request may have run.
-func (b *Budget) retryAfter(now clock.Millis, why Reason, gate clock.Millis) clock.Millis {
-	span := minRetryAfter
+// retryAfter returns the time after which the caller may retry: the gate's estimate if
+// there is one, else a time that depends on the reason, with jitter. It returns 0 for
+// NotRepeatable, as a retry isn't safe if the request may have run.
+func (b *Budget) retryAfter(now clock.Millis, reason Reason, gateRetryAfter clock.Millis) clock.Millis {
+	delay := minRetryAfter
 	switch {
-	case why == NotRepeatable:
+	case reason == NotRepeatable:
 		return 0
-	case gate > 0:
-		return gate
-	case why == ServiceFull:
-		span = overloadWindow
-	case why == NoBudget:
-		span = b.refillTime(now)
+	case gateRetryAfter > 0:
+		return gateRetryAfter
+	case reason == ServiceFull:
+		delay = overloadWindow
+	case reason == NoBudget:
+		delay = b.refillTime(now)
 	}
-	return b.AddJitter(min(max(span, minRetryAfter), maxRetryAfter))
+	return b.AddJitter(min(max(delay, minRetryAfter), maxRetryAfter))
 }
 
-// AddJitter lengthens a span by up to a half, so that callers who are refused together
-// don't come back as one wave.
-func (b *Budget) AddJitter(span clock.Millis) clock.Millis {
-	return span + clock.Millis(b.random.Int64N(int64(span)/2+1))
+// AddJitter lengthens a delay at random by up to a half, so that callers refused at the
+// same time don't all retry at the same time.
+func (b *Budget) AddJitter(delay clock.Millis) clock.Millis {
+	return delay + clock.Millis(b.random.Int64N(int64(delay)/2+1))
 }
 
-// refillTime is the time in which the service earns what a retry lacks, at its
-// present rate of requests.
+// refillTime returns the time until the budget has a whole retry at the service's present
+// rate of requests, at most maxRetryAfter.
 func (b *Budget) refillTime(now clock.Millis) clock.Millis {
 	perMilli := b.share * b.requests.read(now) / float64(burstWindow)
-	span := (1 - b.tokens) / perMilli
-	if span < float64(maxRetryAfter) {
-		return clock.Millis(span)
+	delay := (1 - b.tokens) / perMilli
+	if delay < float64(maxRetryAfter) {
+		return clock.Millis(delay)
 	}
 	return maxRetryAfter
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// attempt is one refused for load that may be made again; cases change it.
+// attempt returns an attempt that was refused for load and may be retried, after change
+// has modified it.
 func attempt(change func(a *retry.Attempt)) retry.Attempt {
 	a := retry.Attempt{RefusedForLoad: true, Attempts: 1, Remaining: clock.Second, Untried: 5}
 	if change != nil {
@@ -59,22 +60,22 @@
 			if got.Reason != tt.want || got.Retry != (tt.want == "") {
 				t.Errorf("got %+v, want reason %q", got, tt.want)
 			}
-			back := tt.want != "" && tt.want != retry.NotRepeatable
-			if (got.RetryAfter > 0) != back {
-				t.Errorf("got RetryAfter %v, want one: %v", got.RetryAfter, back)
+			wantRetryAfter := tt.want != "" && tt.want != retry.NotRepeatable
+			if (got.RetryAfter > 0) != wantRetryAfter {
+				t.Errorf("got RetryAfter %v, want one: %v", got.RetryAfter, wantRetryAfter)
 			}
 		})
 	}
 }
 
-// Requests and failures come in any order and at any rate. Retries beyond the
-// share would multiply the load of a service that fails because of its load.
+// Requests and failures arrive in any order and at any rate. Retries beyond the
+// share would multiply the load of a service that fails because it is overloaded.
 func TestBudgetBoundsEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		b, now := retry.New(retry.Config{Share: share}), clock.Millis(0)
-		// excess is the greatest of retries - share x requests over all windows
-		// that end now.
+		// excess is the maximum of retries - share x requests over all windows that
+		// end now.
 		excess := 0.0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += clock.Millis(rapid.SampledFrom([]int{0, 1, 100, 10000}).Draw(t, "span"))
@@ -92,17 +93,17 @@
 	})
 }
 
-// spend makes retries until one is refused and counts them.
-func spend(b *retry.Budget, now clock.Millis) (n int) {
+// exhaustBudget makes retries until the budget refuses one and returns their number.
+func exhaustBudget(b *retry.Budget, now clock.Millis) (n int) {
 	for b.Decide(now, attempt(nil)).Retry {
 		n++
 	}
 	return n
 }
 
-// 2,400 entries see one request each three seconds of a service, and it begins
-// to fail. Each entry's burst must stay small, or theirs add up to minutes of
-// the service's whole work.
+// Each of 2,400 entries receives one request for a service every three seconds, and the
+// service begins to fail. If the burst of each entry weren't small, together they would
+// keep the whole service busy for minutes.
 func TestBurstFollowsTheTraffic(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -114,15 +115,14 @@
 			now += tt.gap
 			b.RecordRequest(now)
 		}
-		if got := spend(b, now); got != tt.want {
+		if got := exhaustBudget(b, now); got != tt.want {
 			t.Errorf("%s: got a burst of %d, want %d", tt.name, got, tt.want)
 		}
 	}
 }
 
-// All gates refuse for load. A retry into them is a message that buys nothing;
-// one gate that refuses beside five that don't is a retry that serves. When
-// the rush is over, retries must come back by themselves.
+// If all gates refuse for load, a retry is a useless message; if one of six refuses, a
+// retry likely succeeds. Retries must resume by themselves when the overload ends.
 func TestNoRetryIntoAFullService(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -144,12 +144,12 @@
 	}
 }
 
-// One of three backend servers is gone and refuses connections at once, so that
-// it seems idle and is chosen often. Its verdict is some outcomes away, and the
-// budget is spent: confirmations must go to the others, which have room.
-func TestRefusalWithoutCostIsSentOn(t *testing.T) {
+// One of three backend servers is down and refuses connections immediately, so that it
+// seems idle and is chosen often. Until it is ejected, requests that it refuses must be
+// retried at the others, which have room, even if the budget is exhausted.
+func TestRefusalWithoutCostIsRetried(t *testing.T) {
 	b := retry.New(retry.Config{Share: 0.1})
-	spend(b, 0)
+	exhaustBudget(b, 0)
 	if got := b.Decide(0, attempt(nil)).Reason; got != retry.NoBudget {
 		t.Errorf("for load: got %q, want %q", got, retry.NoBudget)
 	}
@@ -158,9 +158,11 @@
 	}
 }
 
+// A caller that is refused for lack of budget must be told a time that follows from the
+// rate at which the service earns retries, or the gate's estimate if there is one.
 func TestRetryAfterIsComputed(t *testing.T) {
 	b, now := retry.New(retry.Config{Share: 0.1}), clock.Millis(0)
-	spend(b, now)
+	exhaustBudget(b, now)
 	if got := b.Decide(now, attempt(nil)).RetryAfter; got < 30*clock.Second {
 		t.Errorf("no traffic: got %v, want the bound of 30s or more", got)
 	}
@@ -169,7 +171,7 @@
 		b.RecordRequest(now)
 		b.Decide(now, attempt(nil))
 	}
-	// four requests a second earn a retry in 2.5 s
+	// four requests per second earn a retry in 2.5 s
 	if got := b.Decide(now, attempt(nil)); got.Retry || got.RetryAfter < clock.Second || got.RetryAfter > 4*clock.Second {
 		t.Errorf("some traffic: got %+v, want a refusal of 1s to 4s", got)
 	}
