--- a/limit/rates_test.go
+++ b/limit/rates_test.go
@@ -10,6 +10,7 @@
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
+// In every period, a service's rate admits at most the rate times the period plus a burst.
 func TestRatesBoundEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(0.5, 50).Draw(t, "rate")
@@ -23,16 +24,16 @@
 			if r.Allow(now, "conferme", perSecond, "hotel", 0).OK {
 				granted++
 			}
-			if got, most := float64(granted), perSecond*(now-start).Seconds()+perSecond+1; got > most+1e-6 {
-				t.Fatalf("got %v admitted in %v, want at most %v", got, now-start, most)
+			if got, bound := float64(granted), perSecond*(now-start).Seconds()+perSecond+1; got > bound+1e-6 {
+				t.Fatalf("got %v admitted in %v, want at most %v", got, now-start, bound)
 			}
 		}
 	})
 }
 
-// One hotel's script asks a thousand times a second. It must use up its own
-// limit and not the service's, or every other caller is refused with it.
-func TestCallerOverItsLimitLeavesTheService(t *testing.T) {
+// A script of one caller sends a thousand requests per second. It must exhaust its own limit
+// and not the service's, or the service would refuse every other caller as well.
+func TestCallerOverItsLimitDoesNotUseUpTheServiceLimit(t *testing.T) {
 	r := limit.NewRates(limit.RatesConfig{Callers: 10})
 	by := make(map[string]int)
 	for now := range clock.Second {
@@ -49,6 +50,7 @@
 	}
 }
 
+// A rate changed in the table must apply to a bucket that exists already.
 func TestRatesFollowTheTable(t *testing.T) {
 	r := limit.NewRates(limit.RatesConfig{Callers: 2})
 	admitted := func(now clock.Millis, perSecond float64) (n int) {
@@ -59,36 +61,40 @@
 	}
 	for i, tt := range []struct{ rate, want float64 }{{4, 4}, {8, 8}, {0.5, 1}, {0, 100}} {
 		now := clock.Millis(i+1) * clock.Minute
-		r.Allow(now, "salons", tt.rate, "", 0) // the edit: a bucket is never refilled by one
+		r.Allow(now, "salons", tt.rate, "", 0) // applies the new rate, which never refills a bucket
 		if got := admitted(now+clock.Minute/2, tt.rate); got != int(tt.want) {
 			t.Errorf("rate %v: got %d admitted at once, want %v", tt.rate, got, tt.want)
 		}
 	}
 }
 
-func TestRefusedByRateComeBackInTurn(t *testing.T) {
+// Requests refused by one rate must be told different retry times, or they would return
+// together and be refused again.
+func TestRateRefusalsGetStaggeredRetryAfter(t *testing.T) {
 	r := limit.NewRates(limit.RatesConfig{Callers: 10})
 	for range 5 {
 		r.Allow(clock.Minute, "salons", 5, "", 0)
 	}
 	for turn := range clock.Millis(3) {
-		got, least := r.Allow(clock.Minute, "salons", 5, "", 0), 200*(turn+1)
-		if got.By != limit.ByService || got.RetryAfter < least || got.RetryAfter > least*5/4 {
-			t.Errorf("turn %d: got %+v, want the service's refusal with %v to %v", turn, got, least, least*5/4)
+		got, minDelay := r.Allow(clock.Minute, "salons", 5, "", 0), 200*(turn+1)
+		if got.By != limit.ByService || got.RetryAfter < minDelay || got.RetryAfter > minDelay*5/4 {
+			t.Errorf("turn %d: got %+v, want the service's refusal with %v to %v", turn, got, minDelay, minDelay*5/4)
 		}
 	}
 }
 
-func TestRatesForgetTheLeastRecentCaller(t *testing.T) {
+// The number of callers kept is bounded: the least recently seen caller is evicted, not a
+// recent one, whose limit would be lifted by a new bucket.
+func TestRatesEvictTheLeastRecentCaller(t *testing.T) {
 	r := limit.NewRates(limit.RatesConfig{Callers: 100})
 	for i := range 1000 {
 		r.Allow(0, "listings", 0, fmt.Sprint(i), 1)
 	}
 	if got := r.Allow(0, "listings", 0, "999", 1).OK; got {
-		t.Error("recent caller: got it admitted, want its empty bucket remembered")
+		t.Error("recent caller: got it admitted, want its empty bucket kept")
 	}
 	if got := r.Allow(0, "listings", 0, "0", 1).OK; !got {
-		t.Error("old caller: got it refused, want it forgotten")
+		t.Error("old caller: got it refused, want it evicted")
 	}
 }
 
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -7,112 +7,116 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// SlotsConfig is what a gate's Slots are made from.
+// SlotsConfig configures the Slots of a gate.
 type SlotsConfig struct {
-	// Slots is how many requests the upstream serves at once.
+	// Slots is the number of requests that the upstream runs at the same time.
 	Slots int
-	// Queue is how many more may wait for a slot.
+	// Queue is the number of further requests that may wait for a slot.
 	Queue int
-	// Seed makes the jitter of RetryAfter repeatable.
+	// Seed makes the jitter of RetryAfter reproducible.
 	Seed uint64
 }
 
-// Result says what becomes of an offered request.
+// Result says what happens to a request that asked for a slot.
 type Result uint8
 
-// The values of Answer.
+// The values of Result.
 const (
 	// Run means that the request has a slot.
 	Run Result = iota
-	// Wait means that it is in the queue: Release, Resize or Expire names its
-	// ticket later.
+	// Wait means that the request is in the queue: Release, Resize, Restart, Expire or
+	// Flush returns its ticket later.
 	Wait
-	// Full means not run: there is no place in the queue.
+	// Full means that the request is refused: the queue has no position for it, or it
+	// can't wait.
 	Full
-	// Late means not run: its turn can't come within its deadline.
+	// Late means that the request is refused: it would get a slot after Until, or too late
+	// to meet its deadline.
 	Late
 )
 
-// Decision is the answer to one request.
+// Decision is the reply to one request for a slot.
 type Decision struct {
 	Result Result
-	// RetryAfter is when to come back; it is set for Full and Late.
+	// RetryAfter is the time after which to retry; it is set for Full and Late.
 	RetryAfter clock.Millis
 }
 
-// Load is what a gate publishes about its upstream's slots.
+// Load is the use of an upstream's slots, as its gate publishes it.
 type Load struct {
 	InFlight int
 	Waiting  int
 	Free     int
 }
 
-// Slots admits requests to one upstream: at most Slots run, at most Queue wait.
-// It is not safe for concurrent use.
+// Slots admits requests to one upstream: at most SlotsConfig.Slots run, and at most
+// SlotsConfig.Queue wait. It isn't safe for concurrent use.
 type Slots struct {
 	config  SlotsConfig
 	random  *rand.Rand
 	running int
 	waiting []waiter
-	// skipped are waiters that were passed over, until Expire reports them.
+	// skipped holds the tickets of waiters that were removed from the queue without a
+	// slot, until Expire or Flush returns them.
 	skipped     []uint64
 	serviceTime serviceTime
 	schedule    RetrySchedule
 }
 
-// waiter is a request in the queue. It gives up its place at until.
+// waiter is a request in the queue. It leaves the queue after waitUntil.
 type waiter struct {
-	ticket          uint64
-	deadline, until clock.Millis
-	priority        int
+	ticket              uint64
+	deadline, waitUntil clock.Millis
+	priority            int
 }
 
-// Request is one request for a slot.
+// Request asks for a slot.
 type Request struct {
-	// Ticket names the request; it must differ from those of all waiting.
+	// Ticket identifies the request; it must differ from the tickets of all waiters.
 	Ticket uint64
-	// Deadline is when its answer must stand, Until the latest instant at which
-	// a slot is of use to it.
+	// Deadline is the instant by which the request must be answered, Until the latest
+	// instant at which it can still use a slot.
 	Deadline, Until clock.Millis
-	// Priority ranks requests, 0 first.
+	// Priority ranks requests; 0 is the highest.
 	Priority int
 }
 
-// NewSlots makes Slots with none in use.
+// NewSlots returns Slots with none in use.
 func NewSlots(c SlotsConfig) *Slots {
 	return &Slots{config: c, random: rand.New(rand.NewPCG(c.Seed, 0))}
 }
 
-// AcquireUntil asks for a slot until the deadline, an instant, at the first rank.
+// AcquireUntil asks for a slot at the highest priority, for a request that may wait until
+// its deadline.
 func (s *Slots) AcquireUntil(now clock.Millis, ticket uint64, deadline clock.Millis) Decision {
 	return s.Acquire(now, Request{Ticket: ticket, Deadline: deadline, Until: deadline})
 }
 
-// Acquire asks for a slot. A request that outranks the last one in a full queue takes
-// its place; Expire names the one that lost it.
+// Acquire asks for a slot. A request that finds the queue full, but ranks higher than the
+// last waiter, displaces that waiter; Expire returns the ticket of the displaced waiter.
 //
-// A free slot goes to whoever asks first: kept from lower ranks for better ones that may
-// come, slots would stand idle while requests wait.
-func (s *Slots) Acquire(now clock.Millis, a Request) Decision {
+// A free slot goes to the next request whatever its priority: if slots were reserved for
+// higher priorities, they would be idle while requests wait.
+func (s *Slots) Acquire(now clock.Millis, r Request) Decision {
 	s.serviceTime.advance(now, s.running)
-	a.Priority = min(max(a.Priority, 0), priorityLevels-1)
-	if a.Deadline <= now {
+	r.Priority = min(max(r.Priority, 0), priorityLevels-1)
+	if r.Deadline <= now {
 		return s.refuse(now, Late)
 	}
 	if s.running < s.config.Slots {
 		s.running++
 		return Decision{Result: Run}
 	}
-	place := s.queuePosition(a.Priority)
-	wait := s.releaseInterval() * float64(place+1)
+	position := s.queuePosition(r.Priority)
+	wait := s.releaseInterval() * float64(position+1)
 	switch {
-	case a.Until <= now, place >= s.config.Queue:
+	case r.Until <= now, position >= s.config.Queue:
 		return s.refuse(now, Full)
-	case !s.serviceTime.meetsDeadline(wait, a.Deadline), s.serviceTime.isReliable() && float64(now)+wait > float64(a.Until):
+	case !s.serviceTime.meetsDeadline(wait, r.Deadline), s.serviceTime.isReliable() && float64(now)+wait > float64(r.Until):
 		return s.refuse(now, Late)
 	}
-	s.waiting = slices.Insert(s.waiting, place, waiter{
-		ticket: a.Ticket, deadline: a.Deadline, until: a.Until, priority: a.Priority,
+	s.waiting = slices.Insert(s.waiting, position, waiter{
+		ticket: r.Ticket, deadline: r.Deadline, waitUntil: r.Until, priority: r.Priority,
 	})
 	if len(s.waiting) > s.config.Queue {
 		last := len(s.waiting) - 1
@@ -122,11 +126,12 @@
 	return Decision{Result: Wait}
 }
 
-// priorityLevels is how many priorities are told apart; lower ones count as the last.
+// priorityLevels is the number of distinct priorities; requests below the lowest one get
+// the lowest.
 const priorityLevels = 4
 
-// queuePosition is where a request of the rank stands in the queue: behind those of its
-// rank and better ones.
+// queuePosition returns the index in the queue for a request of the priority: behind the
+// waiters of the same and of higher priorities.
 func (s *Slots) queuePosition(priority int) int {
 	for i := range s.waiting {
 		if s.waiting[i].priority > priority {
@@ -136,9 +141,9 @@
 	return len(s.waiting)
 }
 
-// Release frees the slot of a request that ended. The next waiter whose
-// deadline can still be met takes it and is returned; those passed over are
-// returned by the next Expire.
+// Release frees the slot of a completed request. The first waiter that can meet its deadline
+// gets the slot, and Release returns its ticket; ok is false if no waiter can. The next
+// Expire returns the waiters skipped.
 func (s *Slots) Release(now clock.Millis) (ticket uint64, ok bool) {
 	s.serviceTime.advance(now, s.running)
 	if s.running == 0 {
@@ -146,18 +151,19 @@
 	}
 	s.running--
 	s.serviceTime.release()
-	return s.next()
+	return s.admitNext()
 }
 
-// Expire removes and returns the waiters whose deadline has passed or that
-// were passed over because it can't be met. They were not run.
+// Expire removes the waiters whose Deadline or Until has passed. It returns their tickets,
+// and those of waiters that were displaced, or skipped because they can't meet their
+// deadlines. None of them has run.
 func (s *Slots) Expire(now clock.Millis) []uint64 {
 	s.serviceTime.advance(now, s.running)
 	expired := s.skipped
 	s.skipped = nil
 	kept := s.waiting[:0]
 	for _, w := range s.waiting {
-		if w.deadline <= now || w.until < now {
+		if w.deadline <= now || w.waitUntil < now {
 			expired = append(expired, w.ticket)
 			continue
 		}
@@ -167,20 +173,20 @@
 	return expired
 }
 
-// Flush removes and returns all waiters, and those passed over: they were not
-// run. It is for an upstream that gets no more work.
+// Flush removes all waiters. It returns their tickets and those that Expire would have
+// returned; none of them has run. Flush is for an upstream that gets no more work.
 func (s *Slots) Flush() []uint64 {
-	all := s.skipped
+	removed := s.skipped
 	s.skipped = nil
 	for _, w := range s.waiting {
-		all = append(all, w.ticket)
+		removed = append(removed, w.ticket)
 	}
 	s.waiting = s.waiting[:0]
-	return all
+	return removed
 }
 
-// Cancel removes a waiter that was cancelled; its ticket isn't named again.
-// It returns false if no such ticket waits: it runs, or was refused.
+// Cancel removes the waiter with the ticket; no later call returns the ticket. Cancel
+// returns false if no waiter has the ticket: the request runs, or was refused.
 func (s *Slots) Cancel(ticket uint64) bool {
 	if i := slices.Index(s.skipped, ticket); i >= 0 {
 		s.skipped = slices.Delete(s.skipped, i, i+1)
@@ -194,7 +200,7 @@
 	return true
 }
 
-// Load returns the slots' present use.
+// Load returns the current use of the slots.
 func (s *Slots) Load() Load {
 	return Load{
 		InFlight: s.running,
@@ -203,47 +209,50 @@
 	}
 }
 
-// RetryAfter tells a request that isn't run when to come back: when the queue
-// has drained and those refused before have had their turn. Each call takes
-// one turn. Offer calls it itself; it is for those that Expire names.
+// RetryAfter returns the time after which a refused request may retry: the time until the
+// queue is empty and the retries of requests refused before have been served. Each call
+// assigns one retry time. Acquire calls it for the requests that it refuses; the caller of
+// Expire calls it for the tickets that Expire returns.
 func (s *Slots) RetryAfter(now clock.Millis) clock.Millis {
-	gap := s.releaseInterval()
-	first := gap * float64(len(s.waiting)+1)
+	interval := s.releaseInterval()
+	first := interval * float64(len(s.waiting)+1)
 	if s.config.Slots <= 0 {
 		first = maxRetryAfter
 	}
-	return s.schedule.Next(now, first, gap, s.random)
+	return s.schedule.Next(now, first, interval, s.random)
 }
 
-// Restart takes in that the upstream has started again: the runs that it had hold no
-// slot any more, and will not be released. How long its requests take is learned anew.
-// It returns the tickets of waiters that run now.
+// Restart is to be called when the upstream has restarted, with the number of requests that
+// it ran before. They no longer hold slots, and Release must not be called for them. The
+// estimate of the service time starts again. Restart returns the tickets of waiters that
+// now have a slot.
 func (s *Slots) Restart(runs int) []uint64 {
 	s.running = max(s.running-runs, 0)
 	s.serviceTime = serviceTime{}
 	return s.Resize(s.config)
 }
 
-// Resize puts an edited table in force and returns the tickets of waiters that
-// run now. Requests that run or wait beyond the new numbers are let finish. It
-// judges deadlines at the last instant seen: call Expire just before.
+// Resize applies a changed configuration and returns the tickets of waiters that now have a
+// slot. Requests that run or wait beyond the new limits are not cut off. Resize compares
+// deadlines with the latest instant given to Acquire, Release or Expire: call Expire just
+// before.
 func (s *Slots) Resize(c SlotsConfig) []uint64 {
 	s.config = c
-	var run []uint64
+	var admitted []uint64
 	for {
-		ticket, ok := s.next()
+		ticket, ok := s.admitNext()
 		if !ok {
-			return run
+			return admitted
 		}
-		run = append(run, ticket)
+		admitted = append(admitted, ticket)
 	}
 }
 
-// next gives a free slot to the first waiter whose deadline can be met. A
-// waiter that would be cut off while it runs is passed over: it would take the
-// slot from one that can be served whole, and a request that may not be
-// repeated would end as unknown in place of not run.
-func (s *Slots) next() (ticket uint64, ok bool) {
+// admitNext gives a free slot to the first waiter that can meet its deadline, and skips the
+// waiters before it. A waiter cut off while it runs would take the slot from a request that
+// can complete, and a request that may not be repeated would end as unknown instead of not
+// run.
+func (s *Slots) admitNext() (ticket uint64, ok bool) {
 	for s.running < s.config.Slots && len(s.waiting) > 0 {
 		w := s.waiting[0]
 		s.waiting = slices.Delete(s.waiting, 0, 1)
@@ -256,13 +265,13 @@
 	return 0, false
 }
 
-// releaseInterval estimates the milliseconds between two requests that end while all slots
+// releaseInterval returns the estimated milliseconds between two completions while all slots
 // are in use.
 func (s *Slots) releaseInterval() float64 {
 	return s.serviceTime.mean() / float64(max(s.config.Slots, 1))
 }
 
-// refuse answers a request that isn't run.
-func (s *Slots) refuse(now clock.Millis, a Result) Decision {
-	return Decision{Result: a, RetryAfter: s.RetryAfter(now)}
+// refuse returns a refusal with its retry time.
+func (s *Slots) refuse(now clock.Millis, result Result) Decision {
+	return Decision{Result: result, RetryAfter: s.RetryAfter(now)}
 }
--- a/limit/slots_test.go
+++ b/limit/slots_test.go
@@ -20,17 +20,17 @@
 	}
 }
 
-// gate is a model of what a gate does with its tickets.
-type gate struct {
-	slots   *limit.Slots
-	config  limit.SlotsConfig
-	now     clock.Millis
-	last    uint64
-	running int
-	waiting map[uint64]clock.Millis
+// gateModel tracks the tickets of a gate and checks each result of its Slots.
+type gateModel struct {
+	slots      *limit.Slots
+	config     limit.SlotsConfig
+	now        clock.Millis
+	lastTicket uint64
+	running    int
+	waiting    map[uint64]clock.Millis
 }
 
-func (g *gate) run(t *rapid.T, ticket uint64) {
+func (g *gateModel) markRunning(t *rapid.T, ticket uint64) {
 	deadline, ok := g.waiting[ticket]
 	if !ok || deadline <= g.now {
 		t.Fatalf("ticket %d: got a slot at %v, want one that waits; deadline %v", ticket, g.now, deadline)
@@ -39,59 +39,59 @@
 	g.running++
 }
 
-func (g *gate) offer(t *rapid.T) {
-	g.last++
+func (g *gateModel) acquire(t *rapid.T) {
+	g.lastTicket++
 	deadline := g.now + clock.Millis(rapid.IntRange(-5, 200).Draw(t, "deadline"))
 	load := g.slots.Load()
-	offer := g.slots.AcquireUntil(g.now, g.last, deadline)
-	refused := offer.Result == limit.Full || offer.Result == limit.Late
-	if refused != (offer.RetryAfter > 0) {
-		t.Fatalf("got %+v, want RetryAfter on a refusal only", offer)
+	decision := g.slots.AcquireUntil(g.now, g.lastTicket, deadline)
+	refused := decision.Result == limit.Full || decision.Result == limit.Late
+	if refused != (decision.RetryAfter > 0) {
+		t.Fatalf("got %+v, want RetryAfter on a refusal only", decision)
 	}
-	if load.Free > 0 && deadline > g.now && offer.Result != limit.Run {
-		t.Fatalf("got %+v with %+v, want a free slot used", offer, load)
+	if load.Free > 0 && deadline > g.now && decision.Result != limit.Run {
+		t.Fatalf("got %+v with %+v, want a free slot used", decision, load)
 	}
-	switch offer.Result {
+	switch decision.Result {
 	case limit.Run:
 		g.running++
 	case limit.Wait:
-		g.waiting[g.last] = deadline
+		g.waiting[g.lastTicket] = deadline
 	case limit.Full, limit.Late:
 	}
 }
 
-func (g *gate) step(t *rapid.T) {
+func (g *gateModel) step(t *rapid.T) {
 	switch rapid.IntRange(0, 6).Draw(t, "event") {
 	case 0, 1:
-		g.offer(t)
+		g.acquire(t)
 	case 2:
 		g.running = max(g.running-1, 0)
 		if ticket, ok := g.slots.Release(g.now); ok {
-			g.run(t, ticket)
+			g.markRunning(t, ticket)
 		}
 	case 3:
 		g.now += clock.Millis(rapid.IntRange(0, 60).Draw(t, "span"))
 	case 4:
 		ticket := uint64(rapid.IntRange(0, 9).Draw(t, "ticket"))
-		_, want := g.waiting[g.last-ticket]
-		if got := g.slots.Cancel(g.last - ticket); got != want {
-			t.Fatalf("withdrawing %d: got %v, want %v", g.last-ticket, got, want)
+		_, want := g.waiting[g.lastTicket-ticket]
+		if got := g.slots.Cancel(g.lastTicket - ticket); got != want {
+			t.Fatalf("cancelling %d: got %v, want %v", g.lastTicket-ticket, got, want)
 		}
-		delete(g.waiting, g.last-ticket)
+		delete(g.waiting, g.lastTicket-ticket)
 	case 5:
 		g.config = limit.SlotsConfig{
 			Slots: rapid.IntRange(0, 7).Draw(t, "slots"), Queue: rapid.IntRange(0, 5).Draw(t, "queue"),
 		}
 		g.expire(t)
 		for _, ticket := range g.slots.Resize(g.config) {
-			g.run(t, ticket)
+			g.markRunning(t, ticket)
 		}
 	case 6:
 		g.expire(t)
 	}
 }
 
-func (g *gate) expire(t *rapid.T) {
+func (g *gateModel) expire(t *rapid.T) {
 	for _, ticket := range g.slots.Expire(g.now) {
 		if _, ok := g.waiting[ticket]; !ok {
 			t.Fatalf("got %d expired, want one that waits", ticket)
@@ -105,12 +105,13 @@
 	}
 }
 
-// Requests arrive, end, are cancelled and expire while operators edit slots.
-// A ticket lost by the gate would hang its caller; one run twice would double
-// a payroll entry; a slot lost would shrink the upstream until the restart.
-func TestSlotsConserve(t *testing.T) {
+// Requests arrive, complete, are cancelled and expire while operators change the number of
+// slots. A lost ticket would leave its caller without an answer, a ticket that runs twice
+// would repeat a payroll entry, and a lost slot would reduce the upstream's capacity until
+// a restart.
+func TestSlotsLoseNoTicketOrSlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := &gate{config: limit.SlotsConfig{Slots: 3, Queue: 4}, waiting: make(map[uint64]clock.Millis)}
+		g := &gateModel{config: limit.SlotsConfig{Slots: 3, Queue: 4}, waiting: make(map[uint64]clock.Millis)}
 		g.slots = limit.NewSlots(g.config)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			g.step(t)
@@ -129,8 +130,9 @@
 	})
 }
 
-// busy returns Slots that serve one request in 20 ms each and have learnt so.
-func busy(c limit.SlotsConfig) (*limit.Slots, clock.Millis) {
+// newBusySlots returns Slots that are all in use, after enough requests of 20 ms for a
+// reliable estimate of the service time, and the current instant.
+func newBusySlots(c limit.SlotsConfig) (*limit.Slots, clock.Millis) {
 	s, now := limit.NewSlots(c), clock.Millis(0)
 	for range 100 {
 		for range c.Slots {
@@ -147,17 +149,17 @@
 	return s, now
 }
 
-// A roster request with 25 ms left is queued behind 20 ms of others. Were it
-// taken, it would be cut off while it runs: a slot is wasted and the caller
-// told "unknown". It must be told "not run" at once, and when to come back.
-func TestSlotsRefuseWhatCannotBeReached(t *testing.T) {
-	s, now := busy(limit.SlotsConfig{Slots: 2, Queue: 3, Seed: 1})
+// A request with 25 ms left would wait behind 20 ms of other work. If it were accepted, it
+// would be cut off while it runs: the slot is wasted and the caller gets the outcome
+// unknown. It must be refused immediately, as not run and with a retry time.
+func TestSlotsRefuseUnreachableDeadlines(t *testing.T) {
+	s, now := newBusySlots(limit.SlotsConfig{Slots: 2, Queue: 3, Seed: 1})
 	if got := s.AcquireUntil(now, 1, now+25).Result; got != limit.Late {
 		t.Errorf("25 ms left: got %v, want Late", got)
 	}
 	for ticket := range uint64(3) {
 		if got := s.AcquireUntil(now, ticket+2, now+75).Result; got != limit.Wait {
-			t.Errorf("75 ms left, place %d: got %v, want Wait", ticket, got)
+			t.Errorf("75 ms left, queue position %d: got %v, want Wait", ticket, got)
 		}
 	}
 	if got := s.AcquireUntil(now, 5, now+clock.Second).Result; got != limit.Full {
@@ -167,15 +169,15 @@
 		t.Errorf("15 ms left: got ticket %d, want none run", ticket)
 	}
 	if got := s.Expire(now + 60); len(got) != 3 {
-		t.Errorf("got %v expired, want the 3 passed over", got)
+		t.Errorf("got %v expired, want the 3 skipped", got)
 	}
 }
 
-// The gate's process is paused for an hour with its slots in use, or its first
-// request is slow. Taken for the time that requests need, either would have
-// the queue refuse everyone for minutes with an upstream that is well.
-func TestSlotsKeepTheirQueue(t *testing.T) {
-	paused, now := busy(limit.SlotsConfig{Slots: 2, Queue: 3})
+// The gate's process is paused for an hour while slots are in use, or the first request is
+// slow. If either raised the estimate of the service time, the queue would refuse all
+// requests for minutes although the upstream is healthy.
+func TestPauseOrSlowRequestKeepsQueueOpen(t *testing.T) {
+	paused, now := newBusySlots(limit.SlotsConfig{Slots: 2, Queue: 3})
 	paused.Expire(now + clock.Hour)
 	slow := limit.NewSlots(limit.SlotsConfig{Slots: 1, Queue: 3})
 	slow.AcquireUntil(clock.Hour, 1, 2*clock.Hour)
@@ -190,11 +192,11 @@
 	}
 }
 
-// Sixty callers are refused in one millisecond of a morning's rush. Were all
-// told the same span, they would come back as the same rush; they must come
-// back at the rate at which the upstream drains, here one each 10 ms.
-func TestRetryAfterSpreadsTheRefused(t *testing.T) {
-	s, now := busy(limit.SlotsConfig{Slots: 2, Queue: 2, Seed: 1})
+// Sixty callers are refused in the same millisecond. If all were told the same delay, they
+// would return together; they must return at the rate at which the upstream completes
+// requests, here one every 10 ms.
+func TestRetryAfterSpreadsRefusedCallers(t *testing.T) {
+	s, now := newBusySlots(limit.SlotsConfig{Slots: 2, Queue: 2, Seed: 1})
 	s.AcquireUntil(now, 1, now+clock.Second)
 	s.AcquireUntil(now, 2, now+clock.Second)
 	count := make(map[clock.Millis]int)
@@ -203,7 +205,7 @@
 	}
 	for tenth, got := range count {
 		if got > 15 {
-			t.Errorf("from %v ms: got %d callers told to come back in 100 ms, want at most 15", 100*tenth, got)
+			t.Errorf("from %v ms: got %d callers told to retry in 100 ms, want at most 15", 100*tenth, got)
 		}
 	}
 	if got := len(count); got < 6 {
@@ -211,8 +213,8 @@
 	}
 }
 
-// An upstream's process is replaced while three requests run there and one waits. The
-// runs ended with it: kept as running, they would leave the new process idle.
+// An upstream's process is replaced while three requests run there and one waits. The runs
+// ended with the old process: if they kept their slots, the new process would be idle.
 func TestRestartFreesTheSlotsOfRuns(t *testing.T) {
 	s := limit.NewSlots(limit.SlotsConfig{Slots: 3, Queue: 4})
 	for ticket := range uint64(4) {
