--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -14,25 +14,27 @@
 
 var objective = table.Objective{Availability: 0.999, Latency: 250, LatencyRatio: 0.99}
 
-// feed counts one sample a second over the span; each one in badEvery fails.
-func feed(m *burn.Meter, from, span clock.Millis, badEvery int) clock.Millis {
+// addSamples adds one sample per second over the span and returns its end. One in failEvery
+// samples fails, none if it is 0.
+func addSamples(m *burn.Meter, from, span clock.Millis, failEvery int) clock.Millis {
 	end := from + span
 	for i := 0; from < end; i++ {
-		s := burn.Sample{Upstream: "bacheca-4", Reason: "failed", Failed: badEvery > 0 && i%badEvery == 0}
+		s := burn.Sample{Upstream: "bacheca-4", Reason: "failed", Failed: failEvery > 0 && i%failEvery == 0}
 		m.Add(from, "bacheca", s)
 		from += clock.Second
 	}
 	return end
 }
 
-func TestJudgeAlerts(t *testing.T) {
+// Alerts must fire at their burn rates and clear after recovery, and not on a few requests.
+func TestEvaluateAlerts(t *testing.T) {
 	tests := []struct {
-		name  string
-		calm  clock.Millis
-		sick  clock.Millis
-		every int
-		after clock.Millis
-		want  []string
+		name      string
+		healthy   clock.Millis
+		failing   clock.Millis
+		failEvery int
+		recovered clock.Millis
+		want      []string
 	}{
 		{"calm", 6 * clock.Hour, 0, 0, 0, nil},
 		{"all fails for ten minutes", 6 * clock.Hour, 10 * clock.Minute, 1, 0, []string{"fast", "steady", "slow"}},
@@ -45,9 +47,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			m := burn.NewMeter(burn.Config{})
-			now := feed(m, 0, tt.calm, 0)
-			now = feed(m, now, tt.sick, tt.every)
-			now = feed(m, now, tt.after, 0)
+			now := addSamples(m, 0, tt.healthy, 0)
+			now = addSamples(m, now, tt.failing, tt.failEvery)
+			now = addSamples(m, now, tt.recovered, 0)
 			var got []string
 			for _, a := range burn.Evaluate(objective, m.Windows(now, now, "bacheca")).Alerts {
 				got = append(got, a.Name)
@@ -59,28 +61,31 @@
 	}
 }
 
-func TestJudgeRatesAndBudget(t *testing.T) {
+// Burn rates and the budget left must be computed from shares of bad requests: 2 failed of
+// 1,000, and 20 slow of the 998 answered.
+func TestEvaluateRatesAndBudget(t *testing.T) {
 	m := burn.NewMeter(burn.Config{})
 	for i := range 1000 {
 		m.Add(clock.Millis(i), "bacheca", burn.Sample{Failed: i < 2, Slow: i >= 2 && i < 22, Upstream: "bacheca-4", Reason: "failed"})
 	}
-	v := burn.Evaluate(objective, m.Windows(clock.Second, clock.Second, "bacheca"))
-	if got, want := v.Rates[0].Availability, 2.0; math.Abs(got-want) > 1e-6 {
+	e := burn.Evaluate(objective, m.Windows(clock.Second, clock.Second, "bacheca"))
+	if got, want := e.Rates[0].Availability, 2.0; math.Abs(got-want) > 1e-6 {
 		t.Errorf("got availability burn %v, want %v", got, want)
 	}
-	if got, want := v.Rates[0].Latency, 20.0/998/0.01; math.Abs(got-want) > 1e-6 {
+	if got, want := e.Rates[0].Latency, 20.0/998/0.01; math.Abs(got-want) > 1e-6 {
 		t.Errorf("got latency burn %v, want %v", got, want)
 	}
-	if got, want := v.Budgets[0].Left, -1.0; math.Abs(got-want) > 1e-6 {
+	if got, want := e.Budgets[0].Left, -1.0; math.Abs(got-want) > 1e-6 {
 		t.Errorf("got budget left %v, want %v", got, want)
 	}
-	if got, want := v.Rates[3].Covered, clock.Second; got != want {
+	if got, want := e.Rates[3].Covered, clock.Second; got != want {
 		t.Errorf("got %v covered, want %v", got, want)
 	}
 }
 
-// A report that forgot to forget would show an outage of last week as burning.
-func TestWindowsForget(t *testing.T) {
+// Windows must drop samples older than their span, or a report would show last week's
+// outage as a current one.
+func TestWindowsDropOldSamples(t *testing.T) {
 	m := burn.NewMeter(burn.Config{})
 	m.Add(0, "bacheca", burn.Sample{Failed: true})
 	for i, want := range []uint64{0, 0, 1, 1} {
@@ -94,8 +99,9 @@
 	}
 }
 
-// Causes and services beyond their bounds must not vanish from the sums.
-func TestBoundsKeepSums(t *testing.T) {
+// Samples whose cause or service is beyond a bound must stay in the totals, as Other or as
+// unmetered.
+func TestBoundsKeepTotals(t *testing.T) {
 	m := burn.NewMeter(burn.Config{Causes: 8, Services: 1})
 	for i := range 50 {
 		m.Add(0, "bacheca", burn.Sample{Failed: true, Upstream: string(rune('a' + i))})
@@ -114,7 +120,7 @@
 	}
 }
 
-// Two nodes that share a service's requests report, merged, what one would.
+// The merged windows of two nodes must equal those of one node that counted all samples.
 func TestMergeEqualsOneMeter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, left, right := burn.NewMeter(burn.Config{}), burn.NewMeter(burn.Config{}), burn.NewMeter(burn.Config{})
--- a/burn/window.go
+++ b/burn/window.go
@@ -7,16 +7,16 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Kind names one of the two promises of an objective.
+// Kind names one of the two targets of an objective.
 type Kind string
 
-// The kinds.
+// The kinds of targets.
 const (
 	Availability Kind = "availability"
 	Latency      Kind = "latency"
 )
 
-// Cause is what spent budget.
+// Cause is why a request was bad: the target it missed, its upstream and the reason.
 type Cause struct {
 	Kind     Kind   `json:"kind"`
 	Upstream string `json:"upstream"`
@@ -30,29 +30,30 @@
 	Count uint64 `json:"count"`
 }
 
-// Point counts the requests of one slice of a window.
+// Point counts the requests of one bucket of a window.
 type Point struct {
-	// Slice is 0 for the newest, still filling slice and 12 for the oldest.
+	// Slice is the bucket's age: 0 for the newest, still filling bucket, 12 for the oldest.
 	Slice  int    `json:"slice"`
 	Total  uint64 `json:"total"`
 	Failed uint64 `json:"failed"`
 	Slow   uint64 `json:"slow"`
 }
 
-// Window counts a service's requests over a span back from now.
+// Window counts a service's requests over the last Span.
 type Window struct {
 	Span clock.Millis `json:"span"`
-	// Covered is the part of Span that the longest-lived node counted, Least
-	// the part that the youngest did.
+	// Covered is the part of Span that the node with the longest uptime counted,
+	// MinCovered the part that the node with the shortest uptime counted.
 	Covered    clock.Millis `json:"covered"`
 	MinCovered clock.Millis `json:"least"`
-	// Total counts requests but for those that failed by a caller's fault.
+	// Total counts all requests but those that failed through their caller's fault.
 	Total  uint64 `json:"total"`
 	Failed uint64 `json:"failed"`
 	Slow   uint64 `json:"slow"`
-	// Causes is sorted, the largest first; what a bound left out is in Other.
+	// Causes is sorted, the largest count first. Requests counted without their cause are
+	// under Other.
 	Causes []CauseCount `json:"causes"`
-	// Series holds the slices that had requests, the newest first.
+	// Series holds the buckets that have requests, the newest first.
 	Series []Point `json:"series"`
 }
 
@@ -61,7 +62,8 @@
 	return w.Total - w.Failed
 }
 
-// windowSum adds up a window. Slices are kept by number, causes by themselves.
+// windowSum adds up the buckets of a window, or the windows of several nodes. It keeps
+// slices by their age (Point.Slice) and counts by their cause.
 type windowSum struct {
 	Window
 
@@ -69,14 +71,14 @@
 	slices [bucketsPerWindow + 1]Point
 }
 
-func newSum(span, covered, least clock.Millis) *windowSum {
+func newSum(span, covered, minCovered clock.Millis) *windowSum {
 	return &windowSum{
-		Window: Window{Span: span, Covered: covered, MinCovered: least},
+		Window: Window{Span: span, Covered: covered, MinCovered: minCovered},
 		causes: make(map[Cause]uint64),
 	}
 }
 
-// addPoint adds the requests of a slice.
+// addPoint adds the requests of one point.
 func (s *windowSum) addPoint(p Point) {
 	s.Total += p.Total
 	s.Failed += p.Failed
@@ -89,8 +91,8 @@
 	}
 }
 
-// addBucket adds a bucket that is so many slices old. What its causes leave out,
-// for want of room, is counted as Other.
+// addBucket adds a bucket; age is the number of buckets that are newer. Bad requests that
+// the bucket counted without their cause are added as Other.
 func (s *windowSum) addBucket(b *bucket, age int) {
 	p := Point{Slice: age, Total: uint64(b.total), Failed: uint64(b.failed), Slow: uint64(b.slow)}
 	s.addPoint(p)
@@ -113,7 +115,7 @@
 	}
 }
 
-// window returns the sum, in order.
+// window returns the sum with sorted causes and series.
 func (s *windowSum) window() Window {
 	w := s.Window
 	w.Causes = make([]CauseCount, 0, len(s.causes))
@@ -138,8 +140,8 @@
 	return w
 }
 
-// Merge adds up the windows that nodes counted for one service. Nodes cut
-// their slices by their own clocks, so that slices match within one slice.
+// Merge adds up the windows that nodes counted for one service. Each node's buckets follow
+// its own clock, so merged buckets may be offset by up to one bucket.
 func Merge(nodes ...[]Window) []Window {
 	var sums []*windowSum
 	for _, windows := range nodes {
