--- a/embedding/embedding.go
+++ b/embedding/embedding.go
@@ -1,4 +1,4 @@
-// Package embedding shows, as runnable examples, how a plain Go program uses
-// the decision packages without this project's daemons. It has no code of its
-// own: the page docs/embedding.md explains the examples in its test files.
+// Package embedding shows how a Go program uses the decision packages without this
+// project's daemon. It holds only runnable examples, in its test files, which the page
+// docs/embedding.md explains.
 package embedding
--- a/embedding/example_balancer_test.go
+++ b/embedding/example_balancer_test.go
@@ -14,35 +14,35 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// timeSource is a clock.System in a program and a clock.Manual in this example.
+// timeSource is a clock.System in a program, and a clock.Manual in this example.
 type timeSource interface {
 	Now() clock.Millis
 }
 
-// balancer spreads the requests of one service. It brings what the decision
-// packages leave to their caller: a lock, a clock, seeds and the I/O.
+// balancer distributes the requests of one service to its servers. It provides what the
+// decision packages leave to their caller: a lock, a clock, seeds and the I/O.
 type balancer struct {
 	clock    timeSource
 	deadline clock.Millis
 	floor    float64
 	quota    float64
-	// send is the I/O: it blocks until an answer or the end of the budget.
-	send func(server string, budget clock.Millis) health.Result
+	// send does the I/O: it blocks until an answer or the timeout.
+	send func(server string, timeout clock.Millis) health.Result
 
-	mu       sync.Mutex // guards what follows
-	rates    *limit.Rates
-	chooser  *choice.Chooser
-	budget   *retry.Budget
-	servers  []*server
-	outcomes int
-	retries  int
-	journal  func(server string, s health.Status)
+	mu            sync.Mutex // guards the fields below
+	rates         *limit.Rates
+	chooser       *choice.Chooser
+	budget        *retry.Budget
+	servers       []*server
+	outcomes      int
+	retries       int
+	onStateChange func(server string, s health.Status)
 }
 
-// server is one upstream with its verdict.
+// server is one upstream with its failure detector.
 type server struct {
 	name     string
-	judge    *health.Detector
+	detector *health.Detector
 	state    health.State
 	inFlight int
 }
@@ -50,12 +50,12 @@
 const (
 	weight = 100
 	slots  = 3
-	// baselineInterval is how many outcomes pass between two looks at what is usual.
+	// baselineInterval is the number of outcomes between two updates of the baselines.
 	baselineInterval = 20
 )
 
-// newBalancer takes a seed, which a program draws anew for each process: two
-// processes with one seed would make the same choices.
+// newBalancer returns a balancer for the named servers. A program draws a random seed for
+// each process: two processes with the same seed would make the same choices.
 func newBalancer(source timeSource, seed uint64, names ...string) *balancer {
 	b := &balancer{
 		clock:    source,
@@ -67,19 +67,20 @@
 		budget:   retry.New(retry.Config{Share: 0.1, Seed: seed}),
 	}
 	for i, name := range names {
-		judge := health.New(health.Config{Caution: table.Fast, Seed: seed + uint64(i)})
-		b.servers = append(b.servers, &server{name: name, judge: judge})
+		detector := health.New(health.Config{Caution: table.Fast, Seed: seed + uint64(i)})
+		b.servers = append(b.servers, &server{name: name, detector: detector})
 	}
 	return b
 }
 
-// request is what a caller wants. A repeatable one may run more than once.
+// request is a caller's request. A repeatable request may run more than once.
 type request struct {
 	caller     string
 	repeatable bool
 }
 
-// serve sends a request until it is answered or must not be sent again.
+// serve sends a request until it is answered or must not be retried. It reports whether the
+// request was answered.
 func (b *balancer) serve(r request) bool {
 	until := b.clock.Now() + b.deadline
 	if !b.admit(r) {
@@ -87,12 +88,12 @@
 	}
 	tried := make([]bool, len(b.servers))
 	for attempts := 1; ; attempts++ {
-		s, budget, ok := b.pick(r, tried, until)
+		s, timeout, ok := b.pickServer(r, tried, until)
 		if !ok {
 			return false
 		}
 		began := b.clock.Now()
-		result := b.send(s.name, budget) // without the lock
+		result := b.send(s.name, timeout) // without the lock
 		if b.recordResult(s, r, result, b.clock.Now()-began) {
 			return true
 		}
@@ -102,6 +103,7 @@
 	}
 }
 
+// admit reports whether the caller is within its request rate, and counts the request.
 func (b *balancer) admit(r request) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,12 +112,13 @@
 	return b.rates.Allow(now, "conferme", 0, r.caller, b.quota).OK
 }
 
-// pick chooses a server and the time that the attempt may take.
-func (b *balancer) pick(r request, tried []bool, until clock.Millis) (*server, clock.Millis, bool) {
+// pickServer chooses a server not yet tried, and the timeout of the attempt. It returns
+// false if none is left.
+func (b *balancer) pickServer(r request, tried []bool, until clock.Millis) (*server, clock.Millis, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	uses, candidates := b.view(now)
+	uses, candidates := b.evaluateServers(now)
 	for {
 		i, ok := b.chooser.Choose(candidates, func(i int) bool { return tried[i] })
 		if !ok {
@@ -123,20 +126,21 @@
 		}
 		tried[i] = true
 		s := b.servers[i]
-		// A forced server serves in spite of its verdict, for the floor's sake.
-		// Any other is asked, for one on trial has few places.
-		if uses[i] == floor.Forced || s.judge.Admit(now, r.repeatable) {
+		// A forced server is used although it is ejected, to keep the floor. For any
+		// other server the detector decides: it admits only some requests during a trial.
+		if uses[i] == floor.Forced || s.detector.Admit(now, r.repeatable) {
 			s.inFlight++
-			return s, min(until-now, s.judge.OverdueAfter()), true
+			return s, min(until-now, s.detector.OverdueAfter()), true
 		}
 	}
 }
 
-// view is what floor and choice are to know of the servers.
-func (b *balancer) view(now clock.Millis) ([]floor.Use, []choice.Candidate) {
+// evaluateServers returns the use that the floor allows of each server, and the candidates
+// for choice.
+func (b *balancer) evaluateServers(now clock.Millis) ([]floor.Use, []choice.Candidate) {
 	members := make([]floor.Member, len(b.servers))
 	for i, s := range b.servers {
-		status := s.judge.Status(now)
+		status := s.detector.Status(now)
 		members[i] = floor.Member{
 			Capacity: weight * slots,
 			Ejected:  status.State == health.Ejected || status.State == health.Trial,
@@ -146,7 +150,7 @@
 	uses := floor.Decide(nil, b.floor, members)
 	candidates := make([]choice.Candidate, len(b.servers))
 	for i, s := range b.servers {
-		status := s.judge.Status(now)
+		status := s.detector.Status(now)
 		candidates[i] = choice.Candidate{
 			Domain: "palermo", Weight: weight, Slots: slots, InFlight: s.inFlight, Share: status.Share,
 			Usable: uses[i] == floor.Normal || uses[i] == floor.Forced || status.State == health.Trial,
@@ -155,16 +159,17 @@
 	return uses, candidates
 }
 
-// recordResult tells the judge what became of an attempt.
+// recordResult records the result of an attempt in the server's detector. It reports
+// whether the request was answered.
 func (b *balancer) recordResult(s *server, r request, result health.Result, took clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	s.inFlight--
-	s.judge.Observe(now, health.Observation{Result: result, Latency: took, Caller: r.caller})
-	if status := s.judge.Status(now); status.State != s.state {
+	s.detector.Observe(now, health.Observation{Result: result, Latency: took, Caller: r.caller})
+	if status := s.detector.Status(now); status.State != s.state {
 		s.state = status.State
-		b.journal(s.name, status)
+		b.onStateChange(s.name, status)
 	}
 	if b.outcomes++; b.outcomes%baselineInterval == 0 {
 		b.updateBaselines()
@@ -172,20 +177,20 @@
 	return result == health.Good
 }
 
-// updateBaselines tells each judge what is usual, so that a fault common to all servers
-// sets none of them aside.
+// updateBaselines gives each detector the median baseline of the servers, so that a fault
+// common to all servers ejects none of them.
 func (b *balancer) updateBaselines() {
-	own := make([]health.Baseline, 0, len(b.servers))
+	baselines := make([]health.Baseline, 0, len(b.servers))
 	for _, s := range b.servers {
-		own = append(own, s.judge.LocalBaseline())
+		baselines = append(baselines, s.detector.LocalBaseline())
 	}
-	usual := health.Median(own)
+	median := health.Median(baselines)
 	for _, s := range b.servers {
-		s.judge.SetBaseline(usual)
+		s.detector.SetBaseline(median)
 	}
 }
 
-// shouldRetry asks the budget whether a failed request is sent once more.
+// shouldRetry reports whether the budget allows a retry of the request.
 func (b *balancer) shouldRetry(r request, result health.Result, attempts int, until clock.Millis) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -199,18 +204,19 @@
 		kind = retry.NoResponse
 	default:
 	}
-	d := b.budget.Decide(now, retry.Attempt{
+	decision := b.budget.Decide(now, retry.Attempt{
 		Result: kind, RefusedForLoad: result == health.Shed, Repeatable: r.repeatable,
 		Attempts: attempts, Remaining: until - now, Untried: len(b.servers) - attempts,
 	})
-	if d.Retry {
+	if decision.Retry {
 		b.retries++
 	}
-	return d.Retry
+	return decision.Retry
 }
 
-// Six backend servers answer in 15 to 25 ms. After a minute one of them fails
-// three requests in ten and goes on answering the others: a gray failure.
+// Six backend servers answer in 15 to 25 ms. After a minute, one of them fails three of ten
+// requests and still answers the others (a gray failure). It must be ejected before
+// many requests fail or are retried.
 func Example_balancer() {
 	var now clock.Manual
 	random := rand.New(rand.NewPCG(1, 2))
@@ -222,10 +228,10 @@
 		}
 		return health.Good
 	}
-	aside := map[string]bool{}
-	b.journal = func(server string, s health.Status) {
-		if s.State == health.Ejected && !aside[server] {
-			aside[server] = true
+	ejected := map[string]bool{}
+	b.onStateChange = func(server string, s health.Status) {
+		if s.State == health.Ejected && !ejected[server] {
+			ejected[server] = true
 			fmt.Println("set aside:", server)
 		}
 	}
--- a/embedding/example_floor_test.go
+++ b/embedding/example_floor_test.go
@@ -6,8 +6,8 @@
 	"fuchsiapick.example/fuchsiapick/floor"
 )
 
-// Four of six upstreams are found sick, the floor is half of the capacity: the
-// worst three are set aside, and the least sick one stays in use.
+// Four of six upstreams fail, and the floor is half of the capacity: the three with the
+// highest severity are ejected, and the one with the lowest stays in use.
 func Example_floor() {
 	severities := []float64{0, 0.9, 0.4, 0.7, 0, 0.8}
 	members := make([]floor.Member, 0, len(severities))
--- a/embedding/example_lease_test.go
+++ b/embedding/example_lease_test.go
@@ -8,60 +8,61 @@
 	"fuchsiapick.example/fuchsiapick/lease"
 )
 
-// worker stands beside a backend server. A sender reaches it over a network
-// that may delay, repeat and lose.
+// worker runs next to a backend server. Senders reach it over a network that may delay,
+// duplicate and lose messages.
 type worker struct {
-	// clock is the worker's own. It needn't agree with that of any sender.
+	// clock needn't agree with the clock of any sender.
 	clock       clock.Manual
 	incarnation uint64 // drawn at random at each start of the process
 
-	mu    sync.Mutex // guards fence
-	fence *lease.Deduplicator[string]
-	ran   int
+	mu           sync.Mutex // guards deduplicator
+	deduplicator *lease.Deduplicator[string]
+	runs         int
 }
 
 func newWorker(incarnation uint64, started clock.Millis) *worker {
-	w := &worker{incarnation: incarnation, fence: lease.NewDeduplicator[string](incarnation)}
+	w := &worker{incarnation: incarnation, deduplicator: lease.NewDeduplicator[string](incarnation)}
 	w.clock.Advance(started)
 	return w
 }
 
-// dispatch is a message with a request, over the sender's own protocol.
+// dispatch is a message with a request, in the sender's protocol.
 type dispatch struct {
 	key         lease.Key
 	incarnation uint64
 	lease       clock.Millis
 }
 
-// receive runs a request unless the fence refuses it. Begin is asked under the
-// lock, right before the run: after that, not run is never said of it.
+// receive runs a request unless the deduplicator refuses it, and describes the result. It
+// calls Begin under the lock, right before the run: after Begin, the worker never reports the
+// request as not run.
 func (w *worker) receive(d dispatch) string {
 	w.mu.Lock()
-	verdict := w.fence.Accept(w.clock.Now(), d.key, d.incarnation, d.lease)
+	verdict := w.deduplicator.Accept(w.clock.Now(), d.key, d.incarnation, d.lease)
 	if verdict != lease.Fresh {
 		w.mu.Unlock()
 		return map[lease.Verdict]string{
 			lease.Stale: "stale, not run", lease.Revoked: "voided, not run", lease.Duplicate: "duplicate, dropped",
 		}[verdict]
 	}
-	begun := w.fence.Begin(w.clock.Now(), d.key)
+	begun := w.deduplicator.Begin(w.clock.Now(), d.key)
 	w.mu.Unlock()
 	if !begun {
 		return "not run"
 	}
-	w.ran++ // the I/O, without the lock
+	w.runs++ // the I/O, without the lock
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fence.Finish(d.key, "recorded")
+	w.deduplicator.Finish(d.key, "recorded")
 	return "run"
 }
 
-// resolve says what became of a dispatch, and voids it if it hasn't begun.
+// resolve describes the outcome of a dispatch, and revokes it if it hasn't begun.
 func (w *worker) resolve(d dispatch) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	what, result := w.fence.Resolve(w.clock.Now(), d.key, d.incarnation, d.lease)
-	switch what {
+	state, result := w.deduplicator.Resolve(w.clock.Now(), d.key, d.incarnation, d.lease)
+	switch state {
 	case lease.NotRun:
 		return "not run and never will be: may go elsewhere"
 	case lease.Done:
@@ -73,27 +74,28 @@
 	}
 }
 
-// answerTime is how long a sender waits for an answer before it settles.
-const answerTime = clock.Second / 2
+// replyTimeout is how long a sender waits for an answer before it resolves the outcome.
+const replyTimeout = clock.Second / 2
 
-// sender gives each dispatch a lease in terms of the worker's clock, which it
-// estimates from the times that it hears.
+// sender gives each dispatch a lease that ends at an instant of the worker's clock. It
+// estimates that clock from the instants that it receives.
 type sender struct {
 	clock    clock.Manual
 	estimate lease.ClockEstimate
 	seq      uint64
 }
 
+// dispatch returns the next dispatch, with a key that is used once.
 func (s *sender) dispatch() dispatch {
 	s.seq++
 	return dispatch{
 		key:         lease.Key{Entry: 1, Seq: s.seq, Attempt: 1},
 		incarnation: s.estimate.Incarnation(),
-		lease:       s.estimate.At(s.clock.Now()) + answerTime,
+		lease:       s.estimate.At(s.clock.Now()) + replyTimeout,
 	}
 }
 
-// A payroll entry must be recorded once, whatever the network does.
+// No payroll entry may be recorded twice, whatever the network does.
 func Example_lease() {
 	w, s := newWorker(7, 90*clock.Minute), &sender{}
 	s.estimate.Update(s.clock.Now(), w.incarnation, w.clock.Now())
@@ -114,7 +116,7 @@
 	fourth := s.dispatch()
 	replaced := newWorker(8, 0)
 	fmt.Println("the worker was replaced:", replaced.resolve(fourth))
-	fmt.Println("runs:", w.ran+replaced.ran)
+	fmt.Println("runs:", w.runs+replaced.runs)
 	// Output:
 	// arrives: run
 	// arrives twice: duplicate, dropped
--- a/embedding/example_path_test.go
+++ b/embedding/example_path_test.go
@@ -9,37 +9,38 @@
 
 const heartbeatInterval = clock.Second / 2
 
-// A one-way partition: this process goes on hearing a peer that no longer hears
-// it. The peer's beats say when it last heard from here, which gives it away.
-// The program sends the beats, and opens a new connection when Redial says so.
+// In a one-way partition, this process receives the messages of a peer that doesn't receive
+// those of this process. The detector finds this from the peer's heartbeats, which say when
+// the peer last received a message. The program sends the heartbeats, and opens a new
+// connection when ShouldDial says so.
 func Example_path() {
 	var now clock.Manual
-	j := path.New(path.Config{HeartbeatInterval: heartbeatInterval, Seed: 1})
+	d := path.New(path.Config{HeartbeatInterval: heartbeatInterval, Seed: 1})
 	names := map[path.State]string{path.Good: "good", path.Suspected: "doubted", path.Lost: "lost"}
 	last := ""
-	j.ShouldDial(now.Now())
-	j.Opened(now.Now())
+	d.ShouldDial(now.Now())
+	d.Opened(now.Now())
 	for now.Now() < 20*clock.Second {
 		now.Advance(heartbeatInterval)
 		open := now.Now() < 5*clock.Second || now.Now() > 10*clock.Second
-		heard := now.Now() // when the peer last heard from here
+		echoed := now.Now() // when the peer last received a message from this process
 		if !open {
-			heard = 5*clock.Second - heartbeatInterval
+			echoed = 5*clock.Second - heartbeatInterval
 		}
-		j.Received(now.Now())
-		j.Echoed(now.Now(), heard)
-		state := names[j.State(now.Now())]
+		d.Received(now.Now())
+		d.Echoed(now.Now(), echoed)
+		state := names[d.State(now.Now())]
 		if state != last {
 			fmt.Println(state)
 			last = state
 		}
-		if !j.ShouldDial(now.Now()) {
+		if !d.ShouldDial(now.Now()) {
 			continue
 		}
 		if open {
-			j.Opened(now.Now())
+			d.Opened(now.Now())
 		} else {
-			j.Failed(now.Now())
+			d.Failed(now.Now())
 		}
 	}
 	// Output:
--- a/embedding/example_slots_test.go
+++ b/embedding/example_slots_test.go
@@ -7,8 +7,8 @@
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
-// One backend server serves one request at once; one more may wait. The
-// program keeps the tickets of those that wait, and sets a timer for Expire.
+// A backend server runs one request at a time, and one more may wait. The program keeps the
+// tickets of waiting requests, and calls Expire from a timer (not shown).
 func Example_slots() {
 	var now clock.Manual
 	s := limit.NewSlots(limit.SlotsConfig{Slots: 1, Queue: 1, Seed: 1})
