--- a/retry/quota.go
+++ b/retry/quota.go
@@ -7,8 +7,8 @@
 	// covers calls that a repeated run makes again: at the called service they are
 	// retries, but can't be distinguished from first calls.
 	GrantedShare = 0.55
-	// likelyFailureShare is the part of a quota that retries which will more likely
-	// fail than succeed may use, so that they can't use all of it.
+	// likelyFailureShare is the part of a quota that is open to retries that are more
+	// likely to fail than to succeed, so that they can't use all of it.
 	likelyFailureShare = 0.5
 	// restartShare is the part of Extra that a quota younger than its window may use:
 	// the process that ran before may have spent its own quota just before it was
