--- a/quarantine/request.go
+++ b/quarantine/request.go
@@ -1,9 +1,11 @@
-// Package quarantine finds requests that crash the backend servers which run them. It goes
-// by the ends of processes with what ran there, and by runs that came to an end: the same
-// request again and again under ends, and never at its own end, is to be sent no more.
+// Package quarantine finds requests that crash the backend servers which run them. Its
+// evidence is the crashes of processes, with the requests that were running, and the requests
+// that complete: a request that is running at crash after crash and never completes is
+// quarantined and not sent any more.
 //
-// It does no I/O, knows no clock and starts no goroutine. A Register is one node's view;
-// those of all nodes agree once they have the same ends, in whatever order these came.
+// The package does no I/O, reads no clock and starts no goroutine. A Registry is one node's
+// view; the registries of all nodes agree once they hold the same crashes, in whatever order
+// they received them.
 package quarantine
 
 import (
@@ -11,15 +13,15 @@
 	"encoding/hex"
 )
 
-// Fingerprint tells requests apart by what a backend server gets of them.
+// Fingerprint identifies a request by what a backend server receives of it.
 type Fingerprint [16]byte
 
-// String writes the fingerprint in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f[:])
 }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses the output of String. It returns false for any other text.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	var f Fingerprint
 	if len(text) != hex.EncodedLen(len(f)) {
@@ -29,24 +31,24 @@
 	return f, err == nil
 }
 
-// Request is what makes a request the same as another, whatever their ids.
+// Request has the parts by which two requests count as the same, whatever their ids.
 type Request struct {
 	Caller string
 	Method string
-	// Host is that of the request's route; empty for a route of all hosts.
+	// Host is the host of the request's route; empty for a route that matches all hosts.
 	Host []byte
-	// URI is the path with the query.
+	// URI is the path and the query.
 	URI  string
 	Body []byte
 }
 
-// Fingerprint sums up the request. The hash is a cryptographic one: nobody can make a
-// request that is taken for somebody else's.
+// Fingerprint returns a hash of the request. The hash is cryptographic, so that no caller can
+// craft a request that is mistaken for another caller's.
 func (r *Request) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Caller), []byte(r.Method), r.Host, []byte(r.URI)} {
 		hash.Write(part)
-		hash.Write([]byte{'\n'}) // none of the parts can hold a line break
+		hash.Write([]byte{'\n'}) // no part can contain a line break
 	}
 	hash.Write(r.Body)
 	return Fingerprint(hash.Sum(nil)[:len(Fingerprint{})])
@@ -57,8 +59,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hint is a cheap hash without the body's bytes: requests whose hints differ aren't the
-// same, and most that aren't have another.
+// Hint returns a cheap hash that covers the length of the body but not its bytes. Requests
+// with different hints are different; different requests mostly have different hints.
 func (r *Request) Hint() uint64 {
 	hash := uint64(fnvOffset)
 	for _, part := range [3]string{r.Caller, r.Method, r.URI} {
--- a/quarantine/request_test.go
+++ b/quarantine/request_test.go
@@ -8,8 +8,8 @@
 	"fuchsiapick.example/fuchsiapick/quarantine"
 )
 
-// Guards against requests that differ in any part being taken for one another.
-func TestEachPartOfARequestTells(t *testing.T) {
+// Guards against requests that differ in any part having the same fingerprint.
+func TestFingerprintCoversEveryPart(t *testing.T) {
 	one := quarantine.Request{Caller: "van-1", Method: "GET", Host: []byte("a.example"), URI: "/x?n=1", Body: []byte("body")}
 	for name, change := range map[string]func(r *quarantine.Request){
 		"caller": func(r *quarantine.Request) { r.Caller = "van-2" },
@@ -25,20 +25,20 @@
 		other := one
 		change(&other)
 		if other.Fingerprint() == one.Fingerprint() {
-			t.Errorf("%s: got one fingerprint for both", name)
+			t.Errorf("%s: got equal fingerprints, want different ones", name)
 		}
 	}
 	again := one
 	again.Body = bytes.Clone(one.Body)
 	if again.Fingerprint() != one.Fingerprint() || again.Hint() != one.Hint() {
-		t.Error("got other fingerprints for the same request")
+		t.Error("got different fingerprints or hints for equal requests")
 	}
 	if f, ok := quarantine.ParseFingerprint(one.Fingerprint().String()); !ok || f != one.Fingerprint() {
-		t.Errorf("got %v %t, want the fingerprint that was written", f, ok)
+		t.Errorf("got %v %t, want the fingerprint that String wrote", f, ok)
 	}
 	for _, text := range []string{"", "9c41", "zz41d07be2a35f68c2d1a9e04b77f310", one.Fingerprint().String() + "00"} {
 		if _, ok := quarantine.ParseFingerprint(text); ok {
-			t.Errorf("got %q read as a fingerprint", text)
+			t.Errorf("got %q parsed as a fingerprint, want it rejected", text)
 		}
 	}
 }
