--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// Status returns how a request may be sent. A quarantined request whose quarantine is over is
-// suspected again.
+// Status returns how a request may be sent. A quarantined request whose quarantine is over
+// is suspected again.
 func (r *Registry) Status(now clock.Millis, f Fingerprint) Status {
 	wasCleared, isSuspect := r.suspects[f]
 	c, ok := r.cases[f]
@@ -184,8 +184,8 @@
 	return cases
 }
 
-// ChangedSince returns the crashes that changed in this registry after a sequence number, and
-// the number to pass in the next call. For 0, resolved crashes are left out.
+// ChangedSince returns the crashes that changed in this registry after a sequence number,
+// and the number to pass in the next call. For 0, resolved crashes are left out.
 func (r *Registry) ChangedSince(sequence uint64) ([]Crash, uint64) {
 	var changed []Crash
 	for _, c := range r.sortedCrashes() {
@@ -196,8 +196,8 @@
 	return changed, r.sequence
 }
 
-// Digest returns a hash of the unresolved crashes, 0 if there are none. Registries with equal
-// digests need not exchange crashes.
+// Digest returns a hash of the unresolved crashes, 0 if there are none. Registries with
+// equal digests need not exchange crashes.
 func (r *Registry) Digest() uint64 {
 	sum := uint64(0)
 	for _, c := range r.crashes {
@@ -240,8 +240,8 @@
 }
 
 // trim removes expired crashes and, if more than maxCrashes remain, those with the least
-// weight as evidence: first the resolved ones, then the oldest whose suspects ran at no other
-// crash.
+// weight as evidence: first the resolved ones, then the oldest whose suspects ran at no
+// other crash.
 func (r *Registry) trim(now clock.Millis) {
 	maps.DeleteFunc(r.crashes, func(_ uint64, c *record) bool { return isExpired(now, &c.Crash) })
 	if len(r.crashes) <= maxCrashes {
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -22,8 +22,8 @@
 	return r.Status(now, quarantine.Fingerprint{name}).Verdict
 }
 
-// newQuarantinedRegistry returns a registry in which request d is quarantined since its third
-// crash at 3 s.
+// newQuarantinedRegistry returns a registry in which request d is quarantined since its
+// third crash at 3 s.
 func newQuarantinedRegistry() *quarantine.Registry {
 	r := quarantine.NewRegistry()
 	r.Merge(3000, []quarantine.Crash{
@@ -32,8 +32,8 @@
 	return r
 }
 
-// Guards against a request that crashed three servers being sent to a fourth one, and against
-// a request that ran beside it being blamed for the same crashes.
+// Guards against a request that crashed three servers being sent to a fourth one, and
+// against a request that ran beside it being blamed for the same crashes.
 func TestThirdCrashQuarantinesOnlyTheCause(t *testing.T) {
 	r := quarantine.NewRegistry()
 	steps := []struct {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Guards against registries that differ by the order of their updates, and against a peer that
-// knows less not being sent what it lacks.
+// Guards against registries that differ by the order of their updates, and against a peer
+// that knows less not being sent what it lacks.
 func TestRegistriesAgreeInAnyOrder(t *testing.T) {
 	crashes := []quarantine.Crash{
 		newCrash(1, 1000, newSuspect('d', false), newSuspect('b', false)), newCrash(2, 2000, newSuspect('d', true)), newCrash(3, 3000, newSuspect('d', true), newSuspect('b', true)),
--- a/quarantine/request.go
+++ b/quarantine/request.go
@@ -1,7 +1,7 @@
 // Package quarantine finds requests that crash the backend servers which run them. Its
-// evidence is the crashes of processes, with the requests that were running, and the requests
-// that complete: a request that is running at crash after crash and never completes is
-// quarantined and not sent any more.
+// evidence is the crashes of processes, with the requests that were running, and the
+// requests that complete: a request that is running at crash after crash and never
+// completes is quarantined and not sent any more.
 //
 // The package does no I/O, reads no clock and starts no goroutine. A Registry is one node's
 // view; the registries of all nodes agree once they hold the same crashes, in whatever order
@@ -42,8 +42,8 @@
 	Body []byte
 }
 
-// Fingerprint returns a hash of the request. The hash is cryptographic, so that no caller can
-// craft a request that is mistaken for another caller's.
+// Fingerprint returns a hash of the request. The hash is cryptographic, so that no caller
+// can craft a request that is mistaken for another caller's.
 func (r *Request) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Caller), []byte(r.Method), r.Host, []byte(r.URI)} {
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -54,8 +54,8 @@
 }
 
 // Guards against sends of a fatal request after its third crash, and against refusals of
-// harmless ones, while messages are lost, nodes restart or are isolated, and servers crash by
-// themselves.
+// harmless ones, while messages are lost, nodes restart or are isolated, and servers crash
+// by themselves.
 func TestOnlyFatalRequestIsQuarantined(t *testing.T) {
 	for _, size := range []struct{ nodes, servers int }{{3, 4}, {6, 6}, {24, 9}, {113, 40}} {
 		for seed := range uint64(12) {
--- a/quarantine/simulator_test.go
+++ b/quarantine/simulator_test.go
@@ -67,9 +67,9 @@
 	onEnd       func(crashed bool)
 }
 
-// simulator simulates a fleet in virtual time: nodes with their registries, messages that are
-// delayed and lost, servers that crash under a fatal request and by themselves, and harmless
-// requests, one of them frequent.
+// simulator simulates a fleet in virtual time: nodes with their registries, messages that
+// are delayed and lost, servers that crash under a fatal request and by themselves, and
+// harmless requests, one of them frequent.
 type simulator struct {
 	random          *rand.Rand
 	disabled        string
@@ -157,14 +157,16 @@
 	})
 }
 
-// exchangeWithPeers has each node exchange crashes with three random nodes, as heartbeats do.
+// exchangeWithPeers has each node exchange crashes with three random nodes, as heartbeats
+// do.
 func (sim *simulator) exchangeWithPeers() {
 	for node := range sim.nodes {
 		sim.exchange(node, 3)
 	}
 }
 
-// exchange merges the crashes of a node with those of random other nodes, in both directions.
+// exchange merges the crashes of a node with those of random other nodes, in both
+// directions.
 func (sim *simulator) exchange(node, count int) {
 	if sim.disabled == disableUpdates || sim.disabled == disableExchange || sim.isolatedUntil[node] > sim.now {
 		return
@@ -207,8 +209,8 @@
 	}
 }
 
-// pickServer returns a random server, or for a suspect the server that all of its sends share;
-// nil if all servers are down.
+// pickServer returns a random server, or for a suspect the server that all of its sends
+// share; nil if all servers are down.
 func (sim *simulator) pickServer(fingerprint quarantine.Fingerprint, isSuspect bool) *server {
 	var found *server
 	best := uint64(0)
@@ -310,8 +312,8 @@
 	return quarantine.Suspect{Fingerprint: r.request.Fingerprint(), Hint: r.request.Hint(), Elapsed: sim.now - r.startedAt, IsTrial: r.isTrial}
 }
 
-// isConnected reports whether a node has been neither restarted nor isolated for at least the
-// settling time.
+// isConnected reports whether a node has been neither restarted nor isolated for at least
+// the settling time.
 func (sim *simulator) isConnected(node int) bool {
 	return sim.now >= max(sim.restartedAt[node], sim.isolatedUntil[node])+settlingTime
 }
@@ -363,7 +365,8 @@
 	}
 }
 
-// crashServer crashes a server with its runs. The server restarts 2 s later as a new process.
+// crashServer crashes a server with its runs. The server restarts 2 s later as a new
+// process.
 func (sim *simulator) crashServer(s *server) {
 	if s.isDown {
 		return
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -70,11 +70,11 @@
 	Refuse
 )
 
-// Admit returns a gate's decision about a request. It combines what the gate's node knows with
-// the verdict of the entry that sends the request. Version is the software version of the
-// gate's backend server, empty if unknown: a version that hasn't crashed under the request may
-// handle it. The gate follows an entry's verdict of Quarantined, unless its own node knows
-// that the request was cleared: the entry may not have received that yet.
+// Admit returns a gate's decision about a request. It combines what the gate's node knows
+// with the verdict of the entry that sends the request. Version is the software version of
+// the gate's backend server, empty if unknown: a version that hasn't crashed under the
+// request may handle it. The gate follows an entry's verdict of Quarantined, unless its own
+// node knows that the request was cleared: the entry may not have received that yet.
 func (s *Status) Admit(entry Verdict, version string) Admission {
 	isTested := version == "" || slices.Contains(s.Versions, version)
 	switch {
@@ -118,9 +118,9 @@
 	Last, Until clock.Millis
 }
 
-// recomputeCases derives all cases from the crashes. It quarantines the strongest conclusive
-// case first; the crashes that this case explains don't count against other requests. It then
-// repeats with the remaining crashes.
+// recomputeCases derives all cases from the crashes. It quarantines the strongest
+// conclusive case first; the crashes that this case explains don't count against other
+// requests. It then repeats with the remaining crashes.
 func (r *Registry) recomputeCases() {
 	r.cases = map[Fingerprint]*Case{}
 	explained := map[uint64]struct{}{}
@@ -168,8 +168,8 @@
 	return open
 }
 
-// add adds a crash as evidence against suspect s. Rate is the service's crash rate in crashes
-// per upstream and millisecond.
+// add adds a crash as evidence against suspect s. Rate is the service's crash rate in
+// crashes per upstream and millisecond.
 func (c *Case) add(crash *Crash, s *Suspect, rate float64) {
 	if s.IsTrial {
 		c.trials = append(c.trials, crash.At)
--- a/resend/mark.go
+++ b/resend/header.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// MaxKeyLength is the most bytes of an idempotency key.
+	// MaxKeyLength is the maximum length of an idempotency key in bytes.
 	MaxKeyLength = 255
 	// maxResends bounds the number of a resend.
 	maxResends = 1_000_000
-	// maxAgeSeconds bounds the age that can be written, in seconds: a year.
+	// maxAgeSeconds bounds the age in a header, in seconds: a year.
 	maxAgeSeconds = 365 * 24 * 3600
 	agePrefix     = "age="
 )
 
-// Header is what a caller says of a resend: "2; age=4.5" is the second resend of
-// a request that was first sent 4.5 seconds ago.
+// Header is the value of a resend header: "2; age=4.5" marks the second resend of a request
+// that was first sent 4.5 seconds ago.
 type Header struct {
 	// Number counts the resends from 1.
 	Number uint32
@@ -28,53 +28,54 @@
 	Age clock.Millis
 }
 
-// CheckKey returns ErrMark for a key that isn't 1 to LongestKey printable
-// ASCII characters.
+// CheckKey returns ErrMalformed for a key that isn't 1 to MaxKeyLength printable ASCII
+// characters.
 func CheckKey(text string) error {
 	if len(text) == 0 || len(text) > MaxKeyLength {
-		return errors.Annotatef(ErrMalformed, "a key of %d bytes, want 1 to %d", len(text), MaxKeyLength)
+		return errors.Annotatef(ErrMalformed, "idempotency key has %d bytes, want 1 to %d", len(text), MaxKeyLength)
 	}
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] > '~' {
-			return errors.Annotate(ErrMalformed, "a key with characters that are not printable ASCII")
+			return errors.Annotate(ErrMalformed, "idempotency key has characters that are not printable ASCII")
 		}
 	}
 	return nil
 }
 
-// ParseHeader reads a mark. It returns ErrMark for any other form.
+// ParseHeader parses the value of a resend header. It returns ErrMalformed for any other
+// form.
 func ParseHeader(text string) (Header, error) {
 	number, age, ok := strings.Cut(text, ";")
-	age, named := strings.CutPrefix(strings.TrimLeft(age, " "), agePrefix)
-	if !ok || !named {
-		return Header{}, errors.Annotatef(ErrMalformed, "mark %q, want \"<number>; age=<seconds>\"", text)
+	age, hasAge := strings.CutPrefix(strings.TrimLeft(age, " "), agePrefix)
+	if !ok || !hasAge {
+		return Header{}, errors.Annotatef(ErrMalformed, "resend header %q, want \"<number>; age=<seconds>\"", text)
 	}
 	if !isDigits(number) {
-		return Header{}, errors.Annotatef(ErrMalformed, "resend number %q", number)
+		return Header{}, errors.Annotatef(ErrMalformed, "resend number %q, want decimal digits", number)
 	}
 	n, err := strconv.ParseUint(number, 10, 32)
 	if err != nil || n == 0 || n > maxResends {
 		return Header{}, errors.Annotatef(ErrMalformed, "resend number %q, want 1 to %d", number, maxResends)
 	}
-	span, err := parseAge(age)
+	duration, err := parseAge(age)
 	if err != nil {
 		return Header{}, errors.Trace(err)
 	}
-	return Header{Number: uint32(n), Age: span}, nil
+	return Header{Number: uint32(n), Age: duration}, nil
 }
 
-// parseAge reads seconds with up to three decimals, rounded up by none: a
-// caller that cuts digits off understates by less than the margin.
+// parseAge parses seconds with up to three decimals and doesn't round up: a caller that
+// truncates further digits understates the age by less than Margin.
 func parseAge(text string) (clock.Millis, error) {
-	whole, part, pointed := strings.Cut(text, ".")
-	if !isDigits(whole) || (pointed && !isDigits(part)) || len(part) > 3 {
+	whole, decimals, hasPoint := strings.Cut(text, ".")
+	if !isDigits(whole) || (hasPoint && !isDigits(decimals)) || len(decimals) > 3 {
 		return 0, errors.Annotatef(ErrMalformed, "age %q, want seconds with up to three decimals", text)
 	}
 	seconds, err := strconv.ParseInt(whole, 10, 64)
 	if err != nil || seconds > maxAgeSeconds {
 		return 0, errors.Annotatef(ErrMalformed, "age %q, want at most %d seconds", text, maxAgeSeconds)
 	}
-	millis, err := strconv.ParseInt((part + "000")[:3], 10, 64)
+	millis, err := strconv.ParseInt((decimals + "000")[:3], 10, 64)
 	if err != nil {
 		return 0, errors.Annotatef(ErrMalformed, "age %q", text)
 	}
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -1,14 +1,14 @@
-// Package resend keeps a request with an idempotency key from running twice
-// when its caller sends it again.
+// Package resend prevents a request with an idempotency key from running twice when its
+// caller sends it again.
 //
-// A first send is free to go to any gate. A resend, which its caller marks with
-// a number and the key's age, is first made known at every node that may have
-// had the key: each voids the key, so that nothing sent before can begin there
-// any more, and says what it knows. Only when all of them say that nothing
-// ran does the resend run, at one of them. Nothing is written anywhere: each
-// node answers from its memory, and says how far back that reaches.
+// A first send may go to any gate. A resend, which its caller marks with a number and the
+// key's age, is first looked up at every node that may have received the key. Each of these
+// nodes revokes the key, so that no earlier send can begin there any more, and returns what
+// it knows of the key. The resend runs, at one of the nodes, only if all of them confirm
+// that no send ran. Nothing is written to disk: each node replies from memory, and says how
+// far back its records reach.
 //
-// The package takes decisions only; entry, gate and node drive it.
+// The package only takes decisions; entry, gate and node act on them.
 package resend
 
 import (
@@ -17,94 +17,91 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Key names what must run at most once: one caller's idempotency key for one
-// service.
+// Key identifies what must run at most once: one caller's idempotency key for one service.
 type Key struct {
 	Caller  string
 	Service string
 	Text    string
 }
 
-// Digest tells a request's method, target and body from others.
+// Digest is a hash of a request's method, target and body.
 type Digest [16]byte
 
-// Precedence orders the sends of one key. The zero Ballot is an unmarked send. Of
-// two resends the one with the higher number goes first; the request's id
-// decides between equal numbers, so that of two at once only one runs.
+// Precedence orders the sends of one key. The zero value is that of a first send. Of two
+// resends, the one with the higher number takes precedence. The request's id, Entry and
+// Seq, decides between equal numbers, so that only one of two concurrent resends runs.
 type Precedence struct {
 	Number uint32
 	Entry  uint64
 	Seq    uint64
 }
 
-// IsResend reports whether the send is marked as a resend.
-func (b Precedence) IsResend() bool {
-	return b.Number > 0
+// IsResend reports whether the send is a resend.
+func (p Precedence) IsResend() bool {
+	return p.Number > 0
 }
 
-// Less reports whether b gives way to another.
-func (b Precedence) Less(other Precedence) bool {
+// Less reports whether p gives way to another.
+func (p Precedence) Less(other Precedence) bool {
 	switch {
-	case b.Number != other.Number:
-		return b.Number < other.Number
-	case b.Entry != other.Entry:
-		return b.Entry < other.Entry
+	case p.Number != other.Number:
+		return p.Number < other.Number
+	case p.Entry != other.Entry:
+		return p.Entry < other.Entry
 	default:
-		return b.Seq < other.Seq
+		return p.Seq < other.Seq
 	}
 }
 
-// Send is one send of a key as a node meets it.
+// Send is one send of a key as a node receives it.
 type Send struct {
 	Key        Key
 	Digest     Digest
 	Precedence Precedence
-	// Received is when the entry received the request, in the clock of the
-	// node that judges the claim, and Gate when the gate was made there. They
-	// are used for unmarked sends only.
+	// Received is when the entry received the request, by the clock of the node that checks
+	// the send; GateCreated is when that node created the gate. Both are used for first
+	// sends only.
 	Received    clock.Millis
 	GateCreated clock.Millis
 }
 
-// Status is what a node knows of a key. Its numbers are part of the format
-// of the links.
+// Status is what a node knows of a key. Its values are sent on links between nodes.
 type Status uint8
 
-// The standings of a key at a node.
+// The statuses of a key at a node.
 const (
-	// Free means that nothing ran here as far as the memory reaches.
+	// Free means that no send ran at the node, as far back as its records reach.
 	Free Status = iota + 1
 	// Running means that an earlier send has begun and not ended.
 	Running
-	// Ran means that an earlier send ran and its answer is kept.
+	// Ran means that an earlier send ran and its reply is kept.
 	Ran
-	// Lost means that an earlier send ran, or may have, without an answer that
-	// is kept.
+	// Lost means that an earlier send ran, or may have run, and no reply is kept.
 	Lost
 	// Reused means that the key was used for another request.
 	Reused
-	// Superseded means that a resend which goes first has voided the key.
+	// Superseded means that a resend with precedence has revoked the key.
 	Superseded
-	// Forgotten means that the memory doesn't reach back far enough to tell.
+	// Forgotten means that the node can't tell: its records don't reach back far enough.
 	Forgotten
 )
 
-// ErrMalformed reports a malformed idempotency key or resend mark.
-const ErrMalformed = errors.ConstError("malformed idempotency key or resend mark")
+// ErrMalformed reports a malformed idempotency key or resend header.
+const ErrMalformed = errors.ConstError("malformed idempotency key or resend header")
 
 const (
-	// Retention is how long a key is remembered: callers that resend do so
-	// within seconds or a few minutes, and memory grows with it.
+	// Retention is how long a key is recorded. Callers resend within seconds or a few
+	// minutes, and the memory in use grows with the retention.
 	Retention = 10 * clock.Minute
-	// Margin is by how much a key's age may be understated: a resend is under
-	// way for some time after its caller wrote the age, and other entries had
-	// an older table in force for some seconds.
+	// Margin is how much older a key may be than its stated age: a resend is in transit for
+	// some time after its caller wrote the age, and other entries may have had an older
+	// table in force for some seconds.
 	Margin = 10 * clock.Second
-	// DriftDivisor is the part of its age by which a caller's clock may run slow.
+	// DriftDivisor bounds how slow a caller's clock may run: by 1/DriftDivisor of the age.
 	DriftDivisor = 100
 )
 
-// MaxAge is the longest time back at which a key of some age may have been sent
+// MaxAge returns the longest time ago at which a key with a stated age may have been sent
 // first.
 func MaxAge(age, margin clock.Millis) clock.Millis {
 	return age + age/DriftDivisor + margin
