--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -1,9 +1,11 @@
-// Package quota decides how many requests of a client account a fleet of nodes admits
-// together, though its nodes share no state. One node, the account's home, grants all of
-// them; the others ask it, and remember enough to help a home that knows nothing yet and
-// to go on for a while where none can be asked.
+// Package quota limits the requests that a client account sends through a fleet of nodes
+// that share no state. One node, the account's home, grants the requests of all nodes. The
+// other nodes request quota from the home and keep what it returned: this helps a new home
+// that knows nothing of the account, and lets a node admit requests for a while when it can
+// reach no home.
 //
-// It has no I/O, clocks or goroutines: instants come in, decisions go out.
+// The package has no I/O, clocks or goroutines: callers pass in the time and act on the
+// decisions.
 package quota
 
 import (
@@ -14,87 +16,93 @@
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
-// Limit is what an account may send.
+// Limit is the quota of an account.
 type Limit struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Burst is how many requests may come at once.
+	// Burst is how many requests may be sent at the same time.
 	Burst float64
 }
 
-// depth is the size of a bucket. One below a request would never admit any.
+// depth returns the capacity of a bucket. A capacity below 1 would never admit a request.
 func (l Limit) depth() float64 {
 	return max(l.Burst, 1)
 }
 
-// fallbackShare is the part of a limit that another node grants in the home's place: the home
-// may go on for those that reach it.
+// fallbackShare is the part of a limit that another node grants in place of the home: the
+// home may still grant the requests of the nodes that reach it.
 const fallbackShare = 0.5
 
-// Fallback is what a node grants while the homes before it are out of its reach. A small burst
-// stays whole: half of it would refuse two requests of an account that come together.
+// Fallback returns the limit that a node grants while it can't reach the homes that come
+// before it. A small burst is not reduced: half of it would refuse two requests of an
+// account that arrive together.
 func (l Limit) Fallback() Limit {
 	return Limit{Rate: fallbackShare * l.Rate, Burst: max(fallbackShare*l.Burst, min(l.Burst, minInitial))}
 }
 
 const (
-	// initialShare is the part of its burst with which a home begins that knows nothing of
-	// the account, leastStart the requests that it grants in any case: a home before it
-	// may have granted a whole burst a moment ago.
+	// initialShare is the part of the burst that a home without a record of the account
+	// starts with, minInitial the number of requests that it grants in any case: an earlier
+	// home may have just granted a whole burst.
 	initialShare = 0.5
 	minInitial   = 4
-	// failoverShare is the same for a home that hears of one that granted within the last
-	// recently, and that has itself granted nothing for restingAfter.
+	// failoverShare is the part of the burst that a home is limited to when it has had no
+	// requests for idleTimeout and a hint says that another home granted requests within
+	// recentWindow.
 	failoverShare = 0.25
 	recentWindow  = 2 * clock.Second
 	idleTimeout   = 500 * clock.Millis(1)
 )
 
-// bucket holds the requests that an account may send now, at its home.
+// bucket is the token bucket of an account at its home.
 type bucket struct {
 	limit       Limit
-	level       float64
-	at          clock.Millis
-	lastRequest clock.Millis // when it was asked last
+	level       float64 // requests that may be sent at refilledAt
+	refilledAt  clock.Millis
+	lastRequest clock.Millis // time of the last request for quota
 	retryAfter  limit.RetrySchedule
 }
 
+// newBucket returns the bucket of an account that the home has no record of.
 func newBucket(now clock.Millis, l Limit) *bucket {
-	start := min(max(initialShare*l.depth(), minInitial), l.depth())
-	return &bucket{limit: l, level: start, at: now, lastRequest: now - idleTimeout}
+	initial := min(max(initialShare*l.depth(), minInitial), l.depth())
+	return &bucket{limit: l, level: initial, refilledAt: now, lastRequest: now - idleTimeout}
 }
 
-// refill brings the level up to date, and to an edited limit.
+// refill adds the tokens since the last refill and applies a limit that may have been
+// edited.
 func (b *bucket) refill(now clock.Millis, l Limit) {
-	if now > b.at {
-		b.level += b.limit.Rate * (now - b.at).Seconds()
-		b.at = now
+	if now > b.refilledAt {
+		b.level += b.limit.Rate * (now - b.refilledAt).Seconds()
+		b.refilledAt = now
 	}
 	b.limit = l
 	b.level = min(b.level, l.depth())
 }
 
-// applyHint takes in how much another home had left, as one who asked it says.
+// applyHint lowers the level to what another home can have left, by the hint of the node
+// that requests quota.
 func (b *bucket) applyHint(now clock.Millis, h Hint) {
-	isResting := now-b.lastRequest >= idleTimeout
+	isIdle := now-b.lastRequest >= idleTimeout
 	b.lastRequest = now
 	if !h.Known {
 		return
 	}
 	b.level = min(b.level, h.maxLeft(b.limit))
-	if isResting && h.Age <= recentWindow {
+	if isIdle && h.Age <= recentWindow {
 		b.level = min(b.level, max(failoverShare*b.limit.depth(), 1))
 	}
 }
 
-// take grants up to count requests.
+// take grants up to count requests and returns how many.
 func (b *bucket) take(count int) int {
 	granted := min(count, int(math.Floor(max(b.level, 0))))
 	b.level -= float64(granted)
 	return granted
 }
 
-// scheduleRetries returns when each of count refused requests may come back, one after the other.
+// scheduleRetries returns the time until each of count refused requests may be sent again,
+// in ascending order.
 func (b *bucket) scheduleRetries(now clock.Millis, count int, random *rand.Rand) []clock.Millis {
 	if count == 0 {
 		return nil
@@ -107,16 +115,16 @@
 	return after
 }
 
-// Hint is what a node that asks knows of the account from another home, which it asked
-// before this one.
+// Hint is what a requesting node knows of an account from the home that granted its last
+// requests.
 type Hint struct {
 	Known bool
-	// Left is how many requests that home would have granted, some time ago.
+	// Left is how many more requests that home would have granted, Age ago.
 	Left float64
 	Age  clock.Millis
 }
 
-// maxLeft is the most that can be left by now.
+// maxLeft returns how many requests that home can have left now, at most.
 func (h Hint) maxLeft(l Limit) float64 {
 	return max(h.Left, 0) + l.Rate*max(h.Age, 0).Seconds()
 }
--- a/quota/history.go
+++ b/quota/history.go
@@ -7,55 +7,58 @@
 )
 
 const (
-	// usageWindow is the time over which an account's requests at a node are averaged.
+	// usageWindow is the time constant of the average of an account's requests at a node.
 	usageWindow = 10 * clock.Second
-	// noHomeShare is the part of its usual rate that a node admits where no home can be
-	// asked, and nearShare that of an account near its limit: others may have homes that
-	// grant all of it.
+	// noHomeShare is the part of an account's typical rate that a node admits when it can
+	// reach no home, nearLimitShare the part for an account near its limit: other nodes may
+	// reach homes that still grant all of the limit.
 	noHomeShare    = 0.5
 	nearLimitShare = 0.25
 	// nearLimitLevel is the part of the burst below which an account is near its limit.
 	nearLimitLevel = 0.5
 )
 
-// History is what a node remembers of an account that it asks for. The zero value is ready;
-// it is not safe for concurrent use.
+// History is what a node records of an account that it requests quota for. The zero value is
+// ready to use. It is not safe for concurrent use.
 type History struct {
-	// usage is about how many requests were granted in the last usageSpan, at usedAt.
+	// usage is an estimate of the requests granted within usageWindow before usedAt.
 	usage     float64
 	usedAt    clock.Millis
-	left      float64
+	left      float64 // of the last grant, as are burst, grantedAt and home
 	burst     float64
 	grantedAt clock.Millis
 	hasGrant  bool
 	home      uint32
-	// localTokens is how many requests may be admitted without a home, at aloneAt.
+	// localTokens is how many requests may be admitted without a home at localTokensAt;
+	// isLocal is set from the first such request until a home grants again.
 	localTokens   float64
 	localTokensAt clock.Millis
 	isLocal       bool
 }
 
-// RecordGrant takes in what a home granted, and how much it had left then.
+// RecordGrant records what a home granted, and how much it had left then.
 func (h *History) RecordGrant(now clock.Millis, l Limit, g Grant) {
 	h.addUsage(now, g.Granted)
 	h.left, h.burst, h.grantedAt, h.hasGrant, h.home = g.Left, l.depth(), now, true, g.Home
 	h.isLocal = false
 }
 
-// Hint is what the home that was asked last told, and its mark.
+// Hint returns the hint that follows from the last grant, and the id of the home that
+// granted it.
 func (h *History) Hint(now clock.Millis) (Hint, uint32) {
 	return Hint{Known: h.hasGrant, Left: h.left, Age: now - h.grantedAt}, h.home
 }
 
-// AdmitWithoutHome reports whether a request is admitted though no home can be asked: half as many as
-// the node was granted before, or fewer, on average over many nodes. Luck is drawn evenly between 0 and 1.
-func (h *History) AdmitWithoutHome(now clock.Millis, l Limit, luck float64) bool {
+// AdmitWithoutHome reports whether a request is admitted although no home can be reached.
+// On average over many nodes, it admits at most noHomeShare of the rate that homes granted
+// before. InitialTokens is a random number, uniform between 0 and 1.
+func (h *History) AdmitWithoutHome(now clock.Millis, l Limit, initialTokens float64) bool {
 	rate := noHomeShare * h.currentUsage(now) / usageWindow.Seconds()
 	if h.hasGrant && h.left < nearLimitLevel*h.burst {
 		rate *= nearLimitShare / noHomeShare
 	}
 	if !h.isLocal {
-		h.isLocal, h.localTokens, h.localTokensAt = true, luck, now
+		h.isLocal, h.localTokens, h.localTokensAt = true, initialTokens, now
 	}
 	h.localTokens = min(h.localTokens+rate*(now-h.localTokensAt).Seconds(), l.depth())
 	h.localTokensAt = now
@@ -66,14 +69,16 @@
 	return true
 }
 
+// addUsage adds granted requests to the usage.
 func (h *History) addUsage(now clock.Millis, count int) {
 	h.usage = h.currentUsage(now) + float64(count)
 	h.usedAt = now
 }
 
+// currentUsage returns the usage, which decays exponentially with time.
 func (h *History) currentUsage(now clock.Millis) float64 {
 	if h.isLocal {
-		return h.usage // what is usual stands still until a home grants again
+		return h.usage // the typical usage doesn't decay until a home grants again
 	}
 	return h.usage * math.Exp(-float64(max(now-h.usedAt, 0))/float64(usageWindow))
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -10,48 +10,49 @@
 	"fuchsiapick.example/fuchsiapick/quota"
 )
 
-var ten = quota.Limit{Rate: 10, Burst: 10}
+var limitOfTen = quota.Limit{Rate: 10, Burst: 10}
 
-func drawOne(l *quota.Allocator, now clock.Millis) quota.Grant {
-	return l.Grant(now, quota.Request{Account: "hotel", Limit: ten, Count: 1})
+func requestOne(allocator *quota.Allocator, now clock.Millis) quota.Grant {
+	return allocator.Grant(now, quota.Request{Account: "hotel", Limit: limitOfTen, Count: 1})
 }
 
-// admitted counts the grants of a ledger that is asked every millisecond.
-func admitted(l *quota.Allocator, from, to clock.Millis) int {
+// countGranted returns the number of grants of an allocator that gets a request every
+// millisecond.
+func countGranted(allocator *quota.Allocator, from, to clock.Millis) int {
 	count := 0
 	for now := from; now < to; now++ {
-		count += drawOne(l, now).Granted
+		count += requestOne(allocator, now).Granted
 	}
 	return count
 }
 
 func TestHomeGrantsRateAndBurst(t *testing.T) {
-	l := quota.NewAllocator(10, 1)
-	drawOne(l, 0)
-	if got := admitted(l, 10*clock.Second, 20*clock.Second); got < 109 || got > 110 {
-		t.Errorf("got %d requests in 10 s after a rest, want a burst of 10 and 100", got)
+	allocator := quota.NewAllocator(10, 1)
+	requestOne(allocator, 0)
+	if got := countGranted(allocator, 10*clock.Second, 20*clock.Second); got < 109 || got > 110 {
+		t.Errorf("got %d requests in 10 s after an idle time, want a burst of 10 and 100", got)
 	}
-	if got := admitted(l, 20*clock.Second, 30*clock.Second); got != 100 {
+	if got := countGranted(allocator, 20*clock.Second, 30*clock.Second); got != 100 {
 		t.Errorf("got %d requests in the next 10 s, want 100", got)
 	}
 }
 
 func TestAccountsWithoutARateHaveNoLimit(t *testing.T) {
-	l := quota.NewAllocator(10, 1)
+	allocator := quota.NewAllocator(10, 1)
 	for range 100 {
-		if got := l.Grant(5, quota.Request{Account: "hotel", Count: 7}); got.Granted != 7 {
+		if got := allocator.Grant(5, quota.Request{Account: "hotel", Count: 7}); got.Granted != 7 {
 			t.Fatalf("got %d granted, want 7", got.Granted)
 		}
 	}
 }
 
-func TestLowerLimitHoldsAtOnce(t *testing.T) {
-	l := quota.NewAllocator(10, 1)
-	drawOne(l, 0)
+func TestLowerLimitAppliesImmediately(t *testing.T) {
+	allocator := quota.NewAllocator(10, 1)
+	requestOne(allocator, 0)
 	low := quota.Limit{Rate: 1, Burst: 1}
 	count := 0
 	for now := 10 * clock.Second; now < 20*clock.Second; now++ {
-		count += l.Grant(now, quota.Request{Account: "hotel", Limit: low, Count: 1}).Granted
+		count += allocator.Grant(now, quota.Request{Account: "hotel", Limit: low, Count: 1}).Granted
 	}
 	if count != 10 {
 		t.Errorf("got %d requests in 10 s, want 10", count)
@@ -59,40 +60,41 @@
 }
 
 func TestReturnedRequestsAreGrantedAgain(t *testing.T) {
-	l := quota.NewAllocator(10, 1)
-	l.Grant(0, quota.Request{Account: "hotel", Limit: ten, Count: quota.MaxCount})
-	got := l.Grant(0, quota.Request{Account: "hotel", Limit: ten, Count: 5, Returned: 3})
+	allocator := quota.NewAllocator(10, 1)
+	allocator.Grant(0, quota.Request{Account: "hotel", Limit: limitOfTen, Count: quota.MaxCount})
+	got := allocator.Grant(0, quota.Request{Account: "hotel", Limit: limitOfTen, Count: 5, Returned: 3})
 	if got.Granted != 3 || len(got.RetryAfter) != 2 {
 		t.Errorf("got %+v, want 3 granted and 2 refused", got)
 	}
 	if !slices.IsSorted(got.RetryAfter) || got.RetryAfter[0] < 50 {
-		t.Errorf("got %v as the times to come back, want them one after the other, from about 100 ms", got.RetryAfter)
+		t.Errorf("got RetryAfter %v, want ascending times from about 100 ms", got.RetryAfter)
 	}
 }
 
-// The home of an account is killed again and again; each one that follows would grant a whole
-// burst anew if it believed nobody.
-func TestHomesThatFollowEachOtherGrantOneBurst(t *testing.T) {
+// Guards against an account getting a whole burst from each of several homes when one home
+// after the other is killed: each new home would start with a full burst if it ignored
+// hints.
+func TestSuccessiveHomesGrantOneBurst(t *testing.T) {
 	var hint quota.Hint
-	count, told, home := 0, clock.Millis(0), uint32(0)
+	count, grantedAt, home := 0, clock.Millis(0), uint32(0)
 	for kill := range 10 {
-		l := quota.NewAllocator(10, uint64(kill)+100)
+		allocator := quota.NewAllocator(10, uint64(kill)+100)
 		from := clock.Millis(kill) * clock.Second
 		for now := from; now < from+clock.Second; now += 5 {
 			if hint.Known {
-				hint.Age = now - told
+				hint.Age = now - grantedAt
 			}
-			g := l.Grant(now, quota.Request{Account: "hotel", Limit: ten, Count: 1, Hint: hint, HintHome: home})
+			g := allocator.Grant(now, quota.Request{Account: "hotel", Limit: limitOfTen, Count: 1, Hint: hint, HintHome: home})
 			count += g.Granted
-			hint, told, home = quota.Hint{Known: true, Left: g.Left}, now, g.Home
+			hint, grantedAt, home = quota.Hint{Known: true, Left: g.Left}, now, g.Home
 		}
 	}
 	if want := 10 + 10*10; count > want+10 {
-		t.Errorf("got %d requests in 10 s over ten homes, want %d and one more a home at most", count, want)
+		t.Errorf("got %d requests in 10 s over ten homes, want at most %d and 1 more for each home", count, want)
 	}
 }
 
-func TestFewHomesChangeWithTheNodes(t *testing.T) {
+func TestNodeRemovalMovesOnlyItsAccounts(t *testing.T) {
 	nodes := make([]string, 0, 100)
 	for i := range 100 {
 		nodes = append(nodes, fmt.Sprintf("10.1.0.%d:7000", i))
@@ -111,7 +113,7 @@
 		}
 	}
 	if moved != counts[nodes[0]] {
-		t.Errorf("got %d accounts with another home, want the %d of the node that left", moved, counts[nodes[0]])
+		t.Errorf("got %d accounts with another home, want the %d of the removed node", moved, counts[nodes[0]])
 	}
 	for node, count := range counts {
 		if count > 50 {
@@ -120,20 +122,21 @@
 	}
 }
 
-// While no home can be reached a node goes on at half of the rate at which it was granted before,
-// or a quarter for an account that was near its limit, so that the sum over all nodes is bounded.
-func TestNodesAloneGoOnAtAPartOfTheirRate(t *testing.T) {
+// Guards against unbounded admission while no home can be reached: a node then admits half
+// of the rate that it was granted before, or a quarter for an account that was near its
+// limit.
+func TestNodesWithoutHomeAdmitPartOfTheirRate(t *testing.T) {
 	for _, test := range []struct {
 		left float64
 		want int
 	}{{9, 10}, {1, 5}} {
 		var h quota.History
 		for now := clock.Millis(0); now < 60*clock.Second; now += 500 {
-			h.RecordGrant(now, ten, quota.Grant{Granted: 1, Left: test.left})
+			h.RecordGrant(now, limitOfTen, quota.Grant{Granted: 1, Left: test.left})
 		}
 		count := 0
 		for now := 60 * clock.Second; now < 70*clock.Second; now += 10 {
-			if h.AdmitWithoutHome(now, ten, 0.5) {
+			if h.AdmitWithoutHome(now, limitOfTen, 0.5) {
 				count++
 			}
 		}
@@ -144,146 +147,148 @@
 	var idle quota.History
 	count := 0
 	for now := clock.Millis(0); now < 10*clock.Second; now += 10 {
-		if idle.AdmitWithoutHome(now, ten, 0.99) {
+		if idle.AdmitWithoutHome(now, limitOfTen, 0.99) {
 			count++
 		}
 	}
 	if count != 0 {
-		t.Errorf("got %d requests of an account that wasn't heard of before, want none", count)
+		t.Errorf("got %d requests of an account without a grant, want none", count)
 	}
 }
 
-// world is a fleet in virtual time, whose nodes see each other or don't.
-type world struct {
-	random  *rand.Rand
-	nodes   []string
-	ledgers map[string]*quota.Allocator
-	history map[string]*quota.History
-	down    map[string]clock.Millis // until when a node is killed
-	cut     map[string]clock.Millis // until when one reaches no other
-	cutAt   map[string]clock.Millis
+// simulator simulates a fleet in virtual time, in which nodes are killed and isolated.
+type simulator struct {
+	random        *rand.Rand
+	nodes         []string
+	allocators    map[string]*quota.Allocator
+	history       map[string]*quota.History
+	downUntil     map[string]clock.Millis // time at which a killed node is back
+	isolatedUntil map[string]clock.Millis // time at which a node can reach others again
+	isolatedAt    map[string]clock.Millis
 }
 
-// noticed is how long a node takes to find that it reaches no other.
-const noticed = 500 * clock.Millis(1)
+// isolationDelay is how long an isolated node takes to detect that it can reach no other.
+const isolationDelay = 500 * clock.Millis(1)
 
-func newWorld(seed uint64, nodes int) *world {
-	w := &world{
-		random: rand.New(rand.NewPCG(seed, 0)), ledgers: map[string]*quota.Allocator{}, history: map[string]*quota.History{},
-		down: map[string]clock.Millis{}, cut: map[string]clock.Millis{}, cutAt: map[string]clock.Millis{},
+func newSimulator(seed uint64, nodes int) *simulator {
+	sim := &simulator{
+		random: rand.New(rand.NewPCG(seed, 0)), allocators: map[string]*quota.Allocator{}, history: map[string]*quota.History{},
+		downUntil: map[string]clock.Millis{}, isolatedUntil: map[string]clock.Millis{}, isolatedAt: map[string]clock.Millis{},
 	}
 	for i := range nodes {
 		name := fmt.Sprintf("10.1.0.%d:7000", i)
-		w.nodes = append(w.nodes, name)
-		w.start(name)
+		sim.nodes = append(sim.nodes, name)
+		sim.start(name)
 	}
-	return w
+	return sim
 }
 
-func (w *world) start(node string) {
-	w.ledgers[node] = quota.NewAllocator(10, w.random.Uint64())
-	w.history[node] = &quota.History{}
+func (sim *simulator) start(node string) {
+	sim.allocators[node] = quota.NewAllocator(10, sim.random.Uint64())
+	sim.history[node] = &quota.History{}
 }
 
-func (w *world) reaches(now clock.Millis, from, to string) bool {
-	return from == to || (w.down[to] <= now && w.cut[to] <= now && w.cut[from] <= now)
+func (sim *simulator) canReach(now clock.Millis, from, to string) bool {
+	return from == to || (sim.downUntil[to] <= now && sim.isolatedUntil[to] <= now && sim.isolatedUntil[from] <= now)
 }
 
-// admits asks as a node does: the first home that it reaches, which asks those before it that
-// it reaches. A node grants its own requests only as the first home, and while it isn't cut off.
-func (w *world) admits(now clock.Millis, at string, l quota.Limit) bool {
-	h := w.history[at]
-	isCutOff := w.cut[at] > now && now > w.cutAt[at]+noticed
-	homes := quota.Homes("hotel", w.nodes)
+// admit admits a request as a node does: the node asks the first home that it can reach,
+// which forwards to those before it that it can reach. A node grants its own requests only
+// as the first home, and only while it hasn't detected that it is isolated.
+func (sim *simulator) admit(now clock.Millis, at string, l quota.Limit) bool {
+	h := sim.history[at]
+	isIsolated := sim.isolatedUntil[at] > now && now > sim.isolatedAt[at]+isolationDelay
+	homes := quota.Homes("hotel", sim.nodes)
 	for i, home := range homes {
-		if (home == at && (i > 0 || isCutOff)) || !w.reaches(now, at, home) {
+		if (home == at && (i > 0 || isIsolated)) || !sim.canReach(now, at, home) {
 			continue
 		}
-		granted := l
+		limit := l
 		if i > 0 {
-			granted = l.Fallback()
+			limit = l.Fallback()
 		}
 		for _, before := range homes[:i] {
-			if w.reaches(now, home, before) {
-				home, granted = before, l
+			if sim.canReach(now, home, before) {
+				home, limit = before, l
 				break
 			}
 		}
-		hint, told := h.Hint(now)
-		g := w.ledgers[home].Grant(now, quota.Request{Account: "hotel", Limit: granted, Count: 1, Hint: hint, HintHome: told})
+		hint, hintHome := h.Hint(now)
+		g := sim.allocators[home].Grant(now, quota.Request{Account: "hotel", Limit: limit, Count: 1, Hint: hint, HintHome: hintHome})
 		h.RecordGrant(now, l, g)
 		return g.Granted == 1
 	}
-	return h.AdmitWithoutHome(now, l, w.random.Float64())
+	return h.AdmitWithoutHome(now, l, sim.random.Float64())
 }
 
-func (w *world) kill(now clock.Millis, share float64) {
-	for _, node := range w.nodes {
-		if w.random.Float64() < share {
-			w.down[node] = now + clock.Millis(200+w.random.IntN(2000))
-			w.start(node)
+func (sim *simulator) kill(now clock.Millis, share float64) {
+	for _, node := range sim.nodes {
+		if sim.random.Float64() < share {
+			sim.downUntil[node] = now + clock.Millis(200+sim.random.IntN(2000))
+			sim.start(node)
 		}
 	}
 }
 
-func (w *world) isolate(now clock.Millis, share float64) {
-	for _, node := range w.nodes {
-		if w.random.Float64() < share {
-			w.cutAt[node] = now
-			w.cut[node] = now + clock.Millis(2000+w.random.IntN(6000))
+func (sim *simulator) isolate(now clock.Millis, share float64) {
+	for _, node := range sim.nodes {
+		if sim.random.Float64() < share {
+			sim.isolatedAt[node] = now
+			sim.isolatedUntil[node] = now + clock.Millis(2000+sim.random.IntN(6000))
 		}
 	}
 }
 
-// An account sends several times what it may, at all nodes, while homes are killed, some again
-// and again, and up to a third of the nodes are cut off. In no span of five seconds may much more
-// than its quota be admitted, and with a demand below its quota little may be refused.
+// Guards against a fleet that admits much more than an account's quota in any five seconds
+// while the account sends four times its quota at all nodes, homes are killed, some
+// repeatedly, and up to a third of the nodes are isolated. Guards as well against refusals
+// when the demand is half of the quota.
 func TestFleetKeepsQuotas(t *testing.T) {
 	const slack, overage = 20, 1.25
 	for seed := range uint64(36) {
-		w := newWorld(seed, []int{6, 24, 106, 300}[seed%4])
-		l := quota.Limit{Rate: float64(3 + w.random.IntN(90))}
-		l.Burst = l.Rate * (0.5 + w.random.Float64())
+		sim := newSimulator(seed, []int{6, 24, 106, 300}[seed%4])
+		l := quota.Limit{Rate: float64(3 + sim.random.IntN(90))}
+		l.Burst = l.Rate * (0.5 + sim.random.Float64())
 		demand := l.Rate * []float64{0.5, 4}[seed/4%2]
 		var admissions []clock.Millis
-		asked, refused, over := 0, 0, 0
+		requests, refused, idealRefused := 0, 0, 0
 		ideal := quota.NewAllocator(1, seed)
 		for now := clock.Millis(0); now < clock.Minute; now++ {
 			if now%(5*clock.Second) == clock.Second && seed%3 > 0 {
-				w.kill(now, 0.3)
+				sim.kill(now, 0.3)
 			}
 			if now%(9*clock.Second) == 2*clock.Second && seed%3 > 1 {
-				w.isolate(now, 0.3)
+				sim.isolate(now, 0.3)
 			}
-			for next := w.random.ExpFloat64() * 1000 / demand; next < 1; next += w.random.ExpFloat64() * 1000 / demand {
-				at := w.nodes[w.random.IntN(len(w.nodes))]
-				if w.down[at] > now {
+			for next := sim.random.ExpFloat64() * 1000 / demand; next < 1; next += sim.random.ExpFloat64() * 1000 / demand {
+				at := sim.nodes[sim.random.IntN(len(sim.nodes))]
+				if sim.downUntil[at] > now {
 					continue
 				}
-				asked++
-				over += 1 - ideal.Grant(now, quota.Request{Account: "hotel", Limit: l, Count: 1}).Granted
+				requests++
+				idealRefused += 1 - ideal.Grant(now, quota.Request{Account: "hotel", Limit: l, Count: 1}).Granted
 				switch {
-				case w.admits(now, at, l):
+				case sim.admit(now, at, l):
 					admissions = append(admissions, now)
-				case w.cut[at] <= now:
+				case sim.isolatedUntil[at] <= now:
 					refused++
 				}
 			}
 		}
 		bound := int(overage*(5*l.Rate+l.Burst)) + slack
-		if most := mostWithin(admissions, 5*clock.Second); most > bound {
-			t.Errorf("seed %d, %d nodes, %.0f a second: got %d requests within 5 s, want %d at most", seed, len(w.nodes), l.Rate, most, bound)
+		if most := maxWithin(admissions, 5*clock.Second); most > bound {
+			t.Errorf("seed %d, %d nodes, %.0f a second: got %d requests within 5 s, want %d at most", seed, len(sim.nodes), l.Rate, most, bound)
 		}
-		if demand < l.Rate && float64(refused-over) > 0.02*float64(asked)+2 {
-			t.Errorf("seed %d, %d nodes, %.0f a second: got %d of %d refused, want 2%% more than the %d of one bucket", seed, len(w.nodes), l.Rate, refused, asked, over)
+		if demand < l.Rate && float64(refused-idealRefused) > 0.02*float64(requests)+2 {
+			t.Errorf("seed %d, %d nodes, %.0f a second: got %d of %d requests refused, want at most 2%% more than the %d that a single bucket refuses", seed, len(sim.nodes), l.Rate, refused, requests, idealRefused)
 		}
 	}
 }
 
-func mostWithin(at []clock.Millis, span clock.Millis) int {
+func maxWithin(at []clock.Millis, window clock.Millis) int {
 	most, first := 0, 0
 	for i := range at {
-		for at[i]-at[first] >= span {
+		for at[i]-at[first] >= window {
 			first++
 		}
 		most = max(most, i-first+1)
