--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -14,7 +14,7 @@
 	// Service and Upstream name the backend server that crashed, Version its software
 	// version; each is empty if unknown.
 	Service, Upstream, Version string
-	// Upstreams is the number of upstreams that the service had.
+	// Upstreams is the number of upstreams that the service had at the time.
 	Upstreams int
 	// Suspects are the requests that were running, MaxSuspects at most.
 	Suspects []Suspect
@@ -36,7 +36,7 @@
 	// Elapsed is how long the send had been running.
 	Elapsed clock.Millis
 	// IsTrial reports whether the request was already a suspect when it was sent, and ran
-	// without any other suspect beside it.
+	// while no other suspect ran on the same server.
 	IsTrial bool
 }
 
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against a request that crashed three servers being sent to a fourth one, and
-// against a request that ran beside it being blamed for the same crashes.
+// against a request that ran at the same time being blamed for the same crashes.
 func TestThirdCrashQuarantinesOnlyTheCause(t *testing.T) {
 	r := quarantine.NewRegistry()
 	steps := []struct {
@@ -50,7 +50,7 @@
 			t.Errorf("crash %d: got %v, want %v", i+1, got, step.want)
 		}
 		if got := verdictOf(r, 1300, 'b'); got != step.other {
-			t.Errorf("crash %d: got %v for the other, want %v", i+1, got, step.other)
+			t.Errorf("crash %d: got %v for the other request, want %v", i+1, got, step.other)
 		}
 	}
 }
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -64,7 +64,7 @@
 const (
 	// Run runs the request without restriction.
 	Run Admission = iota
-	// RunAlone runs the request as a trial, without any other suspect beside it.
+	// RunAlone runs the request as a trial: no other suspect runs on the server meanwhile.
 	RunAlone
 	// Refuse doesn't run the request.
 	Refuse
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -41,7 +41,7 @@
 	return p.Number > 0
 }
 
-// Less reports whether p gives way to another.
+// Less reports whether p has lower precedence than other.
 func (p Precedence) Less(other Precedence) bool {
 	switch {
 	case p.Number != other.Number:
--- a/resend/resolve.go
+++ b/resend/resolve.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Resolve decides about a resend by the results of all nodes that may have received its
-// key. The resend runs only if each of them confirms that no earlier send ran.
+// Resolve returns the decision about a resend, from the results of all nodes that may have
+// received its key. The resend runs only if each of them confirms that no earlier send ran.
 func Resolve(l Lookup, results []LookupResult) Decision {
 	if d, ok := definite(results); ok {
 		return d
--- a/resend/store.go
+++ b/resend/store.go
@@ -8,7 +8,7 @@
 
 // StoreConfig configures a Store.
 type StoreConfig struct {
-	// Start is when the store was created: it knows of no send before.
+	// Start is when the store is created: it has no record of earlier sends.
 	Start clock.Millis
 	// Retention is how long a key is recorded.
 	Retention clock.Millis
@@ -44,10 +44,10 @@
 // Store records the keys that were sent to the gates of one node. V is the type of a kept
 // reply. It isn't safe for concurrent use.
 //
-// A store guards against a second run of a key after it has lost a record. Whenever a
-// record is dropped, by age, by number or with an earlier process, the time from which the
-// store covers keys moves past that record. A node without the record then reports
-// Forgotten, and doesn't deny a send that ran.
+// A store guards against a second run of a key after it has lost a record. Whenever a record
+// is lost, through its age, the bound on records or a restart of the process, the time since
+// which the store covers keys moves past that record. The node then reports Forgotten
+// instead of denying a send that ran.
 type Store[V any] struct {
 	config       StoreConfig
 	coveredSince clock.Millis // keys that were sent later are covered
