--- a/table/account.go
+++ b/table/account.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// MaxKeys is more keys than an account needs while they are replaced.
+	// MaxKeys is more keys than an account needs, also while old keys are being replaced.
 	MaxKeys = 100
-	// fingerprintLength is how many digits of a key's digest are shown.
+	// fingerprintLength is the number of leading digits of a key's digest that String shows.
 	fingerprintLength = 8
 )
 
-// KeyDigests are the digests of an account's keys: a table is read by many, and none
-// of them needs the keys themselves.
+// KeyDigests are the digests of an account's keys. The table holds digests because many
+// people read it and none of them needs the keys themselves.
 type KeyDigests []string
 
-// DigestOf is the SHA-256 of a key in lower-case hexadecimal digits.
+// DigestOf returns the SHA-256 of a key in lower-case hexadecimal digits.
 func DigestOf(key []byte) string {
 	sum := sha256.Sum256(key)
 	return hex.EncodeToString(sum[:])
 }
 
-// String tells the digests apart without writing them out.
+// String returns the number of digests and the first digits of each, enough to tell them
+// apart in a log.
 func (k KeyDigests) String() string {
-	short := make([]string, 0, len(k))
+	prefixes := make([]string, 0, len(k))
 	for _, digest := range k {
-		short = append(short, digest[:min(len(digest), fingerprintLength)])
+		prefixes = append(prefixes, digest[:min(len(digest), fingerprintLength)])
 	}
-	return fmt.Sprintf("%d (%s)", len(k), strings.Join(short, " "))
+	return fmt.Sprintf("%d (%s)", len(k), strings.Join(prefixes, " "))
 }
 
-// HasKeys reports whether requests come with keys of client accounts.
+// HasKeys reports whether requests need a key of a client account, except by public routes.
 func (t *Table) HasKeys() bool {
 	return t.RequireKeys || len(t.Accounts) > 0
 }
 
-// NeedsKey reports whether a request by a route needs the key of a client account.
+// NeedsKey reports whether a request by the route needs the key of a client account.
 func (t *Table) NeedsKey(r *Route) bool {
 	return t.HasKeys() && !r.Public
 }
@@ -63,8 +64,8 @@
 	return &t.Accounts[i], true
 }
 
-// indexAccounts fills the look-ups of accounts. Digests that can't be read are left out;
-// the check has refused them.
+// indexAccounts fills the maps that find accounts by key and by name. It skips malformed
+// digests: the checks of a table refuse them.
 func (x *index) indexAccounts(accounts []Account) {
 	x.accounts = make(map[[sha256.Size]byte]int, len(accounts))
 	x.accountNames = make(map[string]int, len(accounts))
@@ -78,7 +79,7 @@
 	}
 }
 
-func (c *checker) account(n *document.Node, a *Account) {
+func (c *checker) checkAccount(n *document.Node, a *Account) {
 	c.doc.CheckName(n, "name", a.Name)
 	if a.Name != "" {
 		c.checkUnique(c.accounts, n, "name", a.Name, "a name that no other account has")
@@ -88,7 +89,7 @@
 	}
 	for _, digest := range a.Keys {
 		if !isDigest(digest) {
-			// A key that was written in place of its digest must not stand in a fault.
+			// The entry may be a key written in place of its digest, which must not reach a log.
 			c.doc.Refuse(n, "keys", "an entry", "SHA-256 digests of 64 lower-case hexadecimal digits")
 			continue
 		}
--- a/table/account_test.go
+++ b/table/account_test.go
@@ -19,30 +19,30 @@
 priority = 0
 `
 
-// hotelDigest is that of the key "foo".
+// hotelDigest is the digest of the key "foo".
 const hotelDigest = "2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae"
 
 func TestAccountsAreFoundByTheirKeys(t *testing.T) {
 	got := mustParse(t, accounts)
 	if a, ok := got.Account([]byte("foo")); !ok || a.Name != "hotel" || a.Burst != 4 || a.Priority != table.RoutePriority {
-		t.Errorf("got %+v %v, want hotel with a burst of its rate and the route's priority", a, ok)
+		t.Errorf("got %+v %v, want hotel with a burst equal to its rate and the route's priority", a, ok)
 	}
 	if a, ok := got.Account([]byte("bar")); ok {
-		t.Errorf("got %+v for a key that nobody has, want none", a)
+		t.Errorf("got %+v for a key of no account, want none", a)
 	}
 	if a, ok := got.AccountNamed("clinic"); !ok || a.Burst != 1 || a.Priority != 0 {
 		t.Errorf("got %+v %v, want clinic with a burst of 1 and its own priority", a, ok)
 	}
 	if !got.NeedsKey(&got.Routes[0]) || got.NeedsKey(&table.Route{Public: true}) {
-		t.Error("got keys asked for on public routes or on none, want on all others")
+		t.Error("got keys needed on a public route or not needed on another, want them on all but public routes")
 	}
-	if bare := mustParse(t, small); bare.NeedsKey(&bare.Routes[0]) {
-		t.Error("got a key asked for without accounts, want none")
+	if noAccounts := mustParse(t, small); noAccounts.NeedsKey(&noAccounts.Routes[0]) {
+		t.Error("got a key needed in a table without accounts, want none")
 	}
 }
 
-// Edits of accounts are logged: what was added or removed must be told apart, and nobody who
-// reads logs needs whole digests.
+// Changes of accounts are logged. The log must tell the keys apart, but it must not show
+// whole digests, which nobody who reads logs needs.
 func TestDiffOfAccountsShowsNoDigest(t *testing.T) {
 	older := mustParse(t, accounts)
 	newer := older.Clone()
--- a/table/check.go
+++ b/table/check.go
@@ -11,68 +11,71 @@
 	"fuchsiapick.example/fuchsiapick/quarantine"
 )
 
-// Bounds of what a table may say. They are wide: they are there to catch a
-// slip of the hand, such as a unit or a digit too many, not to advise.
+// Bounds of the values in a table. They are wide because they only catch typing
+// errors, such as a wrong unit or a digit too many; they aren't recommendations.
 const (
-	// MinDeadline is about a round trip between failure domains and back.
+	// MinDeadline is about one round trip between two failure domains.
 	MinDeadline = 10 * clock.Millis(1)
-	// MaxDeadline is beyond what any caller waits for.
+	// MaxDeadline is longer than any caller waits.
 	MaxDeadline = 10 * clock.Minute
-	// MaxDrain keeps the promise that a leaving upstream gets no new work
-	// after a few seconds.
+	// MaxDrain bounds the time for which a leaving upstream still gets new work.
+	// The project promises that this ends after a few seconds.
 	MaxDrain = 30 * clock.Second
-	// MaxQueue is hundreds of times what the slots of today serve at once.
+	// MaxQueue is hundreds of times the slots that an upstream of today has.
 	MaxQueue = 10_000
-	// MaxExtraRetries is more retries than any fleet has use for in one window.
+	// MaxExtraRetries is more retries than any fleet needs in one window.
 	MaxExtraRetries = 1e6
 	// MaxRetryWindow keeps the memory of a retry budget small.
 	MaxRetryWindow = clock.Minute
-	// MaxRate is a hundred times the planned peak of the whole fleet.
+	// MaxRate is a hundred times the planned peak rate of the whole fleet.
 	MaxRate = 1e9
-	// MaxWeight leaves weight x slots of all upstreams far below overflow.
+	// MaxWeight keeps the sum of weight x slots over all upstreams far below overflow.
 	MaxWeight = 10_000
 	// MaxSlots is more than one instance serves at once.
 	MaxSlots = 10_000
 	// MaxConnections is more than one process may open to one address.
 	MaxConnections = 60_000
-	// MaxPrefix bounds the work of a look-up by a hostile path.
+	// MaxPrefix bounds the length of a prefix in bytes, and with it the work of a route
+	// look-up for a hostile path.
 	MaxPrefix = 256
-	// MaxHost is the longest name that the DNS has.
+	// MaxHost is the length of the longest name in the DNS.
 	MaxHost = 253
-	// MaxAttempts and MaxPriority are more than any service has use for.
+	// MaxAttempts and MaxPriority are more than any service needs.
 	MaxAttempts = 100
 	MaxPriority = 100
-	// MaxVersion bounds what a version of software may be called, in bytes.
+	// MaxVersion bounds the length of an upstream's software version in bytes.
 	MaxVersion = 64
-	// MaxCallerName bounds what a label or a column has to bear.
+	// MaxCallerName bounds the length of a caller's name in bytes, because names become
+	// labels of metrics and columns of reports.
 	MaxCallerName = 128
 )
 
-// methods are those that a route may call repeatable.
+// methods are the HTTP methods that a route may list as repeatable.
 var methods = []string{"DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"}
 
 // checker collects the faults of one table.
 type checker struct {
 	doc   *document.Document
 	table *Table
-	// lines of the names, addresses and prefixes seen so far, for duplicates.
+	// These maps hold the line of each name, address and prefix seen so far, to find
+	// duplicates.
 	services, upstreams, addresses, prefixes, callers, accounts, keys map[string]int
-	// nodes keeps who is beside each link address.
-	nodes map[string]*Upstream
+	// firstOnNode holds the first upstream that names each link address.
+	firstOnNode map[string]*Upstream
 }
 
 func (t *Table) check(doc *document.Document) {
 	c := checker{
-		doc:       doc,
-		table:     t,
-		services:  make(map[string]int),
-		upstreams: make(map[string]int),
-		addresses: make(map[string]int),
-		prefixes:  make(map[string]int),
-		callers:   make(map[string]int),
-		accounts:  make(map[string]int),
-		keys:      make(map[string]int),
-		nodes:     make(map[string]*Upstream),
+		doc:         doc,
+		table:       t,
+		services:    make(map[string]int),
+		upstreams:   make(map[string]int),
+		addresses:   make(map[string]int),
+		prefixes:    make(map[string]int),
+		callers:     make(map[string]int),
+		accounts:    make(map[string]int),
+		keys:        make(map[string]int),
+		firstOnNode: make(map[string]*Upstream),
 	}
 	root := doc.Root
 	if t.Format != Format {
@@ -84,26 +87,26 @@
 	if len(t.Services) == 0 {
 		doc.Add(root, "service", "is missing", "one [[service]] or more")
 	}
-	c.domains(root)
+	c.checkDomains(root)
 	for i := range t.Services {
-		c.service(root.Field("service").Item(i), &t.Services[i])
+		c.checkService(root.Field("service").Item(i), &t.Services[i])
 	}
 	for i := range t.Services {
-		c.nodeAddresses(root.Field("service").Item(i), &t.Services[i])
+		c.checkNodeAddresses(root.Field("service").Item(i), &t.Services[i])
 	}
 	for i := range t.Routes {
-		c.route(root.Field("route").Item(i), &t.Routes[i])
+		c.checkRoute(root.Field("route").Item(i), &t.Routes[i])
 	}
 	for i := range t.Callers {
-		c.caller(root.Field("caller").Item(i), &t.Callers[i])
+		c.checkCaller(root.Field("caller").Item(i), &t.Callers[i])
 	}
 	for i := range t.Accounts {
-		c.account(root.Field("account").Item(i), &t.Accounts[i])
+		c.checkAccount(root.Field("account").Item(i), &t.Accounts[i])
 	}
 }
 
-// domains checks the list of failure domains.
-func (c *checker) domains(n *document.Node) {
+// checkDomains checks the table's list of failure domains.
+func (c *checker) checkDomains(n *document.Node) {
 	seen := make(map[string]int)
 	for _, name := range c.table.Domains {
 		c.doc.CheckName(n, "domains", name)
@@ -111,10 +114,11 @@
 	}
 }
 
-// checkUnique notes a fault if the value was seen before.
+// checkUnique records a fault if seen, a map of values to their lines, has the value
+// already. Otherwise it adds the value to seen.
 func (c *checker) checkUnique(seen map[string]int, n *document.Node, key, value, allowed string) {
 	if first, ok := seen[value]; ok {
-		problem := document.Quote(value) + " stands twice"
+		problem := document.Quote(value) + " is given twice"
 		if first > 0 {
 			problem += fmt.Sprintf(", first on line %d", first)
 		}
@@ -124,7 +128,7 @@
 	seen[value] = n.LineOf(key)
 }
 
-func (c *checker) service(n *document.Node, s *Service) {
+func (c *checker) checkService(n *document.Node, s *Service) {
 	c.doc.CheckName(n, "name", s.Name)
 	if s.Name != "" {
 		c.checkUnique(c.services, n, "name", s.Name, "a name that no other service has")
@@ -147,14 +151,14 @@
 	document.CheckRange(c.doc, n, "rate", s.Rate, 0, MaxRate)
 	document.CheckRange(c.doc, n, "quota", s.CallerRate, 0, MaxRate)
 	CheckFingerprints(c.doc, n, s.LiftedFingerprints)
-	c.objective(n.Field("objective"), s)
+	c.checkObjective(n.Field("objective"), s)
 	if len(s.Upstreams) == 0 {
 		c.doc.Add(n, "upstream", "is missing", "one [[service.upstream]] or more")
 		return
 	}
 	weight := 0
 	for i := range s.Upstreams {
-		c.upstream(n.Field("upstream").Item(i), &s.Upstreams[i])
+		c.checkUpstream(n.Field("upstream").Item(i), &s.Upstreams[i])
 		weight += max(s.Upstreams[i].Weight, 0)
 	}
 	if weight == 0 && s.Floor > 0 {
@@ -163,16 +167,17 @@
 	}
 }
 
-// CheckFingerprints checks a list of requests to be freed of a quarantine.
-func CheckFingerprints(doc *document.Document, n *document.Node, lift []string) {
-	for _, text := range lift {
+// CheckFingerprints checks the key lift of n, the fingerprints of the requests whose
+// quarantine is lifted.
+func CheckFingerprints(doc *document.Document, n *document.Node, fingerprints []string) {
+	for _, text := range fingerprints {
 		if _, ok := quarantine.ParseFingerprint(text); !ok {
-			doc.Refuse(n, "lift", document.Quote(text), "fingerprints of 32 hexadecimal digits, as the log has them")
+			doc.Refuse(n, "lift", document.Quote(text), "fingerprints of 32 hexadecimal digits, as the log shows them")
 		}
 	}
 }
 
-func (c *checker) objective(n *document.Node, s *Service) {
+func (c *checker) checkObjective(n *document.Node, s *Service) {
 	document.CheckOpenRange(c.doc, n, "availability", s.Objective.Availability, 0, 1)
 	document.CheckOpenRange(c.doc, n, "within", s.Objective.LatencyRatio, 0, 1)
 	if s.Deadline >= MinDeadline {
@@ -180,7 +185,7 @@
 	}
 }
 
-func (c *checker) upstream(n *document.Node, u *Upstream) {
+func (c *checker) checkUpstream(n *document.Node, u *Upstream) {
 	c.doc.CheckName(n, "name", u.Name)
 	if u.Name != "" {
 		c.checkUnique(c.upstreams, n, "name", u.Name, "a name that no other upstream of the table has")
@@ -190,8 +195,8 @@
 	}
 	c.doc.CheckAddress(n, "node", u.Node)
 	c.doc.CheckName(n, "domain", u.Domain)
-	if known := c.table.Domains; u.Domain != "" && len(known) > 0 && !slices.Contains(known, u.Domain) {
-		c.doc.Refuse(n, "domain", document.Quote(u.Domain), "one of domains: "+strings.Join(known, ", "))
+	if domains := c.table.Domains; u.Domain != "" && len(domains) > 0 && !slices.Contains(domains, u.Domain) {
+		c.doc.Refuse(n, "domain", document.Quote(u.Domain), "one of domains: "+strings.Join(domains, ", "))
 	}
 	if len(u.Version) > MaxVersion {
 		c.doc.Refuse(n, "version", document.Quote(u.Version), fmt.Sprintf("at most %d characters", MaxVersion))
@@ -203,38 +208,41 @@
 	}
 }
 
-// nodeAddresses compares link addresses with those of upstreams and with each
-// other's failure domain, once all of them are known.
-func (c *checker) nodeAddresses(n *document.Node, s *Service) {
+// checkNodeAddresses checks that no link address is also an upstream's address, and that
+// all upstreams beside one node are in one failure domain. It runs once the upstreams
+// of all services have been checked, because an address may be that of a later service.
+func (c *checker) checkNodeAddresses(n *document.Node, s *Service) {
 	for i := range s.Upstreams {
-		u, at := &s.Upstreams[i], n.Field("upstream").Item(i)
+		u, upstreamNode := &s.Upstreams[i], n.Field("upstream").Item(i)
 		if u.Node == "" {
 			continue
 		}
 		if line, ok := c.addresses[u.Node]; ok {
-			c.doc.Add(at, "node", fmt.Sprintf("%q is an upstream's address%s", u.Node, onLine(line)),
+			c.doc.Add(upstreamNode, "node", fmt.Sprintf("%q is an upstream's address%s", u.Node, lineSuffix(line)),
 				"the link address of a node")
 		}
-		first, ok := c.nodes[u.Node]
+		first, ok := c.firstOnNode[u.Node]
 		if !ok {
-			c.nodes[u.Node] = u
+			c.firstOnNode[u.Node] = u
 			continue
 		}
 		if first.Domain != u.Domain && first.Domain != "" {
-			c.doc.Add(at, "domain", fmt.Sprintf("%q, but upstream %s beside the same node has %q", u.Domain, first.Name, first.Domain),
+			c.doc.Add(upstreamNode, "domain", fmt.Sprintf("%q, but upstream %s beside the same node has %q", u.Domain, first.Name, first.Domain),
 				"one failure domain for all upstreams beside a node")
 		}
 	}
 }
 
-func onLine(line int) string {
+// lineSuffix returns " on line N", or nothing for line 0: a table that wasn't read from a
+// text has no lines.
+func lineSuffix(line int) string {
 	if line == 0 {
 		return ""
 	}
 	return fmt.Sprintf(" on line %d", line)
 }
 
-func (c *checker) route(n *document.Node, r *Route) {
+func (c *checker) checkRoute(n *document.Node, r *Route) {
 	if r.Host != "" && !isHost(r.Host) {
 		c.doc.Refuse(n, "host", document.Quote(r.Host),
 			fmt.Sprintf("a host name or IP number without a port, at most %d bytes", MaxHost))
@@ -246,7 +254,7 @@
 		c.doc.Refuse(n, "prefix", document.Quote(r.Prefix),
 			fmt.Sprintf("a path that begins with '/', without empty or dot segments, '?', '#' or spaces, at most %d bytes", MaxPrefix))
 	}
-	c.shares(n, r)
+	c.checkShares(n, r)
 	c.doc.CheckDuration(n, "timeout", r.Timeout, 0, MaxDeadline)
 	c.doc.CheckDuration(n, "target", r.LatencyTarget, 0, MaxDeadline)
 	document.CheckRange(c.doc, n, "attempts", r.MaxAttempts, 0, MaxAttempts)
@@ -258,20 +266,20 @@
 	}
 }
 
-// shares checks which services a route leads to.
-func (c *checker) shares(n *document.Node, r *Route) {
+// checkShares checks the service of a route, or its shares if it has any.
+func (c *checker) checkShares(n *document.Node, r *Route) {
 	if len(r.Shares) == 0 {
 		c.checkServiceExists(n, r.Service)
 		return
 	}
 	if r.Service != "" {
-		c.doc.Add(n, "service", "stands beside [[route.share]]", "one of service and share")
+		c.doc.Add(n, "service", "is given together with [[route.share]]", "one of service and share")
 	}
 	weight := 0
 	for i := range r.Shares {
-		at := n.Field("share").Item(i)
-		c.checkServiceExists(at, r.Shares[i].Service)
-		document.CheckRange(c.doc, at, "weight", r.Shares[i].Weight, 0, MaxWeight)
+		shareNode := n.Field("share").Item(i)
+		c.checkServiceExists(shareNode, r.Shares[i].Service)
+		document.CheckRange(c.doc, shareNode, "weight", r.Shares[i].Weight, 0, MaxWeight)
 		weight += max(r.Shares[i].Weight, 0)
 	}
 	if weight == 0 {
@@ -285,47 +293,47 @@
 	}
 }
 
-func isHost(h string) bool {
-	for i := range len(h) {
-		if c := h[i]; c <= ' ' || c >= 0x7f || strings.IndexByte("/:?#@", c) >= 0 {
+func isHost(host string) bool {
+	for i := range len(host) {
+		if c := host[i]; c <= ' ' || c >= 0x7f || strings.IndexByte("/:?#@", c) >= 0 {
 			return false
 		}
 	}
-	return h != "" && len(h) <= MaxHost
+	return host != "" && len(host) <= MaxHost
 }
 
-func isPrefix(p string) bool {
-	if !strings.HasPrefix(p, "/") || len(p) > MaxPrefix {
+func isPrefix(prefix string) bool {
+	if !strings.HasPrefix(prefix, "/") || len(prefix) > MaxPrefix {
 		return false
 	}
-	for i := range len(p) {
-		if c := p[i]; c <= ' ' || c >= 0x7f || c == '?' || c == '#' {
+	for i := range len(prefix) {
+		if c := prefix[i]; c <= ' ' || c >= 0x7f || c == '?' || c == '#' {
 			return false
 		}
 	}
-	for segment := range strings.SplitSeq(strings.Trim(p, "/"), "/") {
-		if segment == "." || segment == ".." || segment == "" && p != "/" {
+	for segment := range strings.SplitSeq(strings.Trim(prefix, "/"), "/") {
+		if segment == "." || segment == ".." || segment == "" && prefix != "/" {
 			return false
 		}
 	}
-	return !strings.HasPrefix(p, "//") && !strings.HasSuffix(p, "//")
+	return !strings.HasPrefix(prefix, "//") && !strings.HasSuffix(prefix, "//")
 }
 
-func (c *checker) caller(n *document.Node, k *Caller) {
-	if isCallerName(k.Name) {
-		c.checkUnique(c.callers, n, "name", k.Name, "a name that no other caller has")
+func (c *checker) checkCaller(n *document.Node, caller *Caller) {
+	if isCallerName(caller.Name) {
+		c.checkUnique(c.callers, n, "name", caller.Name, "a name that no other caller has")
 	} else {
-		c.doc.Refuse(n, "name", document.Quote(k.Name),
+		c.doc.Refuse(n, "name", document.Quote(caller.Name),
 			fmt.Sprintf("1 to %d printable characters without spaces", MaxCallerName))
 	}
-	document.CheckRange(c.doc, n, "rate", k.Rate, 0, MaxRate)
+	document.CheckRange(c.doc, n, "rate", caller.Rate, 0, MaxRate)
 }
 
-func isCallerName(s string) bool {
-	for i := range len(s) {
-		if s[i] <= ' ' || s[i] >= 0x7f {
+func isCallerName(name string) bool {
+	for i := range len(name) {
+		if name[i] <= ' ' || name[i] >= 0x7f {
 			return false
 		}
 	}
-	return s != "" && len(s) <= MaxCallerName
+	return name != "" && len(name) <= MaxCallerName
 }
--- a/table/clone.go
+++ b/table/clone.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Clone returns a copy that shares nothing with the table and has no index:
-// Parse makes one for a table in force.
+// Clone returns a deep copy, but for the LiftedFingerprints of services, which share their
+// memory with the table. The copy has no index: its look-ups find nothing until Build
+// or Index has made one.
 func (t *Table) Clone() *Table {
 	c := &Table{
 		Format:      t.Format,
--- a/table/defaults.go
+++ b/table/defaults.go
@@ -5,47 +5,47 @@
 	"fuchsiapick.example/fuchsiapick/document"
 )
 
-// Defaults of what a table leaves out.
+// Defaults of the keys that a table leaves out.
 const (
-	// DefaultFloor lets half of a service be set aside: more than that is
-	// seldom the upstreams' own fault.
+	// DefaultFloor lets half of a service's capacity be ejected. When more than
+	// half fails, the cause is seldom in the upstreams themselves.
 	DefaultFloor = 0.5
-	// DefaultDeadline is longer than any answer that a person still waits
-	// for at a page, and short enough to hold few requests when all hang.
+	// DefaultDeadline is longer than a person waits for a page, and short enough
+	// that few requests pile up when all upstreams hang.
 	DefaultDeadline = 2 * clock.Second
-	// DefaultDrain is the "few seconds" after which a leaving upstream gets
-	// no new work.
+	// DefaultDrain is the time after which a leaving upstream gets no new work. The
+	// project promises "a few seconds".
 	DefaultDrain = 3 * clock.Second
-	// DefaultQueuePerSlot lets a queue hold twice what is being served, so
+	// DefaultQueuePerSlot lets a queue hold twice the requests being served, so
 	// that a waiting request has at most two service times ahead of it.
 	DefaultQueuePerSlot = 2
-	// DefaultRetryRatio bounds the extra load of retries to a tenth: enough for
-	// single faults, too little to turn an overload into a collapse.
+	// DefaultRetryRatio bounds the extra load of retries to a tenth: enough to retry
+	// after single faults, too little to turn an overload into a collapse.
 	DefaultRetryRatio = 0.1
-	// DefaultCaution stands between the two trades.
+	// DefaultCaution is a compromise between fast detection and few false ejections.
 	DefaultCaution = Balanced
 	// DefaultAvailability allows 43 minutes of full outage in 30 days.
 	DefaultAvailability = 0.999
 	// DefaultLatency is a quarter of DefaultDeadline.
 	DefaultLatency = 500 * clock.Millis(1)
-	// DefaultLatencyRatio leaves out the slowest 1 in 100.
+	// DefaultLatencyRatio leaves out the slowest 1 in 100 requests.
 	DefaultLatencyRatio = 0.99
-	// DefaultWeight leaves room to give an upstream more or less in whole
+	// DefaultWeight leaves room to raise or lower an upstream's share in whole
 	// numbers.
 	DefaultWeight = 100
-	// DefaultConnections is what an upstream of today's deployments takes.
+	// DefaultConnections is the number that an upstream of today's deployments accepts.
 	DefaultConnections = 400
 )
 
 // defaultRepeatable are the methods that HTTP defines as safe and that callers
-// use to read. Whoever gets the slice must not change it.
+// use to read. All routes share the slice, so it must not be modified.
 var defaultRepeatable = []string{"GET", "HEAD"}
 
-// setDefault fills in a value whose key the text does not give. Presence
-// decides and not the value: a weight of 0 is an operator's decision.
-func setDefault[T any](n *document.Node, key string, value *T, standard T) {
+// setDefault sets a value whose key the text doesn't give. A zero that the text gives
+// stays, because a weight of 0, for example, is an operator's decision.
+func setDefault[T any](n *document.Node, key string, value *T, fallback T) {
 	if !n.Has(key) {
-		*value = standard
+		*value = fallback
 	}
 }
 
@@ -70,18 +70,19 @@
 	setDefault(n, "deadline", &s.Deadline, DefaultDeadline)
 	setDefault(n, "drain", &s.Drain, DefaultDrain)
 	setDefault(n, "retries", &s.RetryRatio, DefaultRetryRatio)
-	slots := 0
+	maxSlots := 0
 	for i := range s.Upstreams {
 		s.Upstreams[i].setDefaults(n.Field("upstream").Item(i))
-		slots = max(slots, s.Upstreams[i].Slots)
+		maxSlots = max(maxSlots, s.Upstreams[i].Slots)
 	}
-	setDefault(n, "queue", &s.Queue, min(DefaultQueuePerSlot*slots, MaxQueue))
+	setDefault(n, "queue", &s.Queue, min(DefaultQueuePerSlot*maxSlots, MaxQueue))
 
 	objective := n.Field("objective")
 	setDefault(objective, "availability", &s.Objective.Availability, DefaultAvailability)
 	latency := DefaultLatency
 	if s.Deadline >= MinDeadline {
-		// An objective above the deadline could not be missed.
+		// No served request takes longer than the deadline, so an objective above it
+		// could never be missed.
 		latency = min(latency, s.Deadline)
 	}
 	setDefault(objective, "latency", &s.Objective.Latency, latency)
--- a/table/diff.go
+++ b/table/diff.go
@@ -7,28 +7,29 @@
 	"strings"
 )
 
-// Change is one difference between two editions of a table.
+// Change is one difference between two versions of a table.
 type Change struct {
-	// Kind is "added", "removed" or "changed".
+	// Kind is Added, Removed or Changed.
 	Kind ChangeKind
-	// Path names the part and its key, as faults do.
+	// Path names the part and its key as Fault.Where does, for example
+	// "service bacheca: floor".
 	Path string
 	// From and To are the values before and after; From is empty for what was
 	// added, To for what was removed.
 	From, To string
 }
 
-// ChangeKind says how a part differs between two editions.
+// ChangeKind says how a part differs between two versions of a table.
 type ChangeKind string
 
-// The values of What.
+// The kinds of changes.
 const (
 	Added   ChangeKind = "added"
 	Removed ChangeKind = "removed"
 	Changed ChangeKind = "changed"
 )
 
-// String writes the change on one line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	switch c.Kind {
 	case Added:
@@ -40,9 +41,9 @@
 	}
 }
 
-// Diff lists what is different in the newer of two tables, in the order of the
-// tables: services with their upstreams, then routes, callers and accounts. The order
-// in which a table names its parts makes no difference. A nil table is empty.
+// Diff returns the differences between two tables: first the table's own keys, then
+// services with their upstreams, routes, callers and accounts. A different order of
+// the same parts isn't a change. A nil table counts as empty.
 func Diff(older, newer *Table) []Change {
 	if older == nil {
 		older = new(Table)
@@ -59,13 +60,13 @@
 	return d.changes
 }
 
-// partKind says how parts of one kind are told apart and compared.
+// partKind says how parts of one kind, such as services, are identified and compared.
 type partKind[T any] struct {
 	label string
-	// name is unique in a list.
+	// name returns a part's name, which is unique in its list.
 	name func(*T) string
-	// quickEqual is a quick look that spares equal parts the comparison by key. It
-	// may say false of equal parts.
+	// quickEqual is a cheap comparison that saves the one by key for most equal
+	// parts. It may return false for equal parts.
 	quickEqual func(a, b *T) bool
 }
 
@@ -100,122 +101,125 @@
 }
 
 func sameService(a, b *Service) bool {
-	x, y := *a, *b
-	x.Upstreams, y.Upstreams = nil, nil
-	return slices.Equal(a.Upstreams, b.Upstreams) && reflect.DeepEqual(x, y)
+	aRest, bRest := *a, *b
+	aRest.Upstreams, bRest.Upstreams = nil, nil
+	return slices.Equal(a.Upstreams, b.Upstreams) && reflect.DeepEqual(aRest, bRest)
 }
 
+// differ collects the changes between two tables.
 type differ struct{ changes []Change }
 
-// diffParts compares two lists. Mostly the same part stands at the same place in
-// both, and only where it does not is a map of the older list made.
-func diffParts[T any](d *differ, where string, kind partKind[T], older, newer []T) {
-	var places map[string]int
+// diffParts compares two lists of parts by name. Most parts have the same index in both
+// lists, so a map of the older list is built only at the first that doesn't.
+func diffParts[T any](d *differ, path string, kind partKind[T], older, newer []T) {
+	var olderByName map[string]int
 	matched := 0
 	for i := range newer {
 		name := kind.name(&newer[i])
 		j, ok := i, i < len(older) && kind.name(&older[i]) == name
 		if !ok {
-			if places == nil {
-				places = kind.indexByName(older)
+			if olderByName == nil {
+				olderByName = kind.indexByName(older)
 			}
-			j, ok = places[name]
+			j, ok = olderByName[name]
 		}
 		if !ok {
-			d.added(join(where, kind.label+" "+name), newer[i])
+			d.addPart(joinPath(path, kind.label+" "+name), newer[i])
 			continue
 		}
 		matched++
 		if !kind.quickEqual(&older[j], &newer[i]) {
-			d.diffPart(join(where, kind.label+" "+name), older[j], newer[i])
+			d.diffPart(joinPath(path, kind.label+" "+name), older[j], newer[i])
 		}
 	}
 	if matched == len(older) {
 		return
 	}
-	kept := kind.indexByName(newer)
+	newerByName := kind.indexByName(newer)
 	for i := range older {
 		name := kind.name(&older[i])
-		if _, ok := kept[name]; !ok {
+		if _, ok := newerByName[name]; !ok {
 			d.changes = append(d.changes, Change{
-				Kind: Removed, Path: join(where, kind.label+" "+name), From: summary(older[i]),
+				Kind: Removed, Path: joinPath(path, kind.label+" "+name), From: summary(older[i]),
 			})
 		}
 	}
 }
 
 func (k partKind[T]) indexByName(list []T) map[string]int {
-	places := make(map[string]int, len(list))
+	indexes := make(map[string]int, len(list))
 	for i := range list {
-		places[k.name(&list[i])] = i
+		indexes[k.name(&list[i])] = i
 	}
-	return places
+	return indexes
 }
 
-// added notes a new part, and each one that stands within it.
-func (d *differ) added(where string, part any) {
-	d.changes = append(d.changes, Change{Kind: Added, Path: where, To: summary(part)})
-	d.diffChildren(where, nil, part)
+// addPart records a new part and its children, such as the upstreams of a service.
+func (d *differ) addPart(path string, part any) {
+	d.changes = append(d.changes, Change{Kind: Added, Path: path, To: summary(part)})
+	d.diffChildren(path, nil, part)
 }
 
-func (d *differ) diffPart(where string, older, newer any) {
-	d.diffValues(where, older, newer)
-	d.diffChildren(where, older, newer)
+func (d *differ) diffPart(path string, older, newer any) {
+	d.diffValues(path, older, newer)
+	d.diffChildren(path, older, newer)
 }
 
-// diffChildren compares what stands within a part under names of its own.
-func (d *differ) diffChildren(where string, older, newer any) {
+// diffChildren compares the named parts within a part: the upstreams of a service.
+func (d *differ) diffChildren(path string, older, newer any) {
 	if s, ok := newer.(Service); ok {
 		before, _ := older.(Service)
-		diffParts(d, where, upstreamParts, before.Upstreams, s.Upstreams)
+		diffParts(d, path, upstreamParts, before.Upstreams, s.Upstreams)
 	}
 }
 
-// diffValues compares the keys of one part, and of its objective. Lists of parts
-// are compared by name elsewhere.
-func (d *differ) diffValues(where string, older, newer any) {
+// diffValues compares the values of one part key by key, and those of structs within it,
+// such as an objective. It skips lists of parts, which diffParts compares by name.
+func (d *differ) diffValues(path string, older, newer any) {
 	before, after := reflect.ValueOf(older), reflect.ValueOf(newer)
 	for i, f := range reflect.VisibleFields(after.Type()) {
 		if !f.IsExported() || isList(f.Type) {
 			continue
 		}
-		place := join(where, keyOf(&f))
+		fieldPath := joinPath(path, keyOf(&f))
 		from, to := before.Field(i).Interface(), after.Field(i).Interface()
 		if f.Type.Kind() == reflect.Struct {
-			d.diffValues(place, from, to)
+			d.diffValues(fieldPath, from, to)
 			continue
 		}
 		if a, b := fmt.Sprint(from), fmt.Sprint(to); a != b {
-			d.changes = append(d.changes, Change{Kind: Changed, Path: place, From: a, To: b})
+			d.changes = append(d.changes, Change{Kind: Changed, Path: fieldPath, From: a, To: b})
 		}
 	}
 }
 
+// isList reports whether t is a list of parts, such as the upstreams of a service.
 func isList(t reflect.Type) bool {
 	return t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct
 }
 
-// summary writes the keys and values of a part on one line.
+// summary returns the keys and values of a part on one line.
 func summary(part any) string {
 	v := reflect.ValueOf(part)
-	var words []string
+	var entries []string
 	for i, f := range reflect.VisibleFields(v.Type()) {
 		key := keyOf(&f)
 		switch {
 		case key == "name" || key == "prefix":
 		case f.Tag.Get("diff") == "unless-zero" && v.Field(i).IsZero():
 		case isList(f.Type):
-			words = append(words, fmt.Sprintf("%d %ss", v.Field(i).Len(), key))
+			entries = append(entries, fmt.Sprintf("%d %ss", v.Field(i).Len(), key))
 		case f.Type.Kind() == reflect.Struct:
-			words = append(words, summary(v.Field(i).Interface()))
+			entries = append(entries, summary(v.Field(i).Interface()))
 		default:
-			words = append(words, fmt.Sprintf("%s %v", key, v.Field(i).Interface()))
+			entries = append(entries, fmt.Sprintf("%s %v", key, v.Field(i).Interface()))
 		}
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(entries, ", ")
 }
 
-// keyOf is a field's key in a text, or its name where no text fills it.
+// keyOf returns a field's key in the text of a table, or its name in lower case if no
+// text sets the field.
 func keyOf(f *reflect.StructField) string {
 	if key := f.Tag.Get("toml"); key != "-" {
 		return key
@@ -223,9 +227,9 @@
 	return strings.ToLower(f.Name)
 }
 
-func join(where, key string) string {
-	if where == "" {
+func joinPath(path, key string) string {
+	if path == "" {
 		return key
 	}
-	return where + ": " + key
+	return path + ": " + key
 }
--- a/table/diff_test.go
+++ b/table/diff_test.go
@@ -10,9 +10,8 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// A manager asks why an upstream got no work since Tuesday. The cause stands
-// in an edit of the table, so each accepted edition must account for what it
-// changed.
+// Guards against a change of the table that the log doesn't show: operators then can't
+// find out why, for example, an upstream gets no work since a certain day.
 func TestDiffNamesEachChange(t *testing.T) {
 	older := mustParse(t, small)
 	text := strings.NewReplacer(
@@ -44,7 +43,7 @@
 	}
 }
 
-func TestDiffTakesNoOrderForAChange(t *testing.T) {
+func TestDiffIgnoresOrder(t *testing.T) {
 	older := mustParse(t, small)
 	newer := mustParse(t, small)
 	slices.Reverse(newer.Services[0].Upstreams)
@@ -56,9 +55,10 @@
 	}
 }
 
-// The short ways of Diff must not lose a change, whatever moved, came and went
-// in one edit: backwards, the same parts change, and go where they came.
-func TestDiffBackwardsIsTheSameTurnedRound(t *testing.T) {
+// Guards against changes that the shortcuts of Diff lose when one edit moves, adds and
+// removes parts. Diff with swapped tables must return the same changes, with Added and
+// Removed swapped.
+func TestDiffReversedSwapsAddedAndRemoved(t *testing.T) {
 	caller := rapid.Custom(func(t *rapid.T) table.Caller {
 		return table.Caller{Name: rapid.StringMatching(`[a-f]`).Draw(t, "name"), Rate: float64(rapid.IntRange(0, 2).Draw(t, "rate"))}
 	})
@@ -81,7 +81,7 @@
 		got := table.Diff(&a, &b)
 		for _, c := range got {
 			if !want[c] {
-				t.Errorf("got %v, want only what stands backwards", c)
+				t.Errorf("got %v, want only changes that the reversed Diff has too", c)
 			}
 		}
 		if len(got) != len(want) {
--- a/table/index.go
+++ b/table/index.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// index holds what look-ups need, built once when a table was accepted and
+// index holds the maps that look-ups use. It is built once when a table is accepted and
 // only read afterwards, so that requests may share it without a lock.
 type index struct {
-	// routes holds the places of routes by host and prefix.
+	// routes holds the indexes of routes by host and prefix.
 	routes    map[routeKey]int
 	services  map[string]int
 	upstreams map[string]upstreamIndex
-	// accounts holds the places of client accounts by the digests of their keys.
+	// accounts holds the indexes of client accounts by the digests of their keys.
 	accounts     map[[sha256.Size]byte]int
 	accountNames map[string]int
-	// depth is the segments of the deepest prefix. A path is compared no
-	// deeper, so that one with thousands of segments costs no more than the
-	// table's own prefixes do.
+	// depth is the number of segments of the longest prefix. Look-ups compare no
+	// more segments of a path, so that a path with thousands of them costs no more
+	// than the table's own prefixes do.
 	depth int
 }
 
-// routeKey is what a route is found by: its host in lower case and its prefix
-// without a slash at the end.
+// routeKey identifies a route: its host in lower case, and its prefix without the
+// trailing slash.
 type routeKey struct{ host, prefix string }
 
 type upstreamIndex struct{ service, upstream int }
@@ -51,30 +51,32 @@
 
 // Route finds the route of a host with the longest prefix that the path begins
 // with, in whole segments: the prefix /a matches /a, /a/ and /a/b, not /ab. The
-// path is taken as it is: the caller decodes and cleans it. Where no route of
-// the host matches, those without a host are looked through.
+// calling code has to decode and clean the path. If no route of the host matches,
+// Route searches the routes without a host.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	path = trimSlash(firstSegments(path, t.lookup.depth))
-	if r, ok := t.route(strings.ToLower(host), path); ok {
+	if r, ok := t.findRoute(strings.ToLower(host), path); ok {
 		return r, true
 	}
-	return t.route("", path)
+	return t.findRoute("", path)
 }
 
-func (t *Table) route(host, path string) (*Route, bool) {
+// findRoute finds the route of exactly this host with the longest prefix of the path,
+// which has no trailing slash.
+func (t *Table) findRoute(host, path string) (*Route, bool) {
 	for {
 		if i, ok := t.lookup.routes[routeKey{host, path}]; ok {
 			return &t.Routes[i], true
 		}
-		cut := strings.LastIndexByte(path, '/')
-		if cut < 0 {
+		lastSlash := strings.LastIndexByte(path, '/')
+		if lastSlash < 0 {
 			return nil, false
 		}
-		path = path[:cut]
+		path = path[:lastSlash]
 	}
 }
 
-// firstSegments cuts a path before the slash that follows its n-th segment.
+// firstSegments returns the first n segments of a path that begins with a slash.
 func firstSegments(path string, n int) string {
 	for i := range len(path) {
 		if path[i] != '/' {
@@ -100,15 +102,15 @@
 // Upstream finds an upstream and its service by the upstream's name, which is
 // unique in the whole table.
 func (t *Table) Upstream(name string) (*Service, *Upstream, bool) {
-	p, ok := t.lookup.upstreams[name]
+	position, ok := t.lookup.upstreams[name]
 	if !ok {
 		return nil, nil, false
 	}
-	service := &t.Services[p.service]
-	return service, &service.Upstreams[p.upstream], true
+	service := &t.Services[position.service]
+	return service, &service.Upstreams[position.upstream], true
 }
 
-// MayRepeat reports whether a request by this route and method may run more
+// MayRepeat reports whether a request by this route with the method may run more
 // than once.
 func (r *Route) MayRepeat(method string) bool {
 	if r.Repeatable == nil {
--- a/table/index_test.go
+++ b/table/index_test.go
@@ -11,11 +11,11 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// A fixed seed gives property tests the same verdict in every run. A flag on
-// the command line still goes before it.
+// A fixed seed makes property tests give the same result in every run. The flag
+// -rapid.seed on the command line overrides it.
 var _ = flag.Set("rapid.seed", "20")
 
-// withRoutes builds a table of one service with a route for each prefix.
+// withRoutes returns a table of one service with a route for each prefix.
 func withRoutes(t testing.TB, prefixes ...string) *table.Table {
 	t.Helper()
 	base := *mustParse(t, small)
@@ -44,11 +44,11 @@
 		}
 	}
 	if r, ok := withRoutes(t, "/", "/a").Route("", "/b/c"); !ok || r.Prefix != "/" {
-		t.Errorf("got %+v, want the route of all paths", r)
+		t.Errorf("got %+v, want the route with the prefix /", r)
 	}
 }
 
-func TestRouteIsThatOfAPlainSearch(t *testing.T) {
+func TestRouteMatchesLinearSearch(t *testing.T) {
 	path := rapid.StringMatching(`(/[ab]{1,2}){0,4}/?`)
 	rapid.Check(t, func(t *rapid.T) {
 		seen := make(map[string]bool)
@@ -68,24 +68,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		asked := path.Draw(t, "path")
+		requestPath := path.Draw(t, "path")
 		want := ""
 		for _, r := range base.Routes {
 			p := strings.TrimSuffix(r.Prefix, "/") + "/"
-			if strings.HasPrefix(asked+"/", p) && len(p) > len(strings.TrimSuffix(want, "/")) {
+			if strings.HasPrefix(requestPath+"/", p) && len(p) > len(strings.TrimSuffix(want, "/")) {
 				want = r.Prefix
 			}
 		}
-		got, ok := built.Route("", asked)
+		got, ok := built.Route("", requestPath)
 		if ok != (want != "") || ok && got.Prefix != want {
-			t.Errorf("%q: got %+v, want %q", asked, got, want)
+			t.Errorf("%q: got %+v, want %q", requestPath, got, want)
 		}
 	})
 }
 
-// A route counts each read as a use, so that its operators write an empty list
-// of methods; a read runs twice all the same. The cause would be that a list
-// that is empty is taken for one that was left out.
+// Guards against reads that run twice on a route whose list of repeatable methods is
+// empty, for example because each read is counted. It happens if an empty list is taken
+// for one that was left out.
 func TestMayRepeat(t *testing.T) {
 	none := mustParse(t, strings.Replace(small, "[[caller]]", "repeatable = []\n[[caller]]", 1)).Routes[0]
 	built, err := table.Build(*mustParse(t, small))
@@ -135,7 +135,7 @@
 	}
 }
 
-// plannedRoutes is the size to design for.
+// plannedRoutes is the number of routes that the project is designed for.
 const plannedRoutes = 190_000
 
 func plannedTable(t testing.TB) (*table.Table, []string) {
--- a/table/instances.go
+++ b/table/instances.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrInstances reports an instance list that can't be read.
+// ErrInstances is the error of an instance list that is malformed.
 const ErrInstances = errors.ConstError("malformed instance list")
 
 // States of an instance.
@@ -16,26 +16,26 @@
 	Leaving = "leaving"
 )
 
-// Instance is a node and the state that the platform says it is in. The list
-// lags: an instance may be gone already, or not be listed yet.
+// Instance is a node and its state as the platform publishes it. The list lags behind:
+// an instance may be gone already, or not be listed yet.
 type Instance struct {
-	// Node is the node's link address, IP number and port.
+	// Node is the node's link address, an IP number and port.
 	Node string `toml:"node"`
-	// Domain is its failure domain.
+	// Domain is the instance's failure domain.
 	Domain string `toml:"domain"`
 	// State is Live or Leaving.
 	State string `toml:"state"`
 }
 
-// Instances is one published edition of the instance list.
+// Instances is one published version of the instance list.
 type Instances struct {
 	Version uint64 `toml:"version"`
-	// List has the instances in published order, with each node once.
+	// List holds the instances in published order, each node once.
 	List []Instance `toml:"instance"`
 }
 
-// ParseInstances reads an instance list. Unknown keys are passed over, so that
-// the platform may add to its list; ErrInstances names the first wrong line.
+// ParseInstances reads an instance list. It ignores unknown keys, so that the platform
+// may add some. Its errors match ErrInstances and describe the first fault.
 func ParseInstances(body []byte) (Instances, error) {
 	var instances Instances
 	if err := toml.Unmarshal(body, &instances); err != nil {
@@ -46,7 +46,7 @@
 		if err := instance.check(); err != nil {
 			return Instances{}, errors.Annotatef(err, "instance %d", i+1)
 		}
-		if _, twice := seen[instance.Node]; twice {
+		if _, duplicate := seen[instance.Node]; duplicate {
 			return Instances{}, errors.Annotatef(ErrInstances, "instance %d: node %q is listed twice", i+1, instance.Node)
 		}
 		seen[instance.Node] = struct{}{}
--- a/table/instances_test.go
+++ b/table/instances_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// FuzzParseInstances holds that no list crashes a node or names a node twice.
+// FuzzParseInstances checks that no list makes the parser panic, and that no parsed list
+// names a node twice.
 func FuzzParseInstances(f *testing.F) {
 	f.Add([]byte("version = 3\n[[instance]]\nnode = \"10.0.0.1:7000\"\ndomain = \"palermo\"\nstate = \"live\"\n"))
 	f.Add([]byte("version = -1\ninstance = 7"))
--- a/table/parse.go
+++ b/table/parse.go
@@ -13,45 +13,44 @@
 )
 
 const (
-	// ErrInvalid is matched by the error of a table that was not accepted.
+	// ErrInvalid matches every error of Parse and of a table that Build refuses.
 	ErrInvalid = document.ErrInvalid
-	// ErrFormat is matched too if the table is of a format that this release
-	// does not read. The table may well be right for a newer release.
-	ErrFormat = errors.ConstError("format of another release")
+	// ErrFormat also matches the error if the table has a newer format than this
+	// release reads. The table may be valid for a newer release.
+	ErrFormat = errors.ConstError("unsupported table format")
 )
 
-// MaxBytes bounds a table's text to what the platform holds in one value. A
-// longer one is refused before it is decoded.
+// MaxBytes is the largest text of a table in bytes, the most that the platform stores in
+// one value. Parse refuses a longer text before decoding it.
 const MaxBytes = 1 << 20
 
 // Fault is one thing wrong with a table.
 type Fault = document.Fault
 
-// Faults lists all that is wrong with a table, by line.
+// Faults lists all faults of a table, ordered by line.
 type Faults = document.Faults //nolint:errname // see document.Faults
 
-// Parse reads a table and checks the whole of it. What the text leaves out
-// gets its default. The error of a text that is not accepted is a Faults; that
-// of a newer format wraps one and is ErrFormat too.
+// Parse decodes and checks a table and fills in the defaults of keys that the text
+// leaves out. Its error is a Faults. The error of a newer format wraps a Faults and also
+// matches ErrFormat.
 func Parse(text []byte) (*Table, error) {
 	return parse(text, MaxBytes)
 }
 
-// Build checks and indexes a table that was made by a program and not read
-// from a text. It fills in no defaults but that of Route.Repeatable, and its
-// faults have no lines. It may be larger than MaxBytes. The table given is not
-// changed.
+// Build checks and indexes a table that a program has made. The only default that it
+// fills in is that of Route.Repeatable. Its faults have no lines, and the table's text
+// may be larger than MaxBytes. Build doesn't modify its argument.
 func Build(t Table) (*Table, error) {
 	t.Routes = slices.Clone(t.Routes)
 	for i := range t.Routes {
 		if t.Routes[i].Repeatable == nil {
-			// As text, nil would be an empty list, which means none.
+			// Marshal writes nil as an empty list, which allows no method.
 			t.Routes[i].Repeatable = defaultRepeatable
 		}
 	}
 	text, err := toml.Marshal(t)
 	if err != nil {
-		return nil, errors.Annotate(err, "writing the table")
+		return nil, errors.Annotate(err, "encoding the table")
 	}
 	built, err := parse(text, len(text))
 	var faults Faults
@@ -63,19 +62,20 @@
 	return built, err
 }
 
-// Index makes a table that a program has made and checked itself ready for
-// look-ups. A route without Repeatable has none. It takes the table over.
+// Index prepares a table for look-ups without checking it, for a program that made the
+// table and checked it. It fills in no defaults. The result shares the slices of t,
+// which must not be modified afterwards.
 func Index(t Table) *Table {
 	t.buildIndex()
 	return &t
 }
 
-func parse(text []byte, bound int) (*Table, error) {
-	doc, err := document.Parse(text, bound)
+func parse(text []byte, maxBytes int) (*Table, error) {
+	doc, err := document.Parse(text, maxBytes)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if err := checkNewer(doc.Root); err != nil {
+	if err := checkNotNewer(doc.Root); err != nil {
 		return nil, err
 	}
 	t := new(Table)
@@ -91,10 +91,10 @@
 	return t, nil
 }
 
-// checkNewer refuses a table of a newer format by that fault alone. Everything
-// that the newer format added would otherwise be called an unknown key, and an
-// operator would mend a table that is right.
-func checkNewer(root *document.Node) error {
+// checkNotNewer refuses a table of a newer format with a single fault. Otherwise each key
+// that the newer format added would be reported as unknown, and an operator would
+// change a table that is valid.
+func checkNotNewer(root *document.Node) error {
 	format, ok := root.Field("format").Integer()
 	if !ok || format <= Format {
 		return nil
@@ -107,8 +107,8 @@
 	}}, ErrFormat)
 }
 
-// Digest names a table's text for comparison between nodes: SHA-256 in
-// hexadecimal digits.
+// Digest returns the SHA-256 of a table's text in hexadecimal digits. Nodes compare
+// digests to find out whether they have the same table.
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
--- a/table/parse_test.go
+++ b/table/parse_test.go
@@ -13,7 +13,7 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// small is a table of which tests change single lines.
+// small is a short valid table. Tests change single lines of it.
 const small = `format = 1
 version = 7
 [[service]]
@@ -48,10 +48,10 @@
 	return got
 }
 
-// An operator mends one slip, publishes, and is told of the next, at night,
-// five times. The cause: a decoder that stops at the first fault. All of them
-// must be named at once, each with its line and with what is allowed.
-func TestParseNamesAllFaultsOfAText(t *testing.T) {
+// Guards against a decoder that stops at the first fault, so that an operator has to
+// publish again for each one. Parse must report all faults at once, each with its line
+// and with what is allowed.
+func TestParseReportsAllFaults(t *testing.T) {
 	text, err := os.ReadFile("testdata/faults.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestParseNamesSingleFaults(t *testing.T) {
+func TestParseReportsSingleFaults(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"grammar":      {"slots = 3", "slots = = 3", "line 11: not TOML"},
 		"mark":         {"format = 1", "\ufeffformat = 1", "line 1: begins with a byte order mark"},
@@ -97,9 +97,9 @@
 	}
 }
 
-// Operators drain a whole service for maintenance by weights of 0 and forget
-// its floor: no gate may be set aside any more and none may serve. The cause
-// is a floor that no choice of upstreams can reach.
+// Guards against a service whose weights are all 0, as for maintenance, while its floor
+// is above 0. No choice of upstreams reaches that floor: none may be ejected, and
+// none may serve.
 func TestParseRefusesFloorThatWeightsCannotReach(t *testing.T) {
 	text := strings.ReplaceAll(small, "slots = ", "weight = 0\nslots = ")
 	_, err := table.Parse([]byte(text))
@@ -126,10 +126,9 @@
 	}
 }
 
-// An operator sets a weight to 0 so that an upstream gets no new work, and it
-// goes on getting its full share. The cause would be a default that can't tell
-// a zero that was written from one that was left out.
-func TestParseKeepsZerosThatAreWritten(t *testing.T) {
+// Guards against an upstream that keeps getting its full share of work after an operator
+// has set its weight to 0. It happens if a default replaces a zero that the text gives.
+func TestParseKeepsExplicitZeros(t *testing.T) {
 	text := strings.Replace(small, "slots = 3", "slots = 3\nweight = 0", 1)
 	text = strings.Replace(text, "floor = 0.4", "floor = 0\nqueue = 0\nretries = 0\ndrain = \"0s\"", 1)
 	s := mustParse(t, text).Services[0]
@@ -145,10 +144,10 @@
 	}
 }
 
-// During an upgrade the table gets a key that only newer nodes know, and an
-// older node lists unknown keys in a table that is right. The cause: two
-// releases at once. The older one must say that the table is of a newer one.
-func TestParseRefusesNewerFormatByThatFaultAlone(t *testing.T) {
+// Guards against a node that reports unknown keys in a valid table of a newer release,
+// when two releases run at once during an upgrade. The older node must report only that
+// the format is newer.
+func TestParseReportsOnlyNewerFormat(t *testing.T) {
 	_, err := table.Parse([]byte("format = 2\nversion = 9\nregions = [1]\n"))
 	var faults table.Faults
 	if !errors.Is(err, table.ErrFormat) || !errors.Is(err, table.ErrInvalid) || !errors.As(err, &faults) {
@@ -159,12 +158,12 @@
 	}
 	_, err = table.Parse([]byte("format = 1\nregions = [1]\n"))
 	if errors.Is(err, table.ErrFormat) || !errors.Is(err, table.ErrInvalid) {
-		t.Errorf("got %v, want faults of this format", err)
+		t.Errorf("got %v, want faults and no ErrFormat", err)
 	}
 }
 
-// A frame of a peer or a broken platform gives a text without end. It must be
-// refused before memory or time is spent on it.
+// Guards against oversized or deeply nested texts from a peer or a faulty platform. Parse
+// must refuse them before it spends much memory or time.
 func TestParseBoundsTextAndNesting(t *testing.T) {
 	tests := map[string]string{
 		"long":      small + strings.Repeat("#", table.MaxBytes),
@@ -194,7 +193,7 @@
 	return b.String()
 }
 
-func TestDigestTellsTextsApart(t *testing.T) {
+func TestDigestDiffersBetweenTexts(t *testing.T) {
 	const want = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 	if got := table.Digest(nil); got != want {
 		t.Errorf("got %s, want %s", got, want)
@@ -217,13 +216,14 @@
 			return
 		}
 		if again, err := table.Build(*got); err != nil || len(table.Diff(got, again)) != 0 {
-			t.Errorf("got %v for a table that was accepted, want the same table", err)
+			t.Errorf("got error %v or a different table from Build for an accepted table, want the same table", err)
 		}
 	})
 }
 
-// A slip in one upstream's failure domain would take it from the callers next
-// to it: they use their own domain first, and nobody would notice but by delay.
+// Guards against a typing error in an upstream's failure domain. Callers prefer upstreams
+// of their own domain, so the upstream would lose the callers next to it, and only
+// longer delays would show it.
 func TestParseFindsUnknownDomain(t *testing.T) {
 	text := `format = 1
 version = 1
@@ -238,7 +238,7 @@
 slots = 3
 `
 	_, err := table.Parse([]byte(text))
-	for _, want := range []string{`line 3: domains: "palermo" stands twice`, `line 10: service bacheca: upstream bacheca-1: domain: "palremo" is not allowed`} {
+	for _, want := range []string{`line 3: domains: "palermo" is given twice`, `line 10: service bacheca: upstream bacheca-1: domain: "palremo" is not allowed`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q in it", err, want)
 		}
--- a/table/size_test.go
+++ b/table/size_test.go
@@ -9,11 +9,12 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// upstreamsPerService is that of the size to design for: 200,000 in 4,100.
+// upstreamsPerService is the planned average: the project is designed for 200,000
+// upstreams in 4,100 services.
 const upstreamsPerService = 49
 
-// tableOfSize writes a table with so many services and a route for each of 46,
-// as the size to design for has 190,000 routes in 4,100 services.
+// tableOfSize returns the text of a table with the given number of services and 46 routes
+// for each, because the project is designed for 190,000 routes in 4,100 services.
 func tableOfSize(services int) string {
 	var b strings.Builder
 	b.WriteString("format = 1\nversion = 1\n")
@@ -33,30 +34,31 @@
 	return b.String()
 }
 
-// sizes reach to the largest table that one value of the platform holds.
+// sizes are numbers of services. The last gives about the largest table that the platform
+// stores in one value.
 var sizes = []int{5, 20, 50, 100}
 
-// BenchmarkParse measures what a table costs by its size: the time of Parse,
-// and the memory that a parsed table holds.
+// BenchmarkParse measures the time of Parse and the memory that a parsed table holds,
+// for tables of several sizes.
 func BenchmarkParse(b *testing.B) {
 	for _, services := range sizes {
 		text := []byte(tableOfSize(services))
 		b.Run(fmt.Sprintf("upstreams=%d", services*upstreamsPerService), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
-			var kept *table.Table
+			var parsed *table.Table
 			before := heapInUse()
 			for b.Loop() {
 				got, err := table.Parse(text)
 				if err != nil {
 					b.Fatal(err)
 				}
-				kept = got
+				parsed = got
 			}
 			upstreams := float64(services * upstreamsPerService)
 			b.ReportMetric(float64(heapInUse()-before)/upstreams, "held-B/upstream")
 			b.ReportMetric(float64(len(text))/upstreams, "text-B/upstream")
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(parsed)
 		})
 	}
 }
@@ -69,10 +71,10 @@
 	return int64(stats.HeapAlloc)
 }
 
-// A table that grows to what the platform holds must not cost more for each of
-// its parts than a small one does: a search through all names for each name
-// would let an edit late in the growth stall every node at once.
-func TestParseGrowsInStep(t *testing.T) {
+// Guards against allocations of Parse that grow faster than the table, for example by a
+// search through all names for each name. An edit of a large table would then stall all
+// nodes at once.
+func TestParseAllocationsGrowLinearly(t *testing.T) {
 	allocations := func(services int) float64 {
 		text := []byte(tableOfSize(services))
 		return testing.AllocsPerRun(2, func() {
@@ -87,8 +89,8 @@
 	}
 }
 
-// BenchmarkDiff measures what accounting for one changed weight costs, at each
-// accepted edition of a table.
+// BenchmarkDiff measures Diff for one changed value. Nodes run Diff for each table that
+// they accept.
 func BenchmarkDiff(b *testing.B) {
 	for _, services := range sizes {
 		text := tableOfSize(services)
@@ -97,8 +99,8 @@
 		b.Run(fmt.Sprintf("upstreams=%d", services*upstreamsPerService), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				// The slots and the queue that follows from them by default stay
-				// level, for other upstreams have more.
+				// The default queue depends on the most slots of any upstream in the
+				// service. Other upstreams still have 7, so the queue doesn't change.
 				if got := table.Diff(older, newer); len(got) != 1 {
 					b.Fatalf("got %v, want one change", got)
 				}
--- a/table/types.go
+++ b/table/types.go
@@ -1,8 +1,8 @@
-// Package table defines what operators publish: services, their backend
-// servers (upstreams), weights, limits, routes and objectives.
+// Package table defines the configuration that operators publish: services, their
+// backend servers (upstreams), weights, limits, routes and objectives.
 //
-// The types are plain data. Parse reads and checks a whole table; nothing
-// else of the project accepts one that was not checked.
+// The types are plain data. Parse decodes and checks a whole table, and the rest of
+// the project only uses tables that passed the checks.
 package table
 
 import "fuchsiapick.example/fuchsiapick/clock"
@@ -10,42 +10,42 @@
 // Format is the table format that this release writes and reads.
 const Format = 1
 
-// Caution says how a service trades detection time for false ejections.
+// Caution says how a service trades a short detection time against few false ejections.
 type Caution string
 
-// The values of Caution, from the quickest to set an upstream aside to the
-// slowest.
+// The values of Caution. Fast ejects an upstream the quickest, Cautious the slowest.
 const (
 	Fast     Caution = "fast"
 	Balanced Caution = "balanced"
 	Cautious Caution = "cautious"
-	// ShortEpisodes is for upstreams that fail in episodes of seconds, many of a service
-	// at a time: two outcomes decide, and none of them needs the others' news.
+	// ShortEpisodes is for upstreams that fail for a few seconds at a time, many of a
+	// service at once. Two outcomes are enough to eject an upstream, and the decision
+	// doesn't depend on updates about other upstreams.
 	ShortEpisodes Caution = "brief"
 )
 
-// A tag diff:"unless-zero" leaves a key out of the lines that say what an edit
-// added or removed while it has no value.
+// The tag diff:"unless-zero" leaves a key without a value out of the Change of a part
+// that was added or removed.
 
-// Table is one published edition of the whole configuration.
+// Table is one published version of the whole configuration.
 type Table struct {
-	// Format names the rules that this table was written for.
+	// Format is the number of the format that the table is written in.
 	Format int `toml:"format"`
-	// Version orders editions: a higher one replaces a lower one.
+	// Version orders published tables: a higher version replaces a lower one.
 	Version  uint64    `toml:"version"`
 	Services []Service `toml:"service"`
 	Routes   []Route   `toml:"route"`
-	// Domains lists the failure domains there are; with none listed any name
-	// will do. A slip in an upstream's domain would take it from the callers
-	// next to it, unnoticed.
+	// Domains lists the failure domains; if it is empty, any name is valid. It guards
+	// against a typing error in an upstream's domain, which would silently take the
+	// upstream from the callers in the same domain.
 	Domains []string `toml:"domains"`
-	// Callers overrides the limits of single callers.
+	// Callers overrides the request limits of individual callers.
 	Callers []Caller `toml:"caller"`
-	// Accounts are the client accounts. Where there are any, a request needs a key of
-	// one, unless its route is public.
+	// Accounts are the client accounts. If there are any, a request needs a key of one
+	// of them, unless its route is public.
 	Accounts []Account `toml:"account"`
-	// RequireKeys asks for keys also where there are no accounts: no request by a route that
-	// isn't public is served then.
+	// RequireKeys makes requests need a key also if there are no accounts, so that only
+	// public routes serve requests.
 	RequireKeys bool `toml:"keyed" diff:"unless-zero"`
 
 	lookup index
@@ -54,33 +54,33 @@
 // Service is a group of upstreams that answer the same requests.
 type Service struct {
 	Name string `toml:"name"`
-	// Caution sets the thresholds of the health verdict.
+	// Caution selects the thresholds of the health verdict.
 	Caution Caution `toml:"caution"`
 	// Floor is the share of the service's capacity (weight x slots), from 0
-	// to 1, that setting upstreams aside must leave in use.
+	// to 1, that ejection must leave in use.
 	Floor float64 `toml:"floor"`
-	// Deadline is the time a request may take in all, retries included.
+	// Deadline bounds the total time of a request, retries included.
 	Deadline clock.Millis `toml:"deadline"`
 	// Drain is how long a leaving upstream may still get new work.
 	Drain clock.Millis `toml:"drain"`
 	// ProbePath is the path of the upstreams' health endpoint; empty means none.
-	// Probes may end a hold-off, never set aside or readmit by themselves.
+	// Probes may end a hold-off, but never eject or readmit an upstream on their own.
 	ProbePath string `toml:"probe"`
-	// Queue is how many requests may wait at a gate for a slot of one upstream.
+	// Queue is the number of requests that may wait at a gate for a slot of one upstream.
 	Queue int `toml:"queue"`
-	// RetryRatio is the share of requests, from 0 to 1, that may be sent again.
+	// RetryRatio is the share of requests, from 0 to 1, that may be retried.
 	RetryRatio float64 `toml:"retries"`
-	// ExtraRetries is how many requests all nodes together may send again beyond
-	// Retries in each Window; 0 leaves the burst of each node to itself.
+	// ExtraRetries is the number of retries beyond RetryRatio that all nodes together may
+	// send in each RetryWindow; with 0 each node bounds its own bursts.
 	ExtraRetries float64      `toml:"extra" diff:"unless-zero"`
 	RetryWindow  clock.Millis `toml:"window" diff:"unless-zero"`
-	// Rate limits the requests a second that one entry admits for the
+	// Rate limits the requests per second that one entry admits for the
 	// service; 0 means no limit.
 	Rate float64 `toml:"rate"`
-	// CallerRate limits the requests a second that one entry admits from one
+	// CallerRate limits the requests per second that one entry admits from one
 	// caller; 0 means no limit.
 	CallerRate float64 `toml:"quota"`
-	// LiftedFingerprints frees requests of a quarantine, by their fingerprints.
+	// LiftedFingerprints are the fingerprints of requests whose quarantine is lifted.
 	LiftedFingerprints []string   `toml:"lift" diff:"unless-zero"`
 	Objective          Objective  `toml:"objective"`
 	Upstreams          []Upstream `toml:"upstream"`
@@ -88,96 +88,100 @@
 
 // Objective is a service's service-level objective.
 type Objective struct {
-	// Availability is the share of requests, from 0 to 1, to be served.
+	// Availability is the share of requests that must be served, above 0 and below 1.
 	Availability float64 `toml:"availability"`
-	// Latency is the time within which Within of the served requests end.
+	// Latency is the time within which the share LatencyRatio of the served requests
+	// must end.
 	Latency clock.Millis `toml:"latency"`
-	// LatencyRatio is the share, from 0 to 1, that Latency is promised to.
+	// LatencyRatio is the share of the served requests that must meet Latency, above 0
+	// and below 1.
 	LatencyRatio float64 `toml:"within"`
 }
 
 // Upstream is one backend server.
 type Upstream struct {
 	Name string `toml:"name"`
-	// Address is the backend server's own HTTP address, IP number and port.
+	// Address is the backend server's own HTTP address, an IP number and port.
 	Address string `toml:"address"`
-	// Node is the link address, IP number and port, of the node beside it.
+	// Node is the link address, an IP number and port, of the node beside the
+	// backend server.
 	Node string `toml:"node"`
-	// Domain is the failure domain the instance is in.
+	// Domain is the failure domain that the instance is in.
 	Domain string `toml:"domain"`
-	// Weight is the share of work relative to other upstreams; 0 means that
-	// it gets no new work.
+	// Weight is the share of work relative to other upstreams; an upstream of
+	// weight 0 gets no new work.
 	Weight int `toml:"weight"`
-	// Slots is how many requests it serves at once.
+	// Slots is the number of requests that the backend server runs at once.
 	Slots int `toml:"slots"`
-	// Connections bounds the connections that its gate opens to it.
+	// Connections bounds the connections that the gate opens to the backend server.
 	Connections int `toml:"connections"`
-	// Started is when its process started, in Unix milliseconds, where a platform
-	// tells it; 0 stands for not told. Another one under the same name is another
-	// process, which knows nothing of what the one before had begun.
+	// Started is the start time of the backend server's process in Unix milliseconds; 0
+	// means that the platform doesn't publish it. A different value under the same name
+	// is a new process, which has no record of the requests that the old one had begun.
 	Started int64 `toml:"-" diff:"unless-zero"`
-	// Version is that of its software; empty stands for not told.
+	// Version is the version of the backend server's software; empty means unknown.
 	Version string `toml:"version" diff:"unless-zero"`
 }
 
-// Route sends requests by host and path prefix to a service, or to several in
-// the proportions of their weights.
+// Route sends requests by host and path prefix to one service, or to several in
+// proportion to their weights.
 type Route struct {
-	// Host is matched against the request's host without regard to case; a
-	// route without one takes requests of hosts that no route names.
+	// Host is matched against the request's host, ignoring case. A route without a
+	// host takes the requests that no route of their own host matches.
 	Host string `toml:"host" diff:"unless-zero"`
-	// Prefix is matched against whole path segments; the longest one wins.
+	// Prefix is matched against whole path segments; the longest prefix wins.
 	Prefix string `toml:"prefix"`
-	// Service is empty where Shares names the services.
+	// Service is empty if Shares names the services.
 	Service string  `toml:"service"`
 	Shares  []Share `toml:"share" diff:"unless-zero"`
-	// Timeout is the longest that a request may take in all; 0 leaves that to
-	// the service's deadline.
+	// Timeout bounds the total time of a request; with 0 the service's deadline
+	// applies.
 	Timeout clock.Millis `toml:"timeout" diff:"unless-zero"`
-	// LatencyTarget is the time within which an answer is worth most; 0 if none is.
+	// LatencyTarget is the time up to which an answer has its full value to the
+	// caller; 0 means no target.
 	LatencyTarget clock.Millis `toml:"target" diff:"unless-zero"`
-	// MaxAttempts bounds the upstreams on which one request may run; 0 leaves it
-	// to the retry budget.
+	// MaxAttempts bounds the number of upstreams on which one request may run; with 0
+	// only the retry budget does.
 	MaxAttempts int `toml:"attempts" diff:"unless-zero"`
-	// Priority ranks routes where upstreams are short of room, 0 before 1.
+	// Priority ranks routes when upstreams are short of capacity; 0 goes before 1.
 	Priority int `toml:"priority" diff:"unless-zero"`
-	// Repeatable lists the methods that may run more than once, AnyMethod for
+	// Repeatable lists the methods that may run more than once; AnyMethod stands for
 	// all. Nil means GET and HEAD, an empty list means none.
 	Repeatable []string `toml:"repeatable"`
-	// Public takes requests without a key of a client account.
+	// Public lets requests through without a key of a client account.
 	Public bool `toml:"public" diff:"unless-zero"`
 }
 
 // AnyMethod in Route.Repeatable stands for all methods.
 const AnyMethod = "*"
 
-// Share is one service's part of a route's requests.
+// Share is the part of a route's requests that one service gets.
 type Share struct {
 	Service string `toml:"service"`
-	// Weight is relative to those of the route's other shares.
+	// Weight is relative to the weights of the route's other shares.
 	Weight int `toml:"weight"`
 }
 
-// Caller overrides limits for one caller.
+// Caller overrides the request limit of one caller.
 type Caller struct {
 	Name string `toml:"name"`
-	// Rate limits its requests a second at one entry, over all services.
+	// Rate limits the caller's requests per second at one entry, over all services.
 	Rate float64 `toml:"rate"`
 }
 
-// Account is a client account. Requests with one of its keys are its own.
+// Account is a client account. Requests with one of its keys count as the account's.
 type Account struct {
 	Name string `toml:"name"`
-	// Keys are the digests of its keys, as DigestOf makes them.
+	// Keys are the digests of the account's keys, as DigestOf returns them.
 	Keys KeyDigests `toml:"keys"`
-	// Rate is how many of its requests a second all nodes together admit; 0 means no
-	// limit.
+	// Rate is the number of the account's requests per second that all nodes together
+	// admit; 0 means no limit.
 	Rate float64 `toml:"rate"`
-	// Burst is how many requests it may send at once beyond Rate.
+	// Burst is the number of requests that the account may send at once beyond Rate.
 	Burst float64 `toml:"burst"`
-	// Priority replaces that of the route; RoutePriority leaves it.
+	// Priority replaces the priority of the route, unless it is RoutePriority.
 	Priority int `toml:"priority"`
 }
 
-// RoutePriority in Account.Priority stands for the priority of the route.
+// RoutePriority in Account.Priority keeps the priority of the route.
 const RoutePriority = -1
