--- a/document/check.go
+++ b/document/check.go
@@ -9,11 +9,13 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// maxNameLength bounds a name to what a label of a metric and a column of a
-// report bear.
+// maxNameLength bounds names in bytes, because they become labels of metrics and columns
+// of reports.
 const maxNameLength = 63
 
-// Refuse notes that a key is missing, or that its value is not allowed.
+// Refuse records a fault of a key of the table n: that the key is missing if the text
+// doesn't give it, otherwise that its value is not allowed. A nil n, as for a table that
+// the text leaves out, never counts as a missing key.
 func (d *Document) Refuse(n *Node, key, value, allowed string) {
 	problem := value + " is not allowed"
 	if n != nil && !n.Has(key) {
@@ -22,12 +24,13 @@
 	d.Add(n, key, problem, allowed)
 }
 
-// Quote writes a text that was read for use in a fault, cut if it is long.
+// Quote returns a text in quotes for use in a fault, cut to 80 bytes before quoting.
 func Quote(text string) string {
 	return strconv.Quote(text[:min(len(text), maxLabelLength)])
 }
 
-// CheckName notes a fault unless the value is fit for logs, labels and reports.
+// CheckName records a fault unless the value can be used as a name in logs, metric labels
+// and reports.
 func (d *Document) CheckName(n *Node, key, value string) {
 	if !isName(value) {
 		d.Refuse(n, key, Quote(value),
@@ -35,12 +38,12 @@
 	}
 }
 
-func isName(s string) bool {
-	if s == "" || len(s) > maxNameLength || !isLetterOrDigit(s[0]) {
+func isName(name string) bool {
+	if name == "" || len(name) > maxNameLength || !isLetterOrDigit(name[0]) {
 		return false
 	}
-	for i := range len(s) {
-		if c := s[i]; !isLetterOrDigit(c) && c != '-' && c != '_' && c != '.' {
+	for i := range len(name) {
+		if c := name[i]; !isLetterOrDigit(c) && c != '-' && c != '_' && c != '.' {
 			return false
 		}
 	}
@@ -51,8 +54,8 @@
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
 
-// CheckAddress notes a fault unless the value is an IP number and a port that can
-// be dialled. It reports whether it is.
+// CheckAddress records a fault unless the value is an IP number and a port that can
+// be dialled. It reports whether the value is valid.
 func (d *Document) CheckAddress(n *Node, key, value string) bool {
 	address, err := netip.ParseAddrPort(value)
 	ip := address.Addr()
@@ -64,8 +67,8 @@
 	return false
 }
 
-// CheckListener notes a fault unless the value is an IP number and a port that can
-// be listened at. Port 0 takes any free port. It reports whether it is.
+// CheckListener records a fault unless the value is an IP number and a port to listen
+// on. Port 0 stands for any free port. It reports whether the value is valid.
 func (d *Document) CheckListener(n *Node, key, value string) bool {
 	address, err := netip.ParseAddrPort(value)
 	if err == nil && address.Addr().Zone() == "" {
@@ -75,25 +78,27 @@
 	return false
 }
 
-// CheckDuration notes a fault unless the value is within the bounds, both included.
-func (d *Document) CheckDuration(n *Node, key string, value, least, most clock.Millis) {
-	if value < least || value > most {
-		d.Refuse(n, key, value.String(), least.String()+" to "+most.String())
+// CheckDuration records a fault unless the value is between lower and upper, both
+// included.
+func (d *Document) CheckDuration(n *Node, key string, value, lower, upper clock.Millis) {
+	if value < lower || value > upper {
+		d.Refuse(n, key, value.String(), lower.String()+" to "+upper.String())
 	}
 }
 
-// CheckRange notes a fault unless the value is within the bounds, both included.
-func CheckRange[T cmp.Ordered](d *Document, n *Node, key string, value, least, most T) {
-	if value >= least && value <= most {
+// CheckRange records a fault unless the value is between lower and upper, both included.
+func CheckRange[T cmp.Ordered](d *Document, n *Node, key string, value, lower, upper T) {
+	if value >= lower && value <= upper {
 		return
 	}
-	d.Refuse(n, key, fmt.Sprint(value), fmt.Sprintf("%v to %v", least, most))
+	d.Refuse(n, key, fmt.Sprint(value), fmt.Sprintf("%v to %v", lower, upper))
 }
 
-// CheckOpenRange notes a fault unless the value is within the bounds, both excluded.
-func CheckOpenRange[T cmp.Ordered](d *Document, n *Node, key string, value, least, most T) {
-	if value > least && value < most {
+// CheckOpenRange records a fault unless the value is between lower and upper, both
+// excluded.
+func CheckOpenRange[T cmp.Ordered](d *Document, n *Node, key string, value, lower, upper T) {
+	if value > lower && value < upper {
 		return
 	}
-	d.Refuse(n, key, fmt.Sprint(value), fmt.Sprintf("above %v and below %v", least, most))
+	d.Refuse(n, key, fmt.Sprint(value), fmt.Sprintf("above %v and below %v", lower, upper))
 }
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -22,9 +22,9 @@
 	Items []inner  `toml:"item"`
 }
 
-// What is wrong must not hide what else is wrong, and must not spoil what is
-// right, in each way that TOML has to write a value.
-func TestDecodePassesOverFaultsAndKeepsTheRest(t *testing.T) {
+// Guards against a fault that hides other faults or keeps valid keys from being decoded,
+// for each way in which TOML writes a value.
+func TestDecodeSkipsFaultsAndKeepsTheRest(t *testing.T) {
 	tests := map[string]struct {
 		text, faults string
 		want         outer
@@ -49,9 +49,9 @@
 				t.Fatal(err)
 			}
 			var got outer
-			whole := doc.Decode(&got)
-			if !whole || got.Share != test.want.Share || got.Plain != test.want.Plain || got.Inner != test.want.Inner {
-				t.Errorf("got %+v, %v, want %+v", got, whole, test.want)
+			decoded := doc.Decode(&got)
+			if !decoded || got.Share != test.want.Share || got.Plain != test.want.Plain || got.Inner != test.want.Inner {
+				t.Errorf("got %+v, %v, want %+v", got, decoded, test.want)
 			}
 			err = doc.Err()
 			if err == nil || !strings.HasPrefix(err.Error(), test.faults) || strings.Contains(err.Error(), "\n") {
@@ -65,9 +65,9 @@
 	faults := make(document.Faults, 5000)
 	got := faults.Error()
 	if lines := strings.Count(got, "\n") + 1; lines != 101 || !strings.HasSuffix(got, "and 4900 more") {
-		t.Errorf("got %d lines, want 100 and how many more", lines)
+		t.Errorf("got %d lines, want 100 faults and a line with the number of others", lines)
 	}
 	if !errors.Is(errors.Annotate(faults, "reading"), document.ErrInvalid) {
-		t.Error("got another error, want ErrInvalid")
+		t.Error("got an error that isn't ErrInvalid, want ErrInvalid")
 	}
 }
--- a/document/fault.go
+++ b/document/fault.go
@@ -1,6 +1,6 @@
-// Package document reads the texts that operators write, tables and settings,
-// so that every fault in one is reported at once, with its line and with what
-// is allowed in its place.
+// Package document parses the TOML texts that operators write, tables and settings.
+// It reports all faults of a text together, each with its line and with what is
+// allowed instead.
 package document
 
 import (
@@ -10,21 +10,23 @@
 	"github.com/juju/errors"
 )
 
-// ErrInvalid is what every list of faults is: a text that was not accepted.
-const ErrInvalid = errors.ConstError("not accepted")
+// ErrInvalid matches every error of a text that was refused.
+const ErrInvalid = errors.ConstError("invalid document")
 
-// Fault is one thing wrong with a text.
+// Fault is one error in a text.
 type Fault struct {
-	// Line counts from 1; 0 means that the fault has no line of its own.
+	// Line counts from 1; 0 means that the fault belongs to no line.
 	Line int
 	// Where names the part and its key, for example "service bacheca: floor".
-	// It is empty for a fault of the text as a whole.
-	Where   string
+	// It is empty for a fault of the whole text.
+	Where string
+	// Problem says what is wrong, and Allowed what the text may have instead, if
+	// anything.
 	Problem string
 	Allowed string
 }
 
-// String writes the fault on one line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -40,16 +42,16 @@
 	return b.String()
 }
 
-// Faults lists all that is wrong with one text. As an error it is ErrInvalid.
+// Faults lists all faults of one text. As an error it matches ErrInvalid.
 type Faults []Fault //nolint:errname // a list of faults is data first, and an error where one is returned
 
-// maxErrorLines keeps a text that is wrong in each of its lines, such as one of
-// another kind, from filling the log of every node. All faults are still in
-// the list.
+// maxErrorLines bounds the lines of an error text. Without it a text with a fault in every
+// line, such as a file of another kind, would fill the log of every node. The list
+// itself still holds all faults.
 const maxErrorLines = 100
 
-// Error writes one line for each fault. Of very many it writes the first, and
-// how many more there are.
+// Error returns one line for each fault, up to 100, and a last line with the number of
+// faults left out, if any.
 func (fs Faults) Error() string {
 	shown := fs[:min(len(fs), maxErrorLines)]
 	lines := make([]string, len(shown), len(shown)+1)
@@ -62,7 +64,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Is reports that target is ErrInvalid.
+// Is reports whether target is ErrInvalid.
 func (fs Faults) Is(target error) bool {
 	return target == ErrInvalid
 }
--- a/document/node.go
+++ b/document/node.go
@@ -7,35 +7,37 @@
 )
 
 // Node is one value of a text: a table, an array or a scalar, with the line
-// that it was written on. Methods of a nil Node answer as for a value that is
-// not in the text.
+// that it was written on. The exported methods treat a nil Node as a value that the text
+// doesn't give.
 type Node struct {
-	// Line is where the value's key or table header stands.
+	// Line is the line of the value's key or table header, from 1.
 	Line int
 
 	kind unstable.Kind
-	// scalar is the decoded text of a string, the written one of a number. It
-	// mostly points into the text that was read.
+	// scalar is the decoded text of a string, or a number as written. It usually
+	// points into the text that was parsed.
 	scalar []byte
 	parent *Node
 	key    string
-	// position counts from 1 within an array, 0 elsewhere.
+	// position is the position within an array, from 1. It is 0 for other values.
 	position int
 	fields   []*Node
-	// byKey finds fields once there are more than a person writes: a text
-	// with a hundred thousand keys in one table must not take minutes.
+	// byKey indexes fields once there are more than maxLinearFields: a text with
+	// 100,000 keys in one table must not take minutes.
 	byKey map[string]*Node
 	items []*Node
-	// start and to bound the bytes of the expression that gave the value: the
-	// key and value of a line, or the line of a table header.
+	// start and end are the offsets of the first byte and of the byte after the
+	// expression that gave the value: the key and value of a line, or the line of a
+	// table header.
 	start, end int
-	// expression is the outermost value of the same expression, which can
-	// only be passed over as a whole.
+	// expression is the outermost value of the same expression, nil for that value
+	// itself. The decoder can only skip an expression as a whole.
 	expression *Node
-	refused    bool
+	// rejected is set once a fault of the value's kind has been recorded.
+	rejected bool
 }
 
-// Field returns the value of a key of a table, nil if it is absent.
+// Field returns the value of a key of a table, or nil if the key is absent.
 func (n *Node) Field(key string) *Node {
 	if n == nil {
 		return nil
@@ -51,15 +53,16 @@
 	return nil
 }
 
-// maxLinearFields is how many fields are quicker to compare than to hash.
+// maxLinearFields is the number of fields up to which a linear search is faster than a map.
 const maxLinearFields = 24
 
+// addField adds f to a table that doesn't have its key yet.
 func (n *Node) addField(f *Node) {
 	n.fields = append(n.fields, f)
 	if n.byKey == nil && len(n.fields) > maxLinearFields {
 		n.byKey = make(map[string]*Node, 2*len(n.fields))
-		for _, known := range n.fields {
-			n.byKey[known.key] = known
+		for _, field := range n.fields {
+			n.byKey[field.key] = field
 		}
 	}
 	if n.byKey != nil {
@@ -67,7 +70,7 @@
 	}
 }
 
-// Item returns the i-th element of an array, from 0, nil if it is absent.
+// Item returns the i-th element of an array, from 0, or nil if it is absent.
 func (n *Node) Item(i int) *Node {
 	if n == nil || i < 0 || i >= len(n.items) {
 		return nil
@@ -75,12 +78,13 @@
 	return n.items[i]
 }
 
-// Has reports whether the text gives the key.
+// Has reports whether the table has the key.
 func (n *Node) Has(key string) bool {
 	return n.Field(key) != nil
 }
 
-// Integer returns the value of an integer.
+// Integer returns the value of an integer, and false for a value that isn't an integer or
+// doesn't fit into an int64.
 func (n *Node) Integer() (int64, bool) {
 	if n == nil || n.kind != unstable.Integer {
 		return 0, false
@@ -89,7 +93,7 @@
 	return value, err == nil
 }
 
-// LineOf returns the line of a key, or that of the table that lacks it.
+// LineOf returns the line of a key, or the line of the table if the key is absent.
 func (n *Node) LineOf(key string) int {
 	if n == nil {
 		return 0
@@ -100,8 +104,8 @@
 	return n.Line
 }
 
-// Where names the key of a table by the names of the tables around it, for
-// example "service bacheca: upstream b1: slots".
+// Where returns a key of the table with the names of the tables around it, for
+// example "service bacheca: upstream b1: slots". An empty key stands for the table itself.
 func (n *Node) Where(key string) string {
 	if n == nil {
 		return key
@@ -117,8 +121,8 @@
 	}
 }
 
-// label names a node. An element of an array goes by its name, else its
-// prefix, else its place.
+// label returns the name of a node in faults. For an element of an array this is its
+// key "name", else its key "prefix", else its position.
 func (n *Node) label() string {
 	if n.parent == nil {
 		return ""
@@ -135,20 +139,22 @@
 	return array.label() + " " + strconv.Itoa(n.position)
 }
 
-// isRefused reports whether a fault of shape already covers the value.
-func (n *Node) isRefused() bool {
+// isRejected reports whether the value or a table or array around it was rejected.
+func (n *Node) isRejected() bool {
 	for ; n != nil; n = n.parent {
-		if n.refused {
+		if n.rejected {
 			return true
 		}
 	}
 	return false
 }
 
-// maxLabelLength keeps a hostile name from filling a log line.
+// maxLabelLength bounds a text within a fault in bytes, so that a hostile name can't fill a
+// log line.
 const maxLabelLength = 80
 
-// printable quotes a text that would garble a line, and cuts a long one.
+// printable cuts a text to maxLabelLength, and quotes it if it contains characters that
+// would break a log line.
 func printable(text string) string {
 	if len(text) > maxLabelLength {
 		text = text[:maxLabelLength]
--- a/document/read.go
+++ b/document/read.go
@@ -10,25 +10,25 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Document is a text that was read, and the faults found in it so far.
+// Document is a parsed text with the faults found in it so far.
 type Document struct {
-	// Root is the tree of the text.
+	// Root is the table that holds the top-level keys of the text.
 	Root   *Node
 	faults Faults
-	tree   *builder
+	tree   *treeBuilder
 }
 
-// byteOrderMark is invisible in an editor, so that an operator could not see
-// what the grammar's own message about line 1 means.
+// byteOrderMark is the UTF-8 byte order mark. It gets a fault of its own because editors
+// don't show it: an operator couldn't understand the parser's message about line 1.
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// Parse reads the grammar of a text. A text longer than bound bytes is refused
-// before anything of it is decoded. The error is a Faults.
-func Parse(text []byte, bound int) (*Document, error) {
-	if len(text) > bound {
+// Parse parses a TOML text without decoding it into a struct. It refuses a text longer
+// than maxBytes before parsing any of it. The error is a Faults.
+func Parse(text []byte, maxBytes int) (*Document, error) {
+	if len(text) > maxBytes {
 		return nil, Faults{{
 			Problem: fmt.Sprintf("%d bytes", len(text)),
-			Allowed: fmt.Sprintf("at most %d bytes", bound),
+			Allowed: fmt.Sprintf("at most %d bytes", maxBytes),
 		}}
 	}
 	if bytes.HasPrefix(text, byteOrderMark) {
@@ -43,26 +43,26 @@
 	return &Document{Root: tree.root, faults: tree.faults, tree: tree}, nil
 }
 
-// Decode fills the struct that into points to. Unknown keys and values of a
-// wrong kind become faults and are passed over, so that the rest can still be
-// checked. It reports false if the rest can't be decoded either.
+// Decode fills the struct that into points to. It records unknown keys and values of a
+// wrong kind as faults and skips them, so that the rest can still be checked. It returns
+// false if the rest can't be decoded either.
 func (d *Document) Decode(into any) bool {
 	s := schemaChecker{keySets: make(map[reflect.Type]keySet)}
 	s.check(d.Root, reflect.TypeOf(into).Elem())
 	d.faults = append(d.faults, s.faults...)
-	text := blankNodes(d.tree.text, append(s.refused, d.tree.duplicates...))
+	text := blankNodes(d.tree.text, append(s.rejected, d.tree.duplicates...))
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		d.faults = append(d.faults, decodeFault(err))
+		d.faults = append(d.faults, newDecodeFault(err))
 		return false
 	}
 	return true
 }
 
-// Add notes a fault of the key of a table. Where a fault of shape covers the
-// key already, nothing is added.
+// Add records a fault of a key of the table n. It does nothing if the key or the table was
+// already rejected as unknown or of a wrong kind.
 func (d *Document) Add(n *Node, key, problem, allowed string) {
-	if f := n.Field(key); f.isRefused() || n.isRefused() {
+	if f := n.Field(key); f.isRejected() || n.isRejected() {
 		return
 	}
 	d.faults = append(d.faults, Fault{
@@ -70,7 +70,7 @@
 	})
 }
 
-// Err returns the faults by line as an error, nil if there are none.
+// Err returns the faults, ordered by line, as a Faults, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.faults) == 0 {
 		return nil
@@ -79,8 +79,9 @@
 	return d.faults
 }
 
-// blankNodes returns a copy of the text with the expressions of the nodes, and of
-// all that is in them, written over by spaces. Lines keep their numbers.
+// blankNodes returns a copy of the text in which spaces replace the expressions of the
+// nodes and of all values within them. Line breaks stay, so that line numbers don't
+// change.
 func blankNodes(text []byte, nodes []*Node) []byte {
 	if len(nodes) == 0 {
 		return text
@@ -106,11 +107,11 @@
 	}
 }
 
-func decodeFault(err error) Fault {
+func newDecodeFault(err error) Fault {
 	fault := Fault{Problem: err.Error(), Allowed: "TOML 1.0"}
-	var position *toml.DecodeError
-	if errors.As(err, &position) {
-		fault.Line, _ = position.Position()
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		fault.Line, _ = decodeErr.Position()
 	}
 	return fault
 }
--- a/document/shape.go
+++ b/document/shape.go
@@ -13,18 +13,20 @@
 
 var millisType = reflect.TypeFor[clock.Millis]()
 
-// schemaChecker compares a tree with the struct that it is to fill and collects every
-// unknown key and every value of a wrong kind. The decoder would stop at the
-// first, and it would take a key in other letter case for a known one.
+// schemaChecker compares a tree with the type of the struct to fill, and collects all
+// unknown keys and all values of a wrong kind. The decoder itself would stop at the
+// first one, and it would accept a known key in a different letter case.
 type schemaChecker struct {
-	faults  Faults
-	refused []*Node
-	// keySets keeps the keys of each struct, for a table holds thousands of one
-	// type.
+	faults Faults
+	// rejected are the nodes that the decoder must skip.
+	rejected []*Node
+	// keySets caches the keys of each struct type, because a table holds thousands of
+	// values of one type.
 	keySets map[reflect.Type]keySet
 }
 
-// keySet is the keys of a struct and, on one line, what a fault says of them.
+// keySet holds the types of a struct's fields by key, and the list of the keys for a
+// fault.
 type keySet struct {
 	types   map[string]reflect.Type
 	allowed string
@@ -45,25 +47,25 @@
 
 func (s *schemaChecker) checkTable(n *Node, t reflect.Type) {
 	if n.kind != unstable.Table {
-		s.refuse(n, "is "+describeKind(n), "a table")
+		s.reject(n, "is "+describeKind(n), "a table")
 		return
 	}
-	known := s.keysOf(t)
+	keys := s.keysOf(t)
 	for _, f := range n.fields {
-		if want, ok := known.types[f.key]; ok {
+		if want, ok := keys.types[f.key]; ok {
 			s.check(f, want)
 		} else {
-			s.refuse(f, "unknown key", known.allowed)
+			s.reject(f, "unknown key", keys.allowed)
 		}
 	}
 }
 
-// ignoredTag is the tag of a field that no text fills.
+// ignoredTag marks a field that texts can't set.
 const ignoredTag = "-"
 
 func (s *schemaChecker) keysOf(t reflect.Type) keySet {
-	if known, ok := s.keySets[t]; ok {
-		return known
+	if keys, ok := s.keySets[t]; ok {
+		return keys
 	}
 	types := make(map[string]reflect.Type, t.NumField())
 	for f := range t.Fields() {
@@ -71,14 +73,15 @@
 			types[key] = f.Type
 		}
 	}
-	known := keySet{types: types, allowed: keyList(types)}
-	s.keySets[t] = known
-	return known
+	keys := keySet{types: types, allowed: joinKeys(types)}
+	s.keySets[t] = keys
+	return keys
 }
 
-func keyList(known map[string]reflect.Type) string {
-	keys := make([]string, 0, len(known))
-	for key := range known {
+// joinKeys returns the keys in alphabetical order, separated by commas.
+func joinKeys(types map[string]reflect.Type) string {
+	keys := make([]string, 0, len(types))
+	for key := range types {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
@@ -87,7 +90,7 @@
 
 func (s *schemaChecker) checkArray(n *Node, elem reflect.Type) {
 	if n.kind != unstable.Array {
-		s.refuse(n, "is "+describeKind(n), arrayName(n, elem))
+		s.reject(n, "is "+describeKind(n), describeArray(n, elem))
 		return
 	}
 	for _, item := range n.items {
@@ -95,22 +98,24 @@
 	}
 }
 
-func arrayName(n *Node, elem reflect.Type) string {
+// describeArray says in a fault what an array of elem looks like in the text.
+func describeArray(n *Node, elem reflect.Type) string {
 	if elem.Kind() == reflect.Struct {
-		return "tables that each begin with [[" + n.path() + "]]"
+		return "tables that each begin with [[" + n.headerPath() + "]]"
 	}
 	return "an array of texts"
 }
 
-// path writes a node's key as a table header does.
-func (n *Node) path() string {
+// headerPath returns the node's dotted key as a table header names it, such as
+// "service.upstream".
+func (n *Node) headerPath() string {
 	if n.parent == nil {
 		return ""
 	}
 	if n.position > 0 {
-		return n.parent.path()
+		return n.parent.headerPath()
 	}
-	if outer := n.parent.path(); outer != "" {
+	if outer := n.parent.headerPath(); outer != "" {
 		return outer + "." + n.key
 	}
 	return n.key
@@ -119,12 +124,12 @@
 func (s *schemaChecker) checkDuration(n *Node) {
 	const allowed = `a span in whole milliseconds, such as "250ms" or "5s"`
 	if n.kind != unstable.String {
-		s.refuse(n, "is "+describeKind(n), allowed)
+		s.reject(n, "is "+describeKind(n), allowed)
 		return
 	}
 	var m clock.Millis
 	if err := m.UnmarshalText(n.scalar); err != nil {
-		s.refuse(n, Quote(string(n.scalar))+" is not a span", allowed)
+		s.reject(n, Quote(string(n.scalar))+" is not a span", allowed)
 	}
 }
 
@@ -147,12 +152,12 @@
 		allowed = "nothing: this release can't read the key"
 	}
 	if !ok {
-		s.refuse(n, "is "+describeKind(n), allowed)
+		s.reject(n, "is "+describeKind(n), allowed)
 	}
 }
 
-// isDecimal leaves out 0x10 and its like, which the decoder takes for integers
-// only.
+// isDecimal reports whether n is a whole number in decimal digits. The decoder doesn't
+// accept hexadecimal, octal and binary numbers, such as 0x10, for a float field.
 func isDecimal(n *Node) bool {
 	return isInteger(n) && !bytes.ContainsAny(n.scalar, "xob")
 }
@@ -162,17 +167,19 @@
 	return ok
 }
 
-func (s *schemaChecker) refuse(n *Node, problem, allowed string) {
+// reject records a fault and makes the decoder skip the whole expression of the node.
+func (s *schemaChecker) reject(n *Node, problem, allowed string) {
 	s.faults = append(s.faults, Fault{Line: n.Line, Where: n.label(), Problem: problem, Allowed: allowed})
-	n.refused = true
+	n.rejected = true
 	if n.expression != nil {
-		n.expression.refused = true
+		n.expression.rejected = true
 		n = n.expression
 	}
-	s.refused = append(s.refused, n)
+	s.rejected = append(s.rejected, n)
 }
 
-// describeKind says what a value is, with the value where it is short.
+// describeKind says in a fault what a value is. For a string, a number or another scalar
+// this includes its first 80 bytes.
 func describeKind(n *Node) string {
 	switch n.kind {
 	case unstable.Table:
--- a/document/tree.go
+++ b/document/tree.go
@@ -8,36 +8,37 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// builder makes the tree of a text from its expressions. It is lenient about
-// what TOML forbids across expressions, such as defining a table twice: the
-// decoder that runs after it refuses that.
-type builder struct {
+// treeBuilder builds the tree of a text from its expressions. It accepts some things that
+// TOML forbids across expressions, such as a table that is defined twice. The decoder,
+// which runs later, refuses them.
+type treeBuilder struct {
 	text        []byte
 	lineOffsets []int
 	root        *Node
 	faults      Faults
-	// duplicates lists repeated keys, which must be passed over for the decoder
-	// to go on.
+	// duplicates lists repeated keys. The decoder must skip them, because it would stop
+	// at the first.
 	duplicates []*Node
-	// keys holds one string for each key, and spare nodes not yet taken:
-	// a table repeats a dozen keys thousands of times.
-	keys  map[string]string
-	spare []Node
+	// keys holds each different key once, and freeNodes the allocated nodes that
+	// aren't used yet. Both save allocations: a table repeats a dozen keys thousands of
+	// times.
+	keys      map[string]string
+	freeNodes []Node
 }
 
-// nodeBatchSize is how many nodes are allocated together.
+// nodeBatchSize is the number of nodes in one allocation.
 const nodeBatchSize = 128
 
-func (b *builder) allocNode() *Node {
-	if len(b.spare) == 0 {
-		b.spare = make([]Node, nodeBatchSize)
+func (b *treeBuilder) allocNode() *Node {
+	if len(b.freeNodes) == 0 {
+		b.freeNodes = make([]Node, nodeBatchSize)
 	}
-	n := &b.spare[0]
-	b.spare = b.spare[1:]
+	n := &b.freeNodes[0]
+	b.freeNodes = b.freeNodes[1:]
 	return n
 }
 
-func (b *builder) internKey(data []byte) string {
+func (b *treeBuilder) internKey(data []byte) string {
 	if key, ok := b.keys[string(data)]; ok {
 		return key
 	}
@@ -46,10 +47,10 @@
 	return key
 }
 
-// parseTree returns the tree of a text, and the faults of its grammar. Only a
-// text without those has a whole tree.
-func parseTree(text []byte) (*builder, error) {
-	b := &builder{text: text, lineOffsets: lineStarts(text), keys: make(map[string]string)}
+// parseTree builds the tree of a text. The tree's faults are the keys given twice. A text
+// that isn't valid TOML grammar gives an error and no tree.
+func parseTree(text []byte) (*treeBuilder, error) {
+	b := &treeBuilder{text: text, lineOffsets: findLineOffsets(text), keys: make(map[string]string)}
 	b.root = &Node{Line: 1, kind: unstable.Table}
 	var parser unstable.Parser
 	parser.Reset(text)
@@ -58,11 +59,11 @@
 		e := parser.Expression()
 		switch e.Kind {
 		case unstable.KeyValue:
-			b.keyValue(current, nil, e)
+			b.addKeyValue(current, nil, e)
 		case unstable.Table:
-			current = b.header(e)
+			current = b.openTable(e)
 		case unstable.ArrayTable:
-			current = b.arrayHeader(e)
+			current = b.openArrayTable(e)
 		default:
 		}
 	}
@@ -72,51 +73,52 @@
 	return b, nil
 }
 
-func (b *builder) grammarFault(parser *unstable.Parser, err error) error {
-	var fault *unstable.ParserError
-	if !errors.As(err, &fault) {
+func (b *treeBuilder) grammarFault(parser *unstable.Parser, err error) error {
+	var parserErr *unstable.ParserError
+	if !errors.As(err, &parserErr) {
 		return Faults{{Problem: "not TOML: " + err.Error(), Allowed: "TOML 1.0"}}
 	}
-	offset := int(parser.Range(fault.Highlight).Offset)
-	return Faults{{Line: b.lineAt(offset), Problem: "not TOML: " + fault.Message, Allowed: "TOML 1.0"}}
+	offset := int(parser.Range(parserErr.Highlight).Offset)
+	return Faults{{Line: b.lineAt(offset), Problem: "not TOML: " + parserErr.Message, Allowed: "TOML 1.0"}}
 }
 
-// header enters the table that a [a.b] line names.
-func (b *builder) header(e *unstable.Node) *Node {
-	at := b.root
+// openTable returns the table that a header line such as [a.b] names.
+func (b *treeBuilder) openTable(e *unstable.Node) *Node {
+	table := b.root
 	for keys := e.Key(); keys.Next(); {
-		at = b.enter(at, keys.Node(), nil)
+		table = b.descend(table, keys.Node(), nil)
 	}
-	b.setHeaderLine(at, e)
-	return at
+	b.setHeaderLine(table, e)
+	return table
 }
 
-// arrayHeader adds a table to the array that a [[a.b]] line names.
-func (b *builder) arrayHeader(e *unstable.Node) *Node {
-	at := b.root
+// openArrayTable adds a table to the array that a header line such as [[a.b]] names, and
+// returns the new table.
+func (b *treeBuilder) openArrayTable(e *unstable.Node) *Node {
+	table := b.root
 	for keys := e.Key(); keys.Next(); {
 		key := keys.Node()
 		if !keys.IsLast() {
-			at = b.enter(at, key, nil)
+			table = b.descend(table, key, nil)
 			continue
 		}
-		array := at.Field(string(key.Data))
+		array := table.Field(string(key.Data))
 		if array == nil {
-			array = b.add(at, key, unstable.Array)
+			array = b.addField(table, key, unstable.Array)
 			b.setHeaderLine(array, e)
 		}
-		at = b.addItem(array, unstable.Table)
+		table = b.addItem(array, unstable.Table)
 	}
-	b.setHeaderLine(at, e)
-	return at
+	b.setHeaderLine(table, e)
+	return table
 }
 
-// enter steps into a table by one part of a dotted key: the table itself, the
-// last one of an array of tables, or a new one.
-func (b *builder) enter(at *Node, key *unstable.Node, expression *Node) *Node {
-	next := at.Field(string(key.Data))
+// descend returns the table that one part of a dotted key names: an existing table, the
+// last table of an array, or a new table.
+func (b *treeBuilder) descend(table *Node, key *unstable.Node, expression *Node) *Node {
+	next := table.Field(string(key.Data))
 	if next == nil {
-		next = b.add(at, key, unstable.Table)
+		next = b.addField(table, key, unstable.Table)
 		next.expression = expression
 	}
 	if len(next.items) > 0 {
@@ -125,39 +127,42 @@
 	return next
 }
 
-// keyValue adds the value of a "key = value" to a table. Within an inline
-// table, expression is the value of the whole line.
-func (b *builder) keyValue(at, expression *Node, e *unstable.Node) {
+// addKeyValue adds the value of a "key = value" to a table. Within an inline
+// table, expression is the value of the whole line; otherwise it is nil.
+func (b *treeBuilder) addKeyValue(table, expression *Node, e *unstable.Node) {
 	for keys := e.Key(); keys.Next(); {
 		key := keys.Node()
 		if !keys.IsLast() {
-			at = b.enter(at, key, expression)
+			table = b.descend(table, key, expression)
 			continue
 		}
-		n := b.newNode(at, key, unstable.Invalid)
+		n := b.newNode(table, key, unstable.Invalid)
 		n.start, n.end = int(e.Raw.Offset), int(e.Raw.Offset+e.Raw.Length)
 		n.expression = expression
-		if at.Has(n.key) {
-			b.refuseDuplicate(n)
+		if table.Has(n.key) {
+			b.rejectDuplicate(n)
 		} else {
-			at.addField(n)
+			table.addField(n)
 		}
-		b.value(n, e.Value())
+		b.setValue(n, e.Value())
 	}
 }
 
-func (b *builder) refuseDuplicate(n *Node) {
-	passed := n
+// rejectDuplicate records the fault of a repeated key, and makes the decoder skip the
+// whole expression of the node.
+func (b *treeBuilder) rejectDuplicate(n *Node) {
+	skipped := n
 	if n.expression != nil {
-		passed = n.expression
+		skipped = n.expression
 	}
-	b.duplicates = append(b.duplicates, passed)
+	b.duplicates = append(b.duplicates, skipped)
 	b.faults = append(b.faults, Fault{
 		Line: n.Line, Where: n.label(), Problem: "given twice", Allowed: "once",
 	})
 }
 
-func (b *builder) value(n *Node, v *unstable.Node) {
+// setValue sets the kind of a node, and its scalar, items or fields, from the value v.
+func (b *treeBuilder) setValue(n *Node, v *unstable.Node) {
 	n.kind = v.Kind
 	expression := n.expression
 	if expression == nil {
@@ -168,40 +173,40 @@
 		for it := v.Children(); it.Next(); {
 			item := b.addItem(n, unstable.Invalid)
 			item.expression = expression
-			b.value(item, it.Node())
+			b.setValue(item, it.Node())
 		}
 	case unstable.InlineTable:
 		n.kind = unstable.Table
 		for it := v.Children(); it.Next(); {
-			b.keyValue(n, expression, it.Node())
+			b.addKeyValue(n, expression, it.Node())
 		}
 	default:
 		n.scalar = v.Data
 	}
 }
 
-func (b *builder) add(parent *Node, key *unstable.Node, kind unstable.Kind) *Node {
+func (b *treeBuilder) addField(parent *Node, key *unstable.Node, kind unstable.Kind) *Node {
 	n := b.newNode(parent, key, kind)
 	parent.addField(n)
 	return n
 }
 
-func (b *builder) newNode(parent *Node, key *unstable.Node, kind unstable.Kind) *Node {
+func (b *treeBuilder) newNode(parent *Node, key *unstable.Node, kind unstable.Kind) *Node {
 	n := b.allocNode()
 	n.Line = b.lineAt(int(key.Raw.Offset))
 	n.kind, n.parent, n.key = kind, parent, b.internKey(key.Data)
 	return n
 }
 
-func (b *builder) addItem(array *Node, kind unstable.Kind) *Node {
+func (b *treeBuilder) addItem(array *Node, kind unstable.Kind) *Node {
 	n := b.allocNode()
 	n.Line, n.kind, n.parent, n.position = array.Line, kind, array, len(array.items)+1
 	array.items = append(array.items, n)
 	return n
 }
 
-// setHeaderLine gives a table the line of its header.
-func (b *builder) setHeaderLine(n *Node, header *unstable.Node) {
+// setHeaderLine sets the line of a table and its bounds to the line of its header.
+func (b *treeBuilder) setHeaderLine(n *Node, header *unstable.Node) {
 	keys := header.Key()
 	keys.Next()
 	offset := int(keys.Node().Raw.Offset)
@@ -213,8 +218,8 @@
 	}
 }
 
-// lineStarts lists the offset of each line's first byte.
-func lineStarts(text []byte) []int {
+// findLineOffsets returns the offset of each line's first byte.
+func findLineOffsets(text []byte) []int {
 	starts := make([]int, 1, 1+bytes.Count(text, []byte{'\n'}))
 	for i, c := range text {
 		if c == '\n' {
@@ -224,6 +229,7 @@
 	return starts
 }
 
-func (b *builder) lineAt(offset int) int {
+// lineAt returns the line of the byte at the offset, from 1.
+func (b *treeBuilder) lineAt(offset int) int {
 	return sort.SearchInts(b.lineOffsets, offset+1)
 }
