--- a/settings/check.go
+++ b/settings/check.go
@@ -12,40 +12,42 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Bounds of what settings may say. They catch a slip of the hand.
+// Bounds of the values in settings. They only catch typing errors.
 const (
-	// MinSecret is the least length of the secret in bytes: shorter ones can
-	// be guessed from one recorded exchange.
+	// MinSecret is the minimum length of the secret in bytes. A shorter secret can be
+	// guessed from one recorded exchange.
 	MinSecret = 16
-	// MaxBody keeps the size of one request in memory, and of one answer,
-	// far below that of a small instance.
+	// MaxBody keeps the memory of one request, and of one answer, far below the
+	// memory of a small instance.
 	MaxBody = 64 << 20
 	// MaxRequests is far above what a small instance serves at once.
 	MaxRequests = 1 << 20
-	// MaxRecords keeps records within a few hundred megabytes.
+	// MaxRecords keeps the memory of all records within a few hundred megabytes.
 	MaxRecords = 1_000_000
 	// MaxGrace is longer than any deadline that a table may set.
 	MaxGrace = 15 * clock.Minute
-	// MinPollInterval keeps a few thousand nodes below the reads that the platform
-	// bears.
+	// MinPollInterval keeps the reads of a few thousand nodes within what the platform can
+	// serve.
 	MinPollInterval = clock.Second
-	// MinMaxStaleness bounds the calls of one node to three a second.
+	// MinMaxStaleness bounds the calls of one node to three per second.
 	MinMaxStaleness = 500 * clock.Millis(1)
-	// MaxPollInterval keeps a table in force within minutes at worst.
+	// MaxPollInterval makes a new table take effect within minutes even in the worst case.
 	MaxPollInterval = 10 * clock.Minute
-	// MaxExtra is more retries than any fleet has use for in one window.
+	// MaxExtra is more retries than any fleet needs in one window.
 	MaxExtra = 1e6
 	// MaxWindow keeps the memory of a retry budget small.
 	MaxWindow = clock.Minute
-	// MinHeartbeatInterval and MaxBeat keep the time to find a lost path between the noise
-	// of a busy machine and the patience of callers.
+	// MinHeartbeatInterval and MaxHeartbeatInterval bound the time to detect a lost path.
+	// That time must be longer than the scheduling delays of a busy machine, and shorter than
+	// callers are willing to wait.
 	MinHeartbeatInterval = 50 * clock.Millis(1)
 	MaxHeartbeatInterval = 10 * clock.Second
-	// MaxPeers is many more than a starting node has time to ask.
+	// MaxPeers is many more than a starting node has time to query.
 	MaxPeers = 64
 )
 
-// logLevels are those of the log, from the quietest.
+// logLevels are the levels of the log, from the one with the fewest lines to the one with
+// the most.
 var logLevels = []string{"error", "warn", "info", "debug"}
 
 func (s *Settings) check(doc *document.Document) {
@@ -90,7 +92,7 @@
 			doc.Refuse(n, l.key, document.Quote(l.address), "the IP number that the table gives for this node")
 		}
 		if first, ok := seen[l.address]; ok && address.Port() != 0 {
-			doc.Add(n, l.key, document.Quote(l.address)+" is that of "+first+" too", "an address of its own")
+			doc.Add(n, l.key, document.Quote(l.address)+" is used by "+first+" too", "an address of its own")
 		}
 		seen[l.address] = l.key
 	}
@@ -128,7 +130,7 @@
 	root := doc.Root
 	if root.Has("secretfile") {
 		if root.Has("secret") {
-			doc.Add(root, "secretfile", "stands beside secret", "one of secret and secretfile")
+			doc.Add(root, "secretfile", "is given together with secret", "one of secret and secretfile")
 		}
 		if s.SecretFile == "" {
 			doc.Refuse(root, "secretfile", `""`, "the path of a file")
@@ -139,11 +141,12 @@
 		if !root.Has("secret") {
 			problem = "is missing"
 		}
-		// The secret itself must not reach a log.
-		doc.Add(root, "secret", problem, secretAllowed()+", or secretfile")
+		// The fault must not show the secret, because faults are logged.
+		doc.Add(root, "secret", problem, allowedSecret()+", or secretfile")
 	}
 }
 
+// secretProblem reports whether a secret is valid, and what is wrong with it if it isn't.
 func secretProblem(secret string) (string, bool) {
 	if len(secret) < MinSecret {
 		return "has " + strconv.Itoa(len(secret)) + " bytes", false
@@ -151,7 +154,7 @@
 	return "", true
 }
 
-func secretAllowed() string {
+func allowedSecret() string {
 	return fmt.Sprintf("%d bytes or more", MinSecret)
 }
 
@@ -160,7 +163,7 @@
 	document.CheckRange(doc, root, "peers", len(s.Peers), 0, MaxPeers)
 	for i, peer := range s.Peers {
 		if doc.CheckAddress(root, "peers", peer) && slices.Contains(s.Peers[:i], peer) {
-			doc.Add(root, "peers", document.Quote(peer)+" stands twice", "each peer once")
+			doc.Add(root, "peers", document.Quote(peer)+" is given twice", "each peer once")
 		}
 	}
 }
--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -5,32 +5,32 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Defaults of what the settings leave out.
+// Defaults of the keys that settings leave out.
 const (
-	// DefaultBody carries forms and price lists many times over, and keeps
-	// DefaultRequests bodies within a few gigabytes at the very worst.
+	// DefaultBody is many times the size of a form or a price list. The bodies of
+	// DefaultRequests requests take a few gigabytes in the worst case.
 	DefaultBody = 1 << 20
-	// DefaultAnswer leaves room for a page with pictures: an answer is held
-	// whole before a caller gets any of it.
+	// DefaultAnswer leaves room for a page with pictures. The bound matters because a
+	// node holds a whole answer in memory before it sends any of it to the caller.
 	DefaultAnswer = 8 << 20
-	// DefaultRequests is ten times the connections of one upstream.
+	// DefaultRequests is ten times the default number of connections of one upstream.
 	DefaultRequests = 4096
-	// DefaultRecords is some minutes of one instance's requests in a few
+	// DefaultRecords covers some minutes of one instance's requests in a few
 	// megabytes.
 	DefaultRecords = 20_000
-	// DefaultGrace is what process supervisors commonly allow between the
-	// termination signal and the kill.
+	// DefaultGrace is the time that process supervisors commonly allow between the
+	// termination signal and the kill signal.
 	DefaultGrace = 30 * clock.Second
-	// DefaultPollInterval keeps a change in force within seconds when a watch is lost.
+	// DefaultPollInterval makes a change take effect within seconds when a watch is lost.
 	DefaultPollInterval = 5 * clock.Second
-	// DefaultMaxStaleness is the time within which today's operators want an edit in
-	// force.
+	// DefaultMaxStaleness is the time within which today's operators want an edit to take
+	// effect.
 	DefaultMaxStaleness = 2 * clock.Second
-	// DefaultHeartbeatInterval is the heartbeat interval of links. Two missed ones within a
-	// second show a lost path well before a request's usual deadline of 2 s,
-	// and at 200 bytes both ways it leaves room for some links in 2 KB/s.
+	// DefaultHeartbeatInterval is short enough that two missed heartbeats show a lost path
+	// within a second, well before the usual deadline of a request of 2 s. At 200 bytes
+	// for both directions several links fit into 2 KB/s.
 	DefaultHeartbeatInterval = 500 * clock.Millis(1)
-	// DefaultLog shows each decision and no single request.
+	// DefaultLog logs decisions but no individual requests.
 	DefaultLog = "info"
 )
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings defines what one node is told when it starts: its
-// addresses, its failure domain, the platform and its own limits.
+// Package settings defines the settings of one node: its addresses, its failure domain,
+// the platform that it reads and its own limits.
 package settings
 
 import (
@@ -13,93 +13,96 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// ErrInvalid is matched by the error of settings that were not accepted.
+// ErrInvalid matches the error of settings that were refused.
 const ErrInvalid = document.ErrInvalid
 
-// Settings is what one node is told when it starts.
+// Settings are the settings of one node.
 type Settings struct {
 	// Node is the node's name in logs and reports.
 	Node string `toml:"node"`
 	// Domain is the failure domain that the node's instance is in.
 	Domain string `toml:"domain"`
-	// Service is the service of the backend server beside the node. Requests
-	// that begin here then count as that service's.
+	// Service is the service of the backend server beside the node. If it is set,
+	// requests that enter at this node count as requests by that service.
 	Service  string   `toml:"service"`
 	Listen   Listen   `toml:"listen"`
 	Platform Platform `toml:"platform"`
-	// Secret proves to peers that a link may speak; 16 characters at least.
+	// Secret authenticates links to peers; it has at least 16 bytes.
 	Secret string `toml:"secret"`
 	// SecretFile names a file that holds the secret, in place of Secret.
 	SecretFile string `toml:"secretfile"`
-	// Peers are link addresses of a few nodes to ask for a table at the start.
+	// Peers are the link addresses of a few nodes that the node asks for a table when
+	// it starts.
 	Peers  []string `toml:"peers"`
 	Limits Limits   `toml:"limits"`
-	// Policy is what a platform that publishes no table of this project's
-	// leaves open.
+	// Policy holds the values of a service that a FormStore platform doesn't
+	// publish.
 	Policy Policy `toml:"policy"`
 	// HeartbeatInterval is the interval of heartbeats on links.
 	HeartbeatInterval clock.Millis `toml:"beat"`
-	// Grace bounds a shutdown: requests in flight have this long to end.
+	// Grace is the longest time of a shutdown for requests in flight to end.
 	Grace clock.Millis `toml:"grace"`
-	// Linger is how long a leaving node takes callers' requests at least: those
-	// who watch its readiness need a while to send callers elsewhere.
+	// Linger is the minimum time for which a leaving node still accepts callers'
+	// requests. Load balancers that watch its readiness need this time to send callers
+	// to other nodes.
 	Linger clock.Millis `toml:"linger"`
-	// Log is the least level that is logged.
+	// Log is the lowest level that is logged: "error", "warn", "info" or "debug".
 	Log string `toml:"log"`
 }
 
-// Listen holds the node's own addresses, IP number and port. Port 0 takes any
-// free one, for tests.
+// Listen holds the addresses on which the node listens, each an IP number and port. Port 0
+// stands for any free port, for tests.
 type Listen struct {
-	// Caller takes callers' requests.
+	// Caller accepts callers' requests.
 	Caller string `toml:"caller"`
-	// Link takes other nodes' links. It is what the table gives as the node of
+	// Link accepts links of other nodes. The table gives this address as the node of
 	// the upstreams beside it.
 	Link string `toml:"link"`
-	// Announce is the link address under which tables name the node, if it is
-	// another one than Link.
+	// Announce is the link address under which tables name the node, if it differs
+	// from Link.
 	Announce string `toml:"announce"`
-	// Admin serves metrics, health and what the report reads.
+	// Admin serves metrics, health checks and the data of reports.
 	Admin string `toml:"admin"`
-	// Metrics serves the metrics alone, where a scraper needs a port that is the
-	// same on all instances; it may be empty.
+	// Metrics serves only the metrics, for a scraper that needs the same port on all
+	// instances; it may be empty.
 	Metrics string `toml:"metrics"`
 }
 
-// Platform says where the table and the instance list are read.
+// Platform says where the node reads the table and the instance list.
 type Platform struct {
-	// Address is IP number and port.
+	// Address is the platform's IP number and port.
 	Address string `toml:"address"`
 	// Form is what the platform publishes: FormTable or FormStore.
 	Form string `toml:"form"`
-	// MaxStaleness is how old what is known may be at most while the platform answers.
+	// MaxStaleness is the maximum age of the node's copy of the platform's data while the
+	// platform answers.
 	MaxStaleness clock.Millis `toml:"fresh"`
-	// PollInterval is about the longest that a node waits between two reads of a FormTable
-	// platform that fail.
+	// PollInterval is about the longest wait between two failed reads of a FormTable
+	// platform.
 	PollInterval clock.Millis `toml:"poll"`
 }
 
-// The forms of a platform.
+// The values of Platform.Form.
 const (
-	// FormTable means a table and an instance list as this project defines them.
+	// FormTable means a table and an instance list in the format of package table.
 	FormTable = "table"
-	// FormStore means the users' metadata store, with their own configuration
+	// FormStore means the operators' own metadata store, with their configuration
 	// and the registrations of backend servers.
 	FormStore = "store"
 )
 
-// Policy holds for all services of a FormStore platform. The fields are those
-// of a table's service.
+// Policy applies to all services of a FormStore platform. Its fields mean the same as
+// those of table.Service.
 type Policy struct {
 	Caution table.Caution `toml:"caution"`
 	Floor   float64       `toml:"floor"`
 	Drain   clock.Millis  `toml:"drain"`
-	// Retries is the share of requests that may be sent again, Extra what all
-	// nodes together may send beyond it in each Window.
+	// Retries is the share of requests, from 0 to 1, that may be retried. Extra is the
+	// number of retries beyond it that all nodes together may send in each Window.
 	Retries float64      `toml:"retries"`
 	Extra   float64      `toml:"extra"`
 	Window  clock.Millis `toml:"window"`
-	// Lift frees requests of a quarantine, by their fingerprints.
+	// Lift lists the fingerprints of requests whose quarantine is lifted.
 	Lift []string `toml:"lift"`
 }
 
@@ -109,18 +112,18 @@
 	Body int `toml:"body"`
 	// Answer bounds an answer's body in bytes.
 	Answer int `toml:"answer"`
-	// Requests bounds the concurrent requests.
+	// Requests bounds the number of concurrent requests.
 	Requests int `toml:"requests"`
-	// Records bounds the accounts of single requests that a node keeps.
+	// Records bounds the number of records of individual requests.
 	Records int `toml:"records"`
 }
 
-// MaxBytes bounds the text of settings, far above what they need.
+// MaxBytes bounds the text of settings in bytes, far above the size that they need.
 const MaxBytes = 64 << 10
 
-// Parse reads settings and checks the whole of them. What the text leaves out
-// gets its default. The error of a text that is not accepted is a
-// document.Faults. A secret file is not read: Load does that.
+// Parse decodes and checks settings and fills in the defaults of keys that the text
+// leaves out. Its error is a document.Faults. Parse doesn't read a secret file; Load
+// does.
 func Parse(text []byte) (*Settings, error) {
 	doc, err := document.Parse(text, MaxBytes)
 	if err != nil {
@@ -137,8 +140,8 @@
 	return &s, nil
 }
 
-// Load reads and checks the settings in a file, and reads the secret file if
-// they name one, so that Secret is set. Errors name the file.
+// Load reads and checks the settings in a file. If they name a secret file, it sets Secret
+// to the content of that file. Errors name the file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -156,15 +159,16 @@
 	return s, nil
 }
 
-// loadSecret reads the secret file without the line end that editors add.
+// loadSecret sets Secret to the content of the secret file, without the line breaks that
+// editors add at the end.
 func (s *Settings) loadSecret() error {
-	text, err := os.ReadFile(s.SecretFile) //nolint:gosec // the settings name the file, and who writes them runs the node
+	text, err := os.ReadFile(s.SecretFile) //nolint:gosec // the settings name the file, and whoever writes them runs the node
 	if err != nil {
 		return errors.Annotate(err, "reading secretfile")
 	}
 	secret := strings.TrimRight(string(text), "\r\n")
 	if problem, ok := secretProblem(secret); !ok {
-		return document.Faults{{Where: "secretfile " + s.SecretFile, Problem: problem, Allowed: secretAllowed()}}
+		return document.Faults{{Where: "secretfile " + s.SecretFile, Problem: problem, Allowed: allowedSecret()}}
 	}
 	s.Secret = secret
 	return nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -34,18 +34,18 @@
 		t.Errorf("got %+v, want the defaults", got)
 	}
 	if got.Node != "palermo-1" || got.Listen.Link != "10.0.0.1:7000" || len(got.Peers) != 1 {
-		t.Errorf("got %+v, want what the text says", got)
+		t.Errorf("got %+v, want the values of the text", got)
 	}
 }
 
-func TestParseTakesFreePortsAndAnyAddress(t *testing.T) {
+func TestParseAcceptsPortZeroAndUnspecifiedAddress(t *testing.T) {
 	text := strings.NewReplacer("10.0.0.1:8000", "0.0.0.0:8000", "10.0.0.1:7000", "127.0.0.1:0", "127.0.0.1:9000", "127.0.0.1:0").Replace(small)
 	if _, err := settings.Parse([]byte(text)); err != nil {
 		t.Errorf("got %v, want settings", err)
 	}
 }
 
-func TestParseNamesFaults(t *testing.T) {
+func TestParseReportsFaults(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"grammar":      {`"palermo"`, `palermo`, "line 2: not TOML"},
 		"unknown key":  {"peers", "peer", "line 4: peer: unknown key; allowed: beat, domain, grace, limits, linger, listen"},
@@ -53,12 +53,12 @@
 		"domain":       {`"palermo"`, `""`, `line 2: domain: "" is not allowed`},
 		"short secret": {"0123456789abcdef", "hush", "line 3: secret: has 4 bytes; allowed: 16 bytes or more, or secretfile"},
 		"no secret":    {"secret = ", "# ", "line 1: secret: is missing; allowed: 16 bytes or more, or secretfile"},
-		"two secrets":  {"peers", "secretfile = \"x\"\npeers", "line 4: secretfile: stands beside secret"},
+		"two secrets":  {"peers", "secretfile = \"x\"\npeers", "line 4: secretfile: is given together with secret"},
 		"peer":         {"10.0.0.2:7000", "node-2:7000", `line 4: peers: "node-2:7000" is not allowed`},
 		"one peer":     {`["10.0.0.2:7000"]`, `"10.0.0.2:7000"`, "line 4: peers: is the text \"10.0.0.2:7000\"; allowed: an array of texts"},
 		"listen":       {"10.0.0.1:8000", "palermo-1:8000", "line 6: listen: caller: \"palermo-1:8000\" is not allowed"},
 		"any link":     {"10.0.0.1:7000", "0.0.0.0:7000", "line 7: listen: link: \"0.0.0.0:7000\" is not allowed; allowed: the IP number that the table gives"},
-		"listen twice": {"10.0.0.1:8000", "10.0.0.1:7000", `line 7: listen: link: "10.0.0.1:7000" is that of caller too`},
+		"listen twice": {"10.0.0.1:8000", "10.0.0.1:7000", `line 7: listen: link: "10.0.0.1:7000" is used by caller too`},
 		"no admin":     {`admin = "127.0.0.1:9000"`, "", "line 5: listen: admin: is missing"},
 		"platform":     {"10.0.1.1:2000", "10.0.1.1", "line 10: platform: address"},
 		"poll":         {"[platform]", "[platform]\npoll = \"10ms\"", "line 10: platform: poll: 10ms is not allowed; allowed: 1s to 10m0s"},
@@ -81,7 +81,8 @@
 	}
 }
 
-// A refused secret must not be readable in the log of every instance.
+// Guards against a fault that shows a refused secret: faults reach the log of every
+// instance.
 func TestFaultsDoNotShowSecret(t *testing.T) {
 	_, err := settings.Parse([]byte(strings.Replace(small, "0123456789abcdef", "hush", 1)))
 	if err == nil || strings.Contains(err.Error(), "hush") {
