--- a/access/memory_test.go
+++ b/access/memory_test.go
@@ -10,10 +10,10 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// fill closes requests of many callers, services and upstreams, one in ten of
-// them refused, over three days so that each time bucket is in use.
-func fill(b *access.Log, requests, callers, services int) {
-	const spread = 3 * clock.Day
+// fillLog adds the records of requests of many callers, services and upstreams, one in ten of
+// them refused, over three days, so that each time bucket of the burn meter is in use.
+func fillLog(l *access.Log, requests, callers, services int) {
+	const duration = 3 * clock.Day
 	for i := range requests {
 		service := i * 31 % services
 		r := access.Record{
@@ -24,49 +24,48 @@
 		if i%10 == 0 {
 			r.Outcome, r.Reason = access.NotRun, fmt.Sprint("reason-", i%7)
 		}
-		b.RequestReceived()
-		b.RequestFinished(clock.Millis(i)*spread/clock.Millis(requests), r)
+		l.RequestReceived()
+		l.RequestFinished(clock.Millis(i)*duration/clock.Millis(requests), r)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// A node runs out of memory on the day that a crawler makes up a caller's name
-// for each request: totals by caller grew without bound.
+// A crawler invents a caller name for each request. If totals by caller grow without limit,
+// the node runs out of memory.
 func TestMemoryIsBounded(t *testing.T) {
-	before := heap()
-	b := access.New(access.Config{})
-	fill(b, 200_000, 1_300_000, 24)
-	got := int64(heap() - before)
-	runtime.KeepAlive(b)
-	// 6.7 MB were measured with 1.3 million callers; see BenchmarkMemory.
+	before := heapBytes()
+	l := access.New(access.Config{})
+	fillLog(l, 200_000, 1_300_000, 24)
+	got := int64(heapBytes() - before)
+	runtime.KeepAlive(l)
+	// The log took 6.7 MB with 1.3 million callers; see BenchmarkMemory.
 	const want = 10 << 20
 	if got > want {
-		t.Errorf("got a book of %d bytes, want at most %d", got, want)
+		t.Errorf("got a log of %d bytes, want at most %d", got, want)
 	}
 }
 
-// Each request pays for its record, so a record of a known caller must not
-// allocate.
-func TestCloseDoesNotAllocate(t *testing.T) {
-	b := access.New(access.Config{Records: 64})
+// Each request adds a record, so adding the record of a known caller must not allocate.
+func TestRequestFinishedDoesNotAllocate(t *testing.T) {
+	l := access.New(access.Config{Records: 64})
 	r := access.Record{ID: "id", Caller: "hotel", Service: "bacheca", Upstream: "bacheca-1", Outcome: access.Served}
 	got := testing.AllocsPerRun(1000, func() {
-		b.RequestReceived()
-		b.RequestFinished(1, r)
+		l.RequestReceived()
+		l.RequestFinished(1, r)
 	})
 	if got > 0 {
-		t.Errorf("got %v allocations a record, want 0", got)
+		t.Errorf("got %v allocations per record, want 0", got)
 	}
 }
 
-// BenchmarkMemory gives the memory of a book at growing numbers of callers and
-// of services, once its bounds are reached.
+// BenchmarkMemory measures the memory of a log for growing numbers of callers and services,
+// after its limits are reached.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []struct{ callers, services int }{
 		{1_000, 24},
@@ -79,38 +78,38 @@
 	} {
 		b.Run(fmt.Sprintf("callers=%d/services=%d", size.callers, size.services), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				book := access.New(access.Config{})
-				book.SetServices(make([]table.Service, 1))
-				fill(book, 400_000, size.callers, size.services)
-				b.ReportMetric(float64(heap()-before)/(1<<20), "MB")
-				runtime.KeepAlive(book)
+				before := heapBytes()
+				log := access.New(access.Config{})
+				log.SetServices(make([]table.Service, 1))
+				fillLog(log, 400_000, size.callers, size.services)
+				b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MB")
+				runtime.KeepAlive(log)
 			}
 		})
 	}
 }
 
-// BenchmarkSnapshot gives the time of a node's answer to a report.
+// BenchmarkSnapshot measures the time that a node takes to answer a report.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, filter := range []access.Filter{{Limit: 400}, {Limit: 400, Since: clock.Hour}, {}} {
 		b.Run(filter.Query(), func(b *testing.B) {
-			book := access.New(access.Config{})
-			fill(book, 400_000, 1_300_000, 24)
+			log := access.New(access.Config{})
+			fillLog(log, 400_000, 1_300_000, 24)
 			for b.Loop() {
-				book.Snapshot(3*clock.Day, filter)
+				log.Snapshot(3*clock.Day, filter)
 			}
 		})
 	}
 }
 
-// BenchmarkCloseParallel gives the cost of a record with all cores at it.
+// BenchmarkCloseParallel measures the cost of a record when all cores add records.
 func BenchmarkCloseParallel(b *testing.B) {
-	book := access.New(access.Config{})
+	log := access.New(access.Config{})
 	b.RunParallel(func(pb *testing.PB) {
 		r := access.Record{ID: "id", Caller: "caller", Service: "bacheca", Upstream: "bacheca-1", Outcome: access.Served}
 		for pb.Next() {
-			book.RequestReceived()
-			book.RequestFinished(1, r)
+			log.RequestReceived()
+			log.RequestFinished(1, r)
 		}
 	})
 }
--- a/access/ring.go
+++ b/access/ring.go
@@ -1,16 +1,15 @@
 package access
 
-// ring holds the last values put into it, up to its bound.
+// ring holds the last values that were put into it, up to its capacity.
 type ring[T any] struct {
-	values   []T
-	capacity int
-	next     int
-	// overwritten counts the values that were overwritten.
+	values      []T
+	capacity    int
+	next        int
 	overwritten uint64
 }
 
-func newRing[T any](bound int) *ring[T] {
-	return &ring[T]{capacity: bound}
+func newRing[T any](capacity int) *ring[T] {
+	return &ring[T]{capacity: capacity}
 }
 
 func (r *ring[T]) put(v T) {
@@ -23,7 +22,7 @@
 	r.overwritten++
 }
 
-// newestFirst ranges from the last value put in to the oldest one held.
+// newestFirst iterates from the newest value to the oldest one.
 func (r *ring[T]) newestFirst(yield func(*T) bool) {
 	for i := range r.values {
 		at := (r.next - 1 - i + 2*len(r.values)) % len(r.values)
--- a/access/snapshot.go
+++ b/access/snapshot.go
@@ -8,36 +8,36 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Format is the version of Snapshot's JSON.
+// Format is the version of the JSON format of Snapshot.
 const Format = 1
 
-// Snapshot is a node's book at one instant, as plain data. The node fills
-// Name, Node, Domain, Table and Upstreams.
+// Snapshot is the content of a node's Log at one time, as plain data. The node sets Name,
+// Node, Domain, Table and Upstreams; Log.Snapshot sets the rest.
 type Snapshot struct {
 	Format int `json:"format"`
-	// Name is the node's own, Node its link address, as the table has it.
+	// Name is the node's name, Node its link address, as in the table.
 	Name   string `json:"name"`
 	Node   string `json:"node"`
 	Domain string `json:"domain"`
-	// Table is the version in force; 0 if none is.
+	// Table is the version of the table in force; 0 if none is.
 	Table  uint64       `json:"table"`
 	Now    clock.Millis `json:"now"`
 	Filter Filter       `json:"filter"`
-	// Uptime is the span since the node started; nothing is older.
+	// Uptime is the time since the node started; no data is older.
 	Uptime clock.Millis `json:"life"`
-	// Span is how far back Totals reach. It is Life, or the filter's Since, or
-	// less than that if records within it were overwritten.
+	// Span is how far back Totals reach: Uptime or the filter's Since, or less if records
+	// within that time were overwritten.
 	Span clock.Millis `json:"span"`
-	// Received is Closed plus Open, over the node's whole life and unfiltered.
+	// Received is Closed plus Open. These counts cover the whole uptime of the node,
+	// whatever the filter.
 	Received uint64 `json:"received"`
 	Closed   uint64 `json:"closed"`
 	Open     uint64 `json:"open"`
-	// Totals is sorted, the largest first. Without a filter and over the whole
-	// life their sum is Closed.
+	// Totals is sorted, the largest first. Without a filter, the sum of the counts is Closed.
 	Totals  []Total       `json:"totals"`
 	Callers []CallerCount `json:"callers"`
-	// MaxMissed is how many requests at most of a caller that isn't among
-	// Callers stand under Others.
+	// MaxMissed is the maximum number of requests that a caller missing from Callers can
+	// have made; they are counted under Others.
 	MaxMissed uint64          `json:"missable"`
 	Records   []Record        `json:"records"`
 	Events    []Event         `json:"events"`
@@ -46,46 +46,46 @@
 	Dropped   Dropped         `json:"dropped"`
 }
 
-// Objective is a service's objective, as the table has it.
+// Objective is the objective of a service, as in the table.
 type Objective struct {
 	Availability float64      `json:"availability"`
 	Latency      clock.Millis `json:"latency"`
 	LatencyRatio float64      `json:"within"`
 }
 
-// ServiceBurn holds the counts that a service's burn is worked out from. They
-// are of all callers and upstreams, whatever the filter says of these.
+// ServiceBurn holds the counts from which the burn rate of a service is computed. They cover
+// all callers and upstreams, whatever the filter.
 type ServiceBurn struct {
 	Service   string        `json:"service"`
 	Objective Objective     `json:"objective"`
 	Windows   []burn.Window `json:"windows"`
 }
 
-// Dropped says what the bounds of memory took from a Snapshot.
+// Dropped counts what is missing from a Snapshot because of limits.
 type Dropped struct {
-	// Served and Unserved count the records that newer ones overwrote.
+	// Served and Unserved are the numbers of records that newer ones overwrote.
 	Served   uint64 `json:"served"`
 	Unserved uint64 `json:"unserved"`
-	// Events counts the events that newer ones overwrote.
+	// Events is the number of events that newer ones overwrote.
 	Events uint64 `json:"events"`
-	// Limited counts the records that the filter's Limit left out.
+	// Limited is the number of records left out because of the filter's Limit.
 	Limited uint64 `json:"limited"`
-	// Unattributed counts requests whose service and upstream are not known any
-	// more, so that the filter may have passed them over.
+	// Unattributed is the number of requests whose service and upstream are no longer
+	// known, so that the filter may have wrongly left them out.
 	Unattributed uint64 `json:"unplaced"`
-	// Unmetered counts requests that burn left out: they were of a service
-	// beyond the bound on services.
+	// Unmetered is the number of requests missing from Burn, since their service exceeded
+	// the limit on services.
 	Unmetered uint64 `json:"unmetered"`
-	// Unmatched counts calls of Close with no request open. They are a fault
-	// of the program and in no other count.
+	// Unmatched is the number of calls of RequestFinished with no request open. They are a
+	// bug of the program and in no other count.
 	Unmatched uint64 `json:"unmatched"`
 }
 
-// Snapshot copies what the filter lets pass, newest first. The now is the
-// node's clock.
-func (b *Log) Snapshot(now clock.Millis, f Filter) Snapshot {
-	s := b.snapshotLocked(now, f)
-	s.Burn = b.serviceBurns(now, f)
+// Snapshot returns a copy of what the filter selects, records and events newest first. The
+// argument now is the time of the node's clock.
+func (l *Log) Snapshot(now clock.Millis, f Filter) Snapshot {
+	s := l.copyState(now, f)
+	s.Burn = l.serviceBurns(now, f)
 	SortTotals(s.Totals)
 	SortCallers(s.Callers)
 	slices.SortStableFunc(s.Records, func(a, b Record) int {
@@ -98,33 +98,34 @@
 	return s
 }
 
-// snapshotLocked takes what must agree with each other under one lock.
-func (b *Log) snapshotLocked(now clock.Millis, f Filter) Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// copyState copies, in one critical section, all parts of a Snapshot that must be consistent
+// with each other.
+func (l *Log) copyState(now clock.Millis, f Filter) Snapshot {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	s := Snapshot{
-		Format: Format, Now: now, Filter: f, Uptime: now - b.start, Span: now - b.start,
-		Received: b.received, Closed: b.closed, Open: b.received - b.closed,
+		Format: Format, Now: now, Filter: f, Uptime: now - l.start, Span: now - l.start,
+		Received: l.received, Closed: l.closed, Open: l.received - l.closed,
 		Records: []Record{}, Events: []Event{},
 		Upstreams: []UpstreamState{},
 		Dropped: Dropped{
-			Served: b.served.overwritten, Unserved: b.unserved.overwritten, Events: b.events.overwritten,
-			Unmetered: b.meter.Unmetered(), Unmatched: b.unmatched,
+			Served: l.served.overwritten, Unserved: l.unserved.overwritten, Events: l.events.overwritten,
+			Unmetered: l.meter.Unmetered(), Unmatched: l.unmatched,
 		},
 	}
-	recent := newTally(b.tally.bound)
-	for _, records := range []*ring[Record]{b.served, b.unserved} {
+	recent := newTally(l.tally.maxCallers)
+	for _, records := range []*ring[Record]{l.served, l.unserved} {
 		s.Dropped.Limited += collect(&s.Records, records, recent, now, f)
 		if f.Since > 0 {
 			s.Span = min(s.Span, f.Since, coverage(records, now))
 		}
 	}
 	if f.Since <= 0 {
-		recent = b.tally
+		recent = l.tally
 	}
 	s.Callers, s.MaxMissed = recent.callerCounts(f), recent.maxMissed()
 	s.Totals, s.Dropped.Unattributed = recent.totals(f)
-	for e := range b.events.newestFirst {
+	for e := range l.events.newestFirst {
 		if f.matchesEvent(e, now) {
 			s.Events = append(s.Events, *e)
 		}
@@ -132,11 +133,11 @@
 	return s
 }
 
-// collect appends the records that pass, up to the filter's limit, and adds
-// them to recent, which only a filter with Since needs. It returns how many
-// the limit left out.
+// collect appends the records that the filter selects, up to its limit. For a filter with
+// Since, it adds all selected records to recent. It returns the number of records that the
+// limit left out.
 func collect(into *[]Record, from *ring[Record], recent *tally, now clock.Millis, f Filter) (limited uint64) {
-	taken := 0
+	collected := 0
 	for r := range from.newestFirst {
 		if !f.isRecent(r.end(), now) || !f.matches(r.Caller, r.Service, r.Upstream) {
 			continue
@@ -144,17 +145,17 @@
 		if f.Since > 0 {
 			recent.add(r)
 		}
-		if f.Limit > 0 && taken >= f.Limit {
+		if f.Limit > 0 && collected >= f.Limit {
 			limited++
 			continue
 		}
-		taken++
+		collected++
 		*into = append(*into, *r)
 	}
 	return limited
 }
 
-// coverage returns how far back a ring of records has lost none.
+// coverage returns how far back a ring holds all records.
 func coverage(records *ring[Record], now clock.Millis) clock.Millis {
 	if records.overwritten == 0 {
 		return now
@@ -166,28 +167,28 @@
 	return now - oldest
 }
 
-// serviceBurns lets the lock go between services, so that requests don't wait while
-// thousands of them are summed.
-func (b *Log) serviceBurns(now clock.Millis, f Filter) []ServiceBurn {
-	b.mu.Lock()
-	names := b.meter.Services()
-	b.mu.Unlock()
+// serviceBurns returns the counts of all services that the filter selects. It releases the
+// lock between services, so that requests don't wait while thousands of services are summed.
+func (l *Log) serviceBurns(now clock.Millis, f Filter) []ServiceBurn {
+	l.mu.Lock()
+	names := l.meter.Services()
+	l.mu.Unlock()
 	found := []ServiceBurn{}
 	for _, name := range names {
 		if match(f.Service, name) {
-			found = append(found, b.serviceBurn(now, name))
+			found = append(found, l.serviceBurn(now, name))
 		}
 	}
 	return found
 }
 
-func (b *Log) serviceBurn(now clock.Millis, name string) ServiceBurn {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *Log) serviceBurn(now clock.Millis, name string) ServiceBurn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return ServiceBurn{
 		Service:   name,
-		Objective: b.objectives[name],
-		Windows:   b.meter.Windows(now, now-b.start, name),
+		Objective: l.objectives[name],
+		Windows:   l.meter.Windows(now, now-l.start, name),
 	}
 }
 
--- a/access/suspect.go
+++ b/access/suspect.go
@@ -2,30 +2,30 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// Suspect is a request under which processes of backend servers ended.
+// Suspect is a request during which processes of backend servers crashed.
 type Suspect struct {
-	// Fingerprint names the request in logs and in a table's lift.
+	// Fingerprint identifies the request in logs and in the lift setting of a table.
 	Fingerprint string `json:"fingerprint"`
-	// Verdict is SuspectTried or SuspectHeld.
+	// Verdict is VerdictSuspected or VerdictQuarantined.
 	Verdict string `json:"verdict"`
 	Service string `json:"service"`
-	// Upstreams are those that ended under it, oldest first, and Requests the ids of the
-	// sends that ran there.
+	// Upstreams are the upstreams that crashed while they ran the request, oldest crash
+	// first. Requests are the ids of the sends that ran there.
 	Upstreams []string `json:"upstreams"`
 	Requests  []string `json:"requests"`
-	// Trials is how many of them ended while no other suspect ran there.
+	// Trials is the number of crashes while no other suspect ran on the upstream.
 	Trials int `json:"trials"`
-	// Chance is how likely it ran at all of them by accident.
+	// Chance is the probability that the request ran on all of them by coincidence.
 	Chance float64 `json:"chance"`
-	// Age is how long ago the last of them ended, Left how long it is held yet.
+	// Age is the time since the last crash, Remaining the time until the quarantine ends.
 	Age       clock.Millis `json:"age"`
 	Remaining clock.Millis `json:"left,omitempty"`
 }
 
 // The verdicts on a suspect.
 const (
-	// VerdictSuspected means that it is sent, one send at a time.
+	// VerdictSuspected means that the request is sent, one send at a time.
 	VerdictSuspected = "suspected"
-	// VerdictQuarantined means that it isn't sent.
+	// VerdictQuarantined means that the request is not sent.
 	VerdictQuarantined = "quarantined"
 )
--- a/access/tally.go
+++ b/access/tally.go
@@ -8,11 +8,11 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Others stands for the callers, services and upstreams beyond a bound.
+// Others stands for the callers, services and upstreams beyond the memory limits.
 const Others = "(other)"
 
-// cellsPerCaller is how many cells of totals there may be for each caller kept
-// apart, on average: some three services of three upstreams, and outcomes.
+// cellsPerCaller is the maximum average number of cells for each tracked caller: about three
+// services with three upstreams each, and several outcomes.
 const cellsPerCaller = 16
 
 // Total counts the requests of one caller to one service that ended at one
@@ -24,20 +24,20 @@
 	Outcome  Outcome `json:"outcome"`
 	Reason   string  `json:"reason"`
 	Count    uint64  `json:"count"`
-	// Took is the sum of the requests' spans.
+	// Took is the sum of the times that the requests took.
 	Took clock.Millis `json:"took"`
 }
 
-// CallerCount says how exact the totals of one caller are.
+// CallerCount states how accurate the totals of one caller are.
 type CallerCount struct {
 	Caller string `json:"caller"`
-	// Count is how many of its requests stand under its name.
+	// Count is the number of requests counted under the caller's name.
 	Count uint64 `json:"count"`
-	// Missed is how many more at most stand under Others.
+	// Missed is the maximum number of the caller's further requests, counted under Others.
 	Missed uint64 `json:"missed"`
 }
 
-// cellKey is what totals are kept by within a caller.
+// cellKey identifies a cell of a caller's totals.
 type cellKey struct {
 	service  string
 	upstream string
@@ -50,35 +50,35 @@
 	took  clock.Millis
 }
 
-// trackedCaller is a caller whose totals are kept apart.
+// trackedCaller is a caller with totals of its own.
 type trackedCaller struct {
 	name string
-	// weight is the space-saving counter: the caller's requests under its
-	// name, plus missed.
+	// weight is the counter of the space-saving algorithm: the requests counted under the
+	// caller's name, plus missed.
 	weight    uint64
 	missed    uint64
 	cells     map[cellKey]cell
 	heapIndex int
 }
 
-// tally keeps totals by caller in bounded memory by the space-saving
-// algorithm (Metwally, Agrawal and El Abbadi, 2005). With n callers kept
-// apart, each caller that made more than 1/n of all requests is among them,
-// and none misses more than 1/n of all requests. What isn't kept apart is
-// under Others, so that the sum of all totals is the number of records.
+// tally keeps totals by caller in bounded memory with the space-saving algorithm (Metwally,
+// Agrawal and El Abbadi, 2005). With n tracked callers, each caller that made more than 1/n
+// of all requests is tracked, and the totals of no caller miss more than 1/n of all requests.
+// All other requests are counted under Others, so that the sum of all totals is the number of
+// records.
 type tally struct {
-	bound    int
-	callers  map[string]*trackedCaller
-	byWeight callerHeap
-	others   map[cellKey]cell
-	cells    int
+	maxCallers int
+	callers    map[string]*trackedCaller
+	byWeight   callerHeap
+	others     map[cellKey]cell
+	cellCount  int
 }
 
-func newTally(callers int) *tally {
+func newTally(maxCallers int) *tally {
 	return &tally{
-		bound:   callers,
-		callers: make(map[string]*trackedCaller),
-		others:  make(map[cellKey]cell),
+		maxCallers: maxCallers,
+		callers:    make(map[string]*trackedCaller),
+		others:     make(map[cellKey]cell),
 	}
 }
 
@@ -87,38 +87,39 @@
 	c.weight++
 	heap.Fix(&t.byWeight, c.heapIndex)
 	key := cellKey{service: r.Service, upstream: r.Upstream, outcome: r.Outcome, reason: r.Reason}
-	t.put(c.cells, key, cell{count: 1, took: r.Took})
+	t.addCell(c.cells, key, cell{count: 1, took: r.Took})
 }
 
-// track returns the caller's entry; it takes the place of the lightest one if
-// there is no room.
+// track returns the entry of a caller. A new entry replaces the one with the least weight if
+// the maximum number of callers is reached.
 func (t *tally) track(name string) *trackedCaller {
 	if c := t.callers[name]; c != nil {
 		return c
 	}
 	c := &trackedCaller{name: name, cells: make(map[cellKey]cell, 1)}
-	if len(t.callers) >= t.bound {
-		out := heap.Pop(&t.byWeight).(*trackedCaller)
-		delete(t.callers, out.name)
-		t.cells -= len(out.cells)
-		for key, v := range out.cells {
-			t.put(t.others, key, v)
+	if len(t.callers) >= t.maxCallers {
+		evicted := heap.Pop(&t.byWeight).(*trackedCaller)
+		delete(t.callers, evicted.name)
+		t.cellCount -= len(evicted.cells)
+		for key, v := range evicted.cells {
+			t.addCell(t.others, key, v)
 		}
-		c.weight, c.missed = out.weight, out.weight
+		c.weight, c.missed = evicted.weight, evicted.weight
 	}
 	t.callers[name] = c
 	heap.Push(&t.byWeight, c)
 	return c
 }
 
-// put adds to a cell. Beyond the bound on cells only the outcome is kept.
-func (t *tally) put(cells map[cellKey]cell, key cellKey, v cell) {
+// addCell adds v to the cell of a key. If the maximum number of cells is reached, a new key
+// keeps only its outcome.
+func (t *tally) addCell(cells map[cellKey]cell, key cellKey, v cell) {
 	if _, known := cells[key]; !known {
-		if t.cells >= t.bound*cellsPerCaller {
+		if t.cellCount >= t.maxCallers*cellsPerCaller {
 			key = cellKey{service: Others, upstream: Others, outcome: key.outcome}
 		}
 		if _, known := cells[key]; !known {
-			t.cells++
+			t.cellCount++
 		}
 	}
 	sum := cells[key]
@@ -127,14 +128,14 @@
 	cells[key] = sum
 }
 
-// totals returns the cells that the filter lets pass, and how many requests
-// stand in cells that it can't judge.
-func (t *tally) totals(f Filter) (found []Total, unplaced uint64) {
-	found = make([]Total, 0, t.cells)
+// totals returns the cells that the filter selects, and the number of requests in cells whose
+// service and upstream are unknown, to which the filter can't be applied.
+func (t *tally) totals(f Filter) (found []Total, unattributed uint64) {
+	found = make([]Total, 0, t.cellCount)
 	collect := func(caller string, cells map[cellKey]cell) {
 		for key, v := range cells {
 			if key.service == Others && (f.Service != "" || f.Upstream != "") {
-				unplaced += v.count
+				unattributed += v.count
 				continue
 			}
 			total := Total{
@@ -150,10 +151,11 @@
 		collect(name, c.cells)
 	}
 	collect(Others, t.others)
-	return found, unplaced
+	return found, unattributed
 }
 
-// callerCounts returns how exact the totals of the callers kept apart are.
+// callerCounts returns the accuracy of the totals of the tracked callers that the filter
+// selects.
 func (t *tally) callerCounts(f Filter) []CallerCount {
 	found := make([]CallerCount, 0, len(t.callers))
 	for name, c := range t.callers {
@@ -164,16 +166,16 @@
 	return found
 }
 
-// maxMissed is how many requests at most of a caller not kept apart are under
-// Others.
+// maxMissed returns the maximum number of requests that an untracked caller can have made;
+// they are counted under Others.
 func (t *tally) maxMissed() uint64 {
-	if len(t.callers) < t.bound {
+	if len(t.callers) < t.maxCallers {
 		return 0
 	}
 	return t.byWeight[0].weight
 }
 
-// SortTotals puts the largest totals first.
+// SortTotals sorts totals by descending count.
 func SortTotals(totals []Total) {
 	slices.SortFunc(totals, func(a, b Total) int {
 		return cmp.Or(
@@ -187,44 +189,44 @@
 	})
 }
 
-// SortCallers puts the callers with the most requests first.
+// SortCallers sorts callers by descending count.
 func SortCallers(callers []CallerCount) {
 	slices.SortFunc(callers, func(a, b CallerCount) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Caller, b.Caller))
 	})
 }
 
-// callerHeap is a heap with the caller of the least weight first.
+// callerHeap is a min-heap of callers by weight.
 type callerHeap []*trackedCaller
 
-func (l callerHeap) Len() int { return len(l) }
+func (h callerHeap) Len() int { return len(h) }
 
-// Less settles equal weights by name, so that the same requests give the same
-// totals on every run.
-func (l callerHeap) Less(i, j int) bool {
-	if l[i].weight != l[j].weight {
-		return l[i].weight < l[j].weight
+// Less orders equal weights by name, so that the same requests give the same totals on every
+// run.
+func (h callerHeap) Less(i, j int) bool {
+	if h[i].weight != h[j].weight {
+		return h[i].weight < h[j].weight
 	}
-	return l[i].name < l[j].name
+	return h[i].name < h[j].name
 }
 
-func (l callerHeap) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].heapIndex, l[j].heapIndex = i, j
+func (h callerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (l *callerHeap) Push(x any) {
+func (h *callerHeap) Push(x any) {
 	c := x.(*trackedCaller)
-	c.heapIndex = len(*l)
-	*l = append(*l, c)
+	c.heapIndex = len(*h)
+	*h = append(*h, c)
 }
 
 // Pop implements heap.Interface.
-func (l *callerHeap) Pop() any {
-	last := len(*l) - 1
-	c := (*l)[last]
-	(*l)[last] = nil
-	*l = (*l)[:last]
+func (h *callerHeap) Pop() any {
+	last := len(*h) - 1
+	c := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
 	return c
 }
--- a/access/verdict.go
+++ b/access/verdict.go
@@ -2,7 +2,8 @@
 
 import "fuchsiapick.example/fuchsiapick/health"
 
-// StateOf is the word for a gate's verdict.
+// StateOf returns the name of a gate's verdict; StateInUse if the verdict is none of the
+// others.
 func StateOf(verdict health.State) string {
 	switch verdict {
 	case health.Ejected:
