--- a/logging/alloc_test.go
+++ b/logging/alloc_test.go
@@ -10,13 +10,13 @@
 	"fuchsiapick.example/fuchsiapick/logging"
 )
 
-// mostAllocations bounds a line of ten fields: map, entry, JSON and the copy for the
-// queue. Fifty were counted.
-const mostAllocations = 60
+// maxAllocations is the maximum number of allocations for a line with ten fields: map, entry,
+// JSON and the copy for the queue. Fifty were measured.
+const maxAllocations = 60
 
-// A fault that refuses all requests writes a line for each. Lines that cost ten times
-// as much would be a load of their own, on a third of a core.
-func TestLineAllocates(t *testing.T) {
+// A fault that refuses all requests logs a line for each. If lines cost ten times as much, the
+// log alone would take a third of a core.
+func TestAllocationsPerLine(t *testing.T) {
 	w := logging.NewWriter(io.Discard)
 	defer w.Close(time.Second)
 	log := logrus.New()
@@ -28,14 +28,14 @@
 			"outcome": "not-run", "reason": "full", "status": 503, "attempts": 4, "took": "120ms",
 		}).Info("request not served")
 	})
-	t.Logf("%.0f allocations a line", got)
-	if got > mostAllocations {
-		t.Errorf("got %.0f allocations a line, want %d at most", got, mostAllocations)
+	t.Logf("%.0f allocations per line", got)
+	if got > maxAllocations {
+		t.Errorf("got %.0f allocations per line, want at most %d", got, maxAllocations)
 	}
-	over := logrus.New()
-	over.SetOutput(w)
-	over.SetFormatter(logging.NewLimiter(&logrus.JSONFormatter{}, 0, time.Now))
-	if got := testing.AllocsPerRun(200, func() { over.Info("request not served") }); got > 4 {
-		t.Errorf("got %.0f allocations for a line over the rate, want 4 at most", got)
+	limited := logrus.New()
+	limited.SetOutput(w)
+	limited.SetFormatter(logging.NewLimiter(&logrus.JSONFormatter{}, 0, time.Now))
+	if got := testing.AllocsPerRun(200, func() { limited.Info("request not served") }); got > 4 {
+		t.Errorf("got %.0f allocations for a line beyond the rate, want at most 4", got)
 	}
 }
--- a/logging/silent.go
+++ b/logging/silent.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Silent returns a logger that writes nothing, for parts that were given none.
+// Silent returns a logger that writes nothing, for components that have no logger configured.
 func Silent() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
