--- a/access/log.go
+++ b/access/log.go
@@ -23,7 +23,7 @@
 	Start clock.Millis
 }
 
-// Defaults of Config, and a limit that can't be configured.
+// Defaults of Config, and the fixed limit on the length of texts.
 const (
 	// DefaultRecords takes about 4 MB.
 	DefaultRecords = 16384
--- a/access/record.go
+++ b/access/record.go
@@ -63,7 +63,7 @@
 
 // The kinds of events.
 const (
-	// Ejected is recorded by the gate that ejects its upstream after failures.
+	// Ejected is recorded by the gate that ejects its upstream as unhealthy.
 	Ejected EventKind = "set-aside"
 	// Trial is recorded by the gate when a hold-off, the time without requests that follows
 	// an ejection, ends and trial requests begin.
