--- a/report/burning.go
+++ b/report/burn.go
@@ -8,7 +8,7 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// addBurn tells of alerts and of objectives missed.
+// addBurn adds findings for burn-rate alerts and for error budgets that are overspent.
 func (f *findingsBuilder) addBurn() {
 	for _, b := range f.report.Burn {
 		for _, a := range b.Alerts {
@@ -18,16 +18,18 @@
 			}
 			f.add(level, describeAlert(&b, a))
 		}
-		for _, left := range b.Budgets {
-			if left.Left < 0 {
-				f.add(LevelWatch, b.Service, " missed its ", string(left.Kind), " objective over the time covered: ",
-					pluralize(left.Spent, "request was ", "requests were "), describeBad(left.Kind), " where ",
-					formatDecimal(left.Allowed), " were allowed.")
+		for _, budget := range b.Budgets {
+			if budget.Left < 0 {
+				f.add(LevelWatch, b.Service, " missed its ", string(budget.Kind), " objective over the time covered: ",
+					pluralize(budget.Spent, "request was ", "requests were "), describeBad(budget.Kind), " where ",
+					formatDecimal(budget.Allowed), " were allowed.")
 			}
 		}
 	}
 }
 
+// describeBad returns the words for a request that counts as bad under an objective of
+// this kind.
 func describeBad(kind burn.Kind) string {
 	if kind == burn.Latency {
 		return "slow"
@@ -35,6 +37,7 @@
 	return "not served well"
 }
 
+// describeAlert returns a sentence with the burn rate, its window and the main causes.
 func describeAlert(b *Burn, a burn.Alert) string {
 	text := b.Service + " spends its " + string(a.Kind) + " budget " + formatBurnRate(a.Rate) +
 		" as fast as the objective allows, over the last " + formatDuration(a.Long)
@@ -47,21 +50,22 @@
 	return text + "."
 }
 
-// coveredSpan returns the part of a window that the longest-lived node counted.
-func (b *Burn) coveredSpan(long clock.Millis) clock.Millis {
+// coveredSpan returns how much of the window with this span was covered by the node that
+// has run longest, or 0 if the report has no such window.
+func (b *Burn) coveredSpan(span clock.Millis) clock.Millis {
 	for _, r := range b.Rates {
-		if r.Span == long {
+		if r.Span == span {
 			return r.Covered
 		}
 	}
 	return 0
 }
 
-// mainCauses names the two largest causes within a window.
-func mainCauses(b *Burn, kind burn.Kind, long clock.Millis) string {
+// mainCauses names the two largest causes of bad requests in the window with this span.
+func mainCauses(b *Burn, kind burn.Kind, span clock.Millis) string {
 	var names []string
 	for _, r := range b.Rates {
-		if r.Span != long {
+		if r.Span != span {
 			continue
 		}
 		for _, c := range r.Causes {
@@ -73,14 +77,14 @@
 	return joinNames(names)
 }
 
-// formatCause says what spent budget, for example "bacheca-4 (the answer broke
-// off: 12)".
+// formatCause formats the upstream, reason and count of bad requests, for example
+// "bacheca-4 (the answer broke off: 12)".
 func formatCause(c burn.CauseCount) string {
-	at := c.Upstream
-	if at == "" {
-		at = "no upstream"
+	upstream := c.Upstream
+	if upstream == "" {
+		upstream = "no upstream"
 	}
-	return at + " (" + describeReason(c.Reason) + ": " + formatCount(c.Count) + ")"
+	return upstream + " (" + describeReason(c.Reason) + ": " + formatCount(c.Count) + ")"
 }
 
 func (r *Report) burnSheet() sheet {
@@ -96,21 +100,22 @@
 		Empty: "No service has counted a request.",
 	}
 	for _, b := range r.Burn {
-		for _, left := range b.Budgets {
+		for _, budget := range b.Budgets {
 			row := make([]string, 0, len(s.Columns))
-			row = append(row, b.Service, formatObjective(b.Objective, left.Kind))
+			row = append(row, b.Service, formatObjective(b.Objective, budget.Kind))
 			for _, rate := range b.Rates {
-				row = append(row, formatRate(rate, left.Kind))
+				row = append(row, formatRate(rate, budget.Kind))
 			}
-			row = append(row, formatCount(left.Spent), formatDecimal(left.Allowed), formatPercent(left.Left),
-				formatCoverage(b.Rates), formatAlerts(b.Alerts, left.Kind))
+			row = append(row, formatCount(budget.Spent), formatDecimal(budget.Allowed), formatPercent(budget.Left),
+				formatCoverage(b.Rates), formatAlerts(b.Alerts, budget.Kind))
 			s.Rows = append(s.Rows, row)
 		}
 	}
 	return s
 }
 
-// formatRate marks a rate above 1 that too few bad requests make.
+// formatRate formats a burn rate. It appends * to a rate above 1 that rests on fewer than
+// burn.MinBad bad requests, which are too few to alert.
 func formatRate(r burn.Rate, kind burn.Kind) string {
 	rate, bad := r.BurnRate(kind)
 	if rate > 1 && bad < burn.MinBad {
@@ -119,6 +124,7 @@
 	return formatBurnRate(rate)
 }
 
+// formatObjective formats one part of an objective, for example "99% within 250ms".
 func formatObjective(o access.Objective, kind burn.Kind) string {
 	if kind == burn.Latency {
 		return formatTarget(o.LatencyRatio) + " within " + formatDuration(o.Latency)
@@ -126,19 +132,20 @@
 	return formatTarget(o.Availability) + " served"
 }
 
-// formatCoverage says what the longest window spans; nodes that started at
-// different times cover different parts of it.
+// formatCoverage formats how much of the longest window the nodes cover: one span, or a
+// range if the nodes started at different times. It expects the longest window last.
 func formatCoverage(rates []burn.Rate) string {
 	if len(rates) == 0 {
 		return "-"
 	}
-	last := rates[len(rates)-1]
-	if last.MinCovered == last.Covered {
-		return formatDuration(last.Covered)
+	longest := rates[len(rates)-1]
+	if longest.MinCovered == longest.Covered {
+		return formatDuration(longest.Covered)
 	}
-	return formatDuration(last.MinCovered) + " to " + formatDuration(last.Covered)
+	return formatDuration(longest.MinCovered) + " to " + formatDuration(longest.Covered)
 }
 
+// formatAlerts lists the names and severities of the alerts of one kind.
 func formatAlerts(alerts []burn.Alert, kind burn.Kind) string {
 	var names []string
 	for _, a := range alerts {
--- a/report/callers.go
+++ b/report/callers.go
@@ -8,41 +8,43 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// callerSum gathers a caller's totals.
+// callerSum accumulates a caller's totals over all nodes.
 type callerSum struct {
 	Caller
 
-	took      clock.Millis
-	upstreams map[string]bool
+	// servedTime is the summed duration of the requests that were served.
+	servedTime clock.Millis
+	upstreams  map[string]bool
 }
 
-// mergeCallers sums the callers' totals and says how exact they are.
+// mergeCallers sums the totals of each caller over all nodes, and computes for each caller
+// how many of its requests the nodes may have counted under access.Others.
 func (m *merger) mergeCallers() {
 	sums := make(map[string]*callerSum)
-	at := func(name string) *callerSum {
+	sumOf := func(name string) *callerSum {
 		if sums[name] == nil {
 			sums[name] = &callerSum{Caller: Caller{Name: name}, upstreams: make(map[string]bool)}
 		}
 		return sums[name]
 	}
 	for _, t := range m.report.Totals {
-		c := at(t.Caller)
+		c := sumOf(t.Caller)
 		c.add(&t)
 		if t.Upstream != "" {
 			c.upstreams[t.Upstream] = true
 		}
 		if t.Outcome == access.Served {
-			c.took += t.Took
+			c.servedTime += t.Took
 		}
 	}
-	if asked := m.report.Filter.Caller; asked != "" {
-		at(asked)
+	if requested := m.report.Filter.Caller; requested != "" {
+		sumOf(requested)
 	}
 	m.addMissed(sums)
 	for _, c := range sums {
 		c.Upstreams = len(c.upstreams)
 		if c.Served > 0 {
-			c.Mean = c.took / clock.Millis(c.Served)
+			c.Mean = c.servedTime / clock.Millis(c.Served)
 		}
 		m.report.Callers = append(m.report.Callers, c.Caller)
 	}
@@ -51,8 +53,9 @@
 	})
 }
 
-// addMissed adds up what nodes may have counted under Others. A node that doesn't
-// keep a caller apart may hold some of its requests there too.
+// addMissed adds to each caller the maximum number of its requests that the nodes may have
+// counted under access.Others. A node that doesn't list a caller may have counted up to
+// Snapshot.MaxMissed of its requests there.
 func (m *merger) addMissed(sums map[string]*callerSum) {
 	for _, s := range m.snapshots {
 		listed := make(map[string]bool, len(s.Callers))
@@ -94,7 +97,8 @@
 	return cmp.Or(name, "(unnamed)")
 }
 
-// formatMean writes a mean over the requests served, if there are any.
+// formatMean formats the mean duration of the requests that were served, or "-" if there
+// are none.
 func formatMean(mean clock.Millis, served uint64) string {
 	if served == 0 {
 		return "-"
--- a/report/fetch.go
+++ b/report/fetch.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// ErrInvalidAddress reports an admin address that is no IP number and port.
+	// ErrInvalidAddress reports an admin address that isn't an IP address and port.
 	ErrInvalidAddress = errors.ConstError("not an IP number and port")
-	// ErrInvalidAnswer reports an answer that is no account of a node.
+	// ErrInvalidAnswer reports an answer that isn't a node's snapshot in a readable format.
 	ErrInvalidAnswer = errors.ConstError("not a node's account")
 )
 
 const (
-	// reportPath is what a node's admin address serves its account at.
+	// reportPath is the path at which a node's admin address serves its snapshot.
 	reportPath = "/report"
-	// maxConcurrent bounds the nodes asked at once; 2,400 take 38 rounds.
+	// maxConcurrent bounds the nodes that are queried at the same time; 2,400 nodes take 38
+	// rounds.
 	maxConcurrent = 64
-	// recordsPerNode bounds the single records that a node sends. Totals are of
-	// all.
+	// recordsPerNode bounds the request records that a node sends. It doesn't affect the
+	// totals, which count all requests.
 	recordsPerNode = 400
-	// maxAnswerSize bounds an answer in bytes. A book filled to its default
-	// bounds, with 4,100 services over three days, answered with 9 MB.
+	// maxAnswerSize bounds an answer in bytes. An access log filled to its default limits,
+	// with 4,100 services over three days, answers with 9 MB.
 	maxAnswerSize = 32 << 20
 )
 
-// Query says which nodes to ask for what.
+// Query selects the nodes to query and the requests to report on.
 type Query struct {
-	// Nodes are admin addresses, IP number and port.
+	// Nodes holds admin addresses, each an IP address and port.
 	Nodes  []string
 	Filter access.Filter
-	// Timeout bounds the whole query.
+	// Timeout bounds the query of all nodes together.
 	Timeout clock.Millis
 }
 
-// NodeResult is one node's answer, or why there is none.
+// NodeResult is the snapshot that one node sent, or the error if it sent none.
 type NodeResult struct {
 	Address  string
 	Snapshot *access.Snapshot
 	Err      error
 }
 
-// Check returns ErrAddress for an address that can't be asked.
+// Check returns ErrInvalidAddress if an address of Nodes isn't an IP address and port.
 func (q Query) Check() error {
 	for _, address := range q.Nodes {
 		if _, err := netip.ParseAddrPort(address); err != nil {
@@ -60,8 +61,9 @@
 	return nil
 }
 
-// Fetch asks the nodes concurrently and returns one result for each address,
-// in order; an address given twice is asked once. Its error is ErrAddress.
+// Fetch queries the nodes concurrently and returns one result for each distinct
+// address, in the order of Nodes. Fetch returns ErrInvalidAddress for a malformed address;
+// the failure of a single node is in its result.
 func Fetch(q Query) ([]NodeResult, error) {
 	if err := q.Check(); err != nil {
 		return nil, err
@@ -86,25 +88,27 @@
 	defer client.CloseIdleConnections()
 	pool, err := ants.NewPool(min(maxConcurrent, max(len(results), 1)))
 	if err != nil {
-		return nil, errors.Annotate(err, "making the pool of fetchers")
+		return nil, errors.Annotate(err, "creating the worker pool")
 	}
 	defer pool.Release()
-	var wait sync.WaitGroup
+	var fetches sync.WaitGroup
 	for i := range results {
-		wait.Add(1)
+		fetches.Add(1)
 		err := pool.Submit(func() {
-			defer wait.Done()
+			defer fetches.Done()
 			results[i].Snapshot, results[i].Err = fetchNode(client, results[i].Address, q.Filter, deadline)
 		})
 		if err != nil {
-			wait.Done()
+			fetches.Done()
 			results[i].Err = errors.Annotate(err, "starting a fetch")
 		}
 	}
-	wait.Wait()
+	fetches.Wait()
 	return results, nil
 }
 
+// fetchNode fetches a node's snapshot. It returns ErrInvalidAnswer if the status isn't 200
+// or the body isn't a snapshot of access.Format.
 func fetchNode(client *fasthttp.Client, address string, f access.Filter, deadline time.Time) (*access.Snapshot, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/report/fetch_test.go
+++ b/report/fetch_test.go
@@ -14,7 +14,7 @@
 	"fuchsiapick.example/fuchsiapick/report"
 )
 
-// listen returns a listener on a port of its own, closed with the test.
+// listen returns a listener on a free port. The test's cleanup closes it.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,14 +25,15 @@
 	return l
 }
 
-// serve answers with the status and the body on a port of its own, and sends
-// the query of each request to asked.
-func serve(t *testing.T, status int, body []byte, asked chan<- string) string {
+// serve starts an HTTP server on a free port and returns its address. The server answers
+// with the status and the body, and sends the path and query of each request to requested
+// unless that is nil.
+func serve(t *testing.T, status int, body []byte, requested chan<- string) string {
 	t.Helper()
 	l := listen(t)
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
-		if asked != nil {
-			asked <- string(ctx.Path()) + "?" + string(ctx.QueryArgs().QueryString())
+		if requested != nil {
+			requested <- string(ctx.Path()) + "?" + string(ctx.QueryArgs().QueryString())
 		}
 		ctx.SetStatusCode(status)
 		ctx.SetBody(body)
@@ -41,24 +42,24 @@
 	return l.Addr().String()
 }
 
-// A manager's total is silently short: of five nodes one answers, and the
-// others hang, are gone, refuse, or speak another format. Each must be named
-// with its own fault, and none may hold up the report beyond its deadline.
+// Guards against totals that silently lack nodes. One of six nodes answers; the others hang,
+// refuse the connection, or answer with an error, another format or no JSON. The report
+// must name each with its own fault, and none may delay the report beyond its deadline.
 func TestFetchNamesNodesThatDoNotAnswer(t *testing.T) {
 	body, err := json.Marshal(palermoNode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan string, 1)
-	gone := listen(t)
-	_ = gone.Close()
+	requested := make(chan string, 1)
+	closed := listen(t)
+	_ = closed.Close()
 	q := report.Query{
 		Nodes: []string{
-			serve(t, 200, body, asked), listen(t).Addr().String(), gone.Addr().String(),
+			serve(t, 200, body, requested), listen(t).Addr().String(), closed.Addr().String(),
 			serve(t, 404, nil, nil), serve(t, 200, []byte(`{"format":2}`), nil), serve(t, 200, []byte("<html>"), nil),
 		},
 		Filter: access.Filter{Service: "bacheca", Since: 10 * clock.Minute},
-		// The hanging node takes all of this, the others a millisecond.
+		// The node that hangs takes the whole timeout, the others about a millisecond.
 		Timeout: 500,
 	}
 	q.Nodes = append(q.Nodes, q.Nodes[0])
@@ -66,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := <-asked, "/report?limit=400&service=bacheca&since=10m0s"; got != want {
+	if got, want := <-requested, "/report?limit=400&service=bacheca&since=10m0s"; got != want {
 		t.Errorf("got request %q, want %q", got, want)
 	}
 	r := report.Merge(results)
@@ -82,10 +83,11 @@
 	}
 }
 
-func TestFetchRefusesNames(t *testing.T) {
+// Nodes are queried by IP address and port only.
+func TestFetchRejectsHostNames(t *testing.T) {
 	for _, address := range []string{"node-1:7302", "127.0.0.1", "", "127.0.0.1:x"} {
 		if _, err := report.Fetch(report.Query{Nodes: []string{address}}); !errors.Is(err, report.ErrInvalidAddress) {
-			t.Errorf("got error %v for %q, want ErrAddress", err, address)
+			t.Errorf("got error %v for %q, want ErrInvalidAddress", err, address)
 		}
 	}
 }
--- a/report/findings.go
+++ b/report/findings.go
@@ -9,11 +9,13 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// maxPerKind is how many findings of one kind are told one by one; the tables
-// hold the rest.
+// maxPerKind bounds the findings of one kind that are listed one by one; the tables hold
+// the rest.
 const maxPerKind = 8
 
-// buildFindings says in sentences what a manager must know, the most pressing first.
+// buildFindings returns the findings that a reader without knowledge of the program needs.
+// Findings about the completeness of the report and the summary come first, the others
+// follow by level, the most severe first.
 func buildFindings(r *Report) []Finding {
 	f := &findingsBuilder{report: r}
 	f.addEjections()
@@ -24,18 +26,20 @@
 	f.addConfiguration()
 	f.addDroppedData()
 	f.addAllClear()
-	slices.SortStableFunc(f.findings, func(a, b Finding) int { return rank(a.Level) - rank(b.Level) })
-	first := &findingsBuilder{report: r}
-	first.addMissingNodes()
-	first.addUnqueriedNodes()
-	first.addSummary()
-	return append(first.findings, f.findings...)
+	slices.SortStableFunc(f.findings, func(a, b Finding) int { return levelRank(a.Level) - levelRank(b.Level) })
+	overview := &findingsBuilder{report: r}
+	overview.addMissingNodes()
+	overview.addUnqueriedNodes()
+	overview.addSummary()
+	return append(overview.findings, f.findings...)
 }
 
-func rank(l Level) int {
+// levelRank returns the sort position of a level, 0 for the most severe.
+func levelRank(l Level) int {
 	return slices.Index([]Level{LevelBad, LevelWatch, LevelNote}, l)
 }
 
+// findingsBuilder collects findings on a merged report.
 type findingsBuilder struct {
 	report   *Report
 	findings []Finding
@@ -45,10 +49,10 @@
 	f.findings = append(f.findings, Finding{Level: level, Text: stripControl(strings.Join(parts, ""))})
 }
 
-// addOverflow stands for the findings beyond mostAlike.
-func (f *findingsBuilder) addOverflow(all int, what string) {
-	if all > maxPerKind {
-		f.add(LevelWatch, "There are ", formatCount(all-maxPerKind), " more ", what, "; the tables have them.")
+// addOverflow adds a finding with the number of those that maxPerKind leaves out of total.
+func (f *findingsBuilder) addOverflow(total int, what string) {
+	if total > maxPerKind {
+		f.add(LevelWatch, "There are ", formatCount(total-maxPerKind), " more ", what, "; the tables have them.")
 	}
 }
 
@@ -66,7 +70,8 @@
 		" gave no account, so every total here may be too small: ", joinNames(missing), ".")
 }
 
-// addUnqueriedNodes tells of a report that is whole and yet not of the whole fleet.
+// addUnqueriedNodes adds a finding if the table names more nodes than the report queried:
+// such a report isn't partial, but doesn't cover the whole fleet.
 func (f *findingsBuilder) addUnqueriedNodes() {
 	answered, faults := f.report.Answered(), 0
 	for _, n := range f.report.Nodes {
@@ -94,7 +99,8 @@
 	f.add(LevelNote, text, ".")
 }
 
-// formatErrors says how many were served with an upstream's error.
+// formatErrors formats how many of the served requests got an upstream's error; it returns
+// "" for none.
 func formatErrors(n uint64) string {
 	if n == 0 {
 		return ""
@@ -102,15 +108,15 @@
 	return " (" + formatCount(n) + " of them with an upstream's error)"
 }
 
-// scope says what the report was narrowed to.
+// scope describes the report's filter; it returns "" for a report on everything.
 func (f *findingsBuilder) scope() string {
 	filter := f.report.Filter
 	var parts []string
-	for _, part := range []struct{ word, value string }{
+	for _, part := range []struct{ prefix, value string }{
 		{"of service ", filter.Service}, {"from caller ", filter.Caller}, {"at upstream ", filter.Upstream},
 	} {
 		if part.value != "" {
-			parts = append(parts, part.word+part.value)
+			parts = append(parts, part.prefix+part.value)
 		}
 	}
 	if filter.Since > 0 {
@@ -122,26 +128,27 @@
 	return " " + strings.Join(parts, " ")
 }
 
-// addEjections tells of what lasts first, so that a bound leaves out what is over.
+// addEjections adds findings on ongoing ejections before ended ones, so that maxPerKind
+// leaves out ended ones first. It skips an ejection that ended in another one.
 func (f *findingsBuilder) addEjections() {
-	var lasting, over []*Ejection
+	var ongoing, ended []*Ejection
 	for i := range f.report.Ejections {
-		switch a := &f.report.Ejections[i]; {
-		case a.IsOngoing():
-			lasting = append(lasting, a)
-		case a.State != StateReejected:
-			over = append(over, a)
+		switch e := &f.report.Ejections[i]; {
+		case e.IsOngoing():
+			ongoing = append(ongoing, e)
+		case e.State != StateReejected:
+			ended = append(ended, e)
 		}
 	}
-	all := slices.Concat(lasting, over)
-	for _, a := range all[:min(len(all), maxPerKind)] {
-		text := f.report.upstreamLabel(a.Service, a.Upstream) + " was set aside " + formatAge(a.Age) + " by its gate: " +
-			formatEvidence(a.Evidence, a.Reason) + "; " + describeEjection(a)
-		if len(a.ForcedBy) > 0 {
-			text += " All the same " + joinNames(a.ForcedBy) + " used it, since the floor of " + a.Service + " left no choice."
+	all := slices.Concat(ongoing, ended)
+	for _, e := range all[:min(len(all), maxPerKind)] {
+		text := f.report.upstreamLabel(e.Service, e.Upstream) + " was set aside " + formatAge(e.Age) + " by its gate: " +
+			formatEvidence(e.Evidence, e.Reason) + "; " + describeEjection(e)
+		if len(e.ForcedBy) > 0 {
+			text += " All the same " + joinNames(e.ForcedBy) + " used it, since the floor of " + e.Service + " left no choice."
 		}
 		level := LevelWatch
-		if a.State == access.StateEjected || a.State == access.StateTrial {
+		if e.State == access.StateEjected || e.State == access.StateTrial {
 			level = LevelBad
 		}
 		f.add(level, text)
@@ -149,50 +156,52 @@
 	f.addOverflow(len(all), "times that an upstream was set aside")
 }
 
-// describeEjection says what became of an upstream that was set aside.
-func describeEjection(a *Ejection) string {
-	switch a.State {
+// describeEjection describes how an ejection went on.
+func describeEjection(e *Ejection) string {
+	switch e.State {
 	case access.StateTrial:
-		return "it has been on trial with a few requests for " + formatDuration(a.Trial) + "."
+		return "it has been on trial with a few requests for " + formatDuration(e.Trial) + "."
 	case access.StateRamp:
-		return "it was out of use for " + formatDuration(a.Duration) + " and has been coming back slowly for " + formatDuration(a.Ramp) + "."
+		return "it was out of use for " + formatDuration(e.Duration) + " and has been coming back slowly for " + formatDuration(e.Ramp) + "."
 	case string(access.Restored):
-		return "it was out of use for " + formatDuration(a.Duration) + " and has been back in full use for " + formatDuration(a.Back) + "."
+		return "it was out of use for " + formatDuration(e.Duration) + " and has been back in full use for " + formatDuration(e.Back) + "."
 	case access.StateEjected:
-		if a.Remaining > 0 {
-			return "it has been out of use since, and will be tried again in " + formatDuration(a.Remaining) + "."
+		if e.Remaining > 0 {
+			return "it has been out of use since, and will be tried again in " + formatDuration(e.Remaining) + "."
 		}
 	}
 	return "it has been out of use since."
 }
 
-// addUpstreamStates tells of states that are not sickness, and of sick upstreams whose
-// gate gave no evidence.
+// addUpstreamStates adds findings on upstreams that are out of use without a failure
+// (leaving, weight 0, over their limit), and on ejected upstreams whose gate sent no
+// ejection event.
 func (f *findingsBuilder) addUpstreamStates() {
 	for _, x := range []struct {
-		level            Level
-		state, one, many string
+		level                   Level
+		state, singular, plural string
 	}{
 		{LevelNote, access.StateLeaving, " is leaving and gets", " are leaving and get"},
 		{LevelNote, access.StateOff, " has weight 0 in the table and gets", " have weight 0 in the table and get"},
 	} {
 		if names := f.inState(x.state); len(names) == 1 {
-			f.add(x.level, names[0], x.one, " no new work. That is planned, not sickness.")
+			f.add(x.level, names[0], x.singular, " no new work. That is planned, not sickness.")
 		} else if len(names) > 1 {
-			f.add(x.level, joinNames(names), x.many, " no new work. That is planned, not sickness.")
+			f.add(x.level, joinNames(names), x.plural, " no new work. That is planned, not sickness.")
 		}
 	}
 	if names := f.inState(access.StateOverLimit); len(names) > 0 {
 		f.add(LevelWatch, "Over the limit that the table sets, so busy and not sick: ", joinNames(names), ".")
 	}
 	for _, u := range f.report.Upstreams {
-		sick := u.State == access.StateEjected || u.State == access.StateForced
-		if sick && !f.hasEjection(u) {
+		ejected := u.State == access.StateEjected || u.State == access.StateForced
+		if ejected && !f.hasEjection(u) {
 			f.add(LevelBad, f.report.upstreamLabel(u.Service, u.Name), " is set aside as sick. The evidence isn't here, since its gate gave no account of it.")
 		}
 	}
 }
 
+// inState returns the labels of the upstreams in a state.
 func (f *findingsBuilder) inState(state string) []string {
 	var names []string
 	for _, u := range f.report.Upstreams {
@@ -204,15 +213,16 @@
 }
 
 func (f *findingsBuilder) hasEjection(u Upstream) bool {
-	return slices.ContainsFunc(f.report.Ejections, func(a Ejection) bool {
-		return a.IsOngoing() && a.Service == u.Service && a.Upstream == u.Name
+	return slices.ContainsFunc(f.report.Ejections, func(e Ejection) bool {
+		return e.IsOngoing() && e.Service == u.Service && e.Upstream == u.Name
 	})
 }
 
-// unreachableNode gathers who can't reach a node.
+// unreachableNode is a node with the nodes that can't reach it now.
 type unreachableNode struct {
-	to      string
-	from    []string
+	to   string
+	from []string
+	// longest is the age of the oldest of these path losses.
 	longest clock.Millis
 }
 
@@ -237,11 +247,11 @@
 }
 
 func (f *findingsBuilder) describeUnreachable(l *unreachableNode) string {
-	who := joinNames(l.from) + " has"
+	subject := joinNames(l.from) + " has"
 	if len(l.from) > 1 {
-		who = formatCount(len(l.from)) + " of " + pluralize(f.report.Answered(), "node", "nodes") + " have"
+		subject = formatCount(len(l.from)) + " of " + pluralize(f.report.Answered(), "node", "nodes") + " have"
 	}
-	text := who + " not reached node " + l.to + " for " + formatDuration(l.longest)
+	text := subject + " not reached node " + l.to + " for " + formatDuration(l.longest)
 	var names []string
 	for _, u := range f.report.Upstreams {
 		if u.Node == l.to {
--- a/report/fleet.go
+++ b/report/findings_nodes.go
@@ -8,7 +8,8 @@
 	"fuchsiapick.example/fuchsiapick/access"
 )
 
-// Answered counts the nodes whose account is in the report.
+// Answered returns the number of nodes whose snapshot is in the report. A node that
+// answered at several addresses counts once.
 func (r *Report) Answered() int {
 	n := 0
 	for _, node := range r.Nodes {
@@ -19,7 +20,8 @@
 	return n
 }
 
-// addConfiguration tells of tables and of the platform.
+// addConfiguration adds findings on nodes with different tables in force, on nodes that the
+// platform doesn't answer, and on tables that nodes rejected.
 func (f *findingsBuilder) addConfiguration() {
 	versions := make(map[uint64][]string)
 	for _, n := range f.report.Nodes {
@@ -37,39 +39,41 @@
 		}
 		f.add(LevelWatch, text, ". A change takes a few seconds to reach all.")
 	}
-	// Only the latest event of a node about its platform says how it is now.
-	latest := make(map[string]bool)
-	var away []string
+	// The events are sorted newest first, so the first platform event of a node gives the
+	// current state.
+	seen := make(map[string]bool)
+	var disconnected []string
 	for _, e := range f.report.Events {
-		if e.Kind != access.PlatformLost && e.Kind != access.PlatformRestored || latest[e.By] {
+		if e.Kind != access.PlatformLost && e.Kind != access.PlatformRestored || seen[e.By] {
 			continue
 		}
-		latest[e.By] = true
+		seen[e.By] = true
 		if e.Kind == access.PlatformLost {
-			away = append(away, e.By+" ("+formatAge(e.Age)+")")
+			disconnected = append(disconnected, e.By+" ("+formatAge(e.Age)+")")
 		}
 	}
-	if len(away) > 0 {
-		f.add(LevelWatch, "The platform's service stopped answering to ", joinNames(away),
+	if len(disconnected) > 0 {
+		f.add(LevelWatch, "The platform's service stopped answering to ", joinNames(disconnected),
 			". The table in force stays in force; no change can come in that way.")
 	}
 	f.addRejectedTables()
 }
 
-// addRejectedTables tells of the latest table of each node that was not taken, unless
-// one was accepted since.
+// addRejectedTables adds a finding for each reason for which nodes rejected a table or
+// ignored an older one, unless the node has accepted a table since. A reason that several
+// nodes share is reported once.
 func (f *findingsBuilder) addRejectedTables() {
-	settled := make(map[string]bool)
-	told := make(map[string]bool)
+	accepted := make(map[string]bool)
+	reported := make(map[string]bool)
 	for _, e := range f.report.Events {
 		switch e.Kind {
 		case access.TableAccepted:
-			settled[e.By] = true
+			accepted[e.By] = true
 		case access.TableRejected, access.TableOlder:
-			if settled[e.By] || told[string(e.Kind)+e.Reason] {
+			if accepted[e.By] || reported[string(e.Kind)+e.Reason] {
 				continue
 			}
-			told[string(e.Kind)+e.Reason] = true
+			reported[string(e.Kind)+e.Reason] = true
 			if e.Kind == access.TableOlder {
 				f.add(LevelWatch, "The platform offers ", e.By, " an older table than the one in force (", e.Reason,
 					"). It is not taken; publish a higher version to move on.")
@@ -89,27 +93,28 @@
 	return "version " + strconv.FormatUint(version, 10)
 }
 
-// addDroppedData tells what the nodes' bounded memory took from the report.
+// addDroppedData adds findings on data that is missing from the report because nodes keep a
+// bounded history, and on inconsistent request counts.
 func (f *findingsBuilder) addDroppedData() {
-	var short []string
-	var unplaced, unmatched uint64
+	var incomplete []string
+	var unattributed, unmatched uint64
 	for _, n := range f.report.Nodes {
-		asked := n.Uptime
+		wanted := n.Uptime
 		if since := f.report.Filter.Since; since > 0 {
-			asked = min(asked, since)
+			wanted = min(wanted, since)
 		}
-		if n.Fault == "" && n.Span < asked {
-			short = append(short, n.Name+" ("+formatDuration(n.Span)+" of "+formatDuration(asked)+")")
+		if n.Fault == "" && n.Span < wanted {
+			incomplete = append(incomplete, n.Name+" ("+formatDuration(n.Span)+" of "+formatDuration(wanted)+")")
 		}
-		unplaced += n.Dropped.Unattributed
+		unattributed += n.Dropped.Unattributed
 		unmatched += n.Dropped.Unmatched
 	}
-	if len(short) > 0 {
+	if len(incomplete) > 0 {
 		f.add(LevelWatch, "Totals don't reach back as far as was asked, since a node keeps a bounded number of requests: ",
-			joinNames(short), ".")
+			joinNames(incomplete), ".")
 	}
-	if unplaced > 0 {
-		f.add(LevelNote, pluralize(unplaced, "request", "requests"),
+	if unattributed > 0 {
+		f.add(LevelNote, pluralize(unattributed, "request", "requests"),
 			" may match the filter and are left out: their service and upstream are no longer kept apart.")
 	}
 	if unmatched > 0 {
@@ -118,10 +123,11 @@
 	}
 }
 
-// addAllClear says so if nothing needs a person, which an empty list would leave open.
+// addAllClear adds a finding that nothing needs attention, since an empty list of findings
+// could also mean that nothing was checked.
 func (f *findingsBuilder) addAllClear() {
-	pressing := slices.ContainsFunc(f.findings, func(x Finding) bool { return x.Level != LevelNote })
-	if !pressing && !f.report.Partial && f.report.Answered() > 0 {
+	needsAttention := slices.ContainsFunc(f.findings, func(x Finding) bool { return x.Level != LevelNote })
+	if !needsAttention && !f.report.Partial && f.report.Answered() > 0 {
 		f.add(LevelNote, "Nothing needs attention: all nodes answered, no upstream was set aside, no path is lost, no budget burns.")
 	}
 }
--- a/report/fixture_test.go
+++ b/report/fixture_test.go
@@ -11,22 +11,23 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Link addresses of the fixture's nodes; messina's doesn't answer.
+// Link addresses of the fixture's nodes. The node messina doesn't answer.
 const (
 	palermo = "10.1.0.1:7301"
 	catania = "10.2.0.1:7301"
 	messina = "10.3.0.1:7301"
 )
 
-// evil is a caller's name that a terminal or a browser must not obey.
-const evil = "\x1b[31m<script>alert(1)</script>"
+// hostileCaller is a caller's name with an escape sequence and a script, which a terminal or
+// a browser must not interpret.
+const hostileCaller = "\x1b[31m<script>alert(1)</script>"
 
 var services = []table.Service{
 	{Name: "bacheca", Objective: table.Objective{Availability: 0.999, Latency: 250, LatencyRatio: 0.99}},
 	{Name: "conferme", Objective: table.Objective{Availability: 0.9995, Latency: 400, LatencyRatio: 0.95}},
 }
 
-// node drives a book through its life.
+// node records requests in an access log under a simulated clock.
 type node struct {
 	*access.Log
 
@@ -34,7 +35,8 @@
 	seq int
 }
 
-func (n *node) close(count int, r access.Record) {
+// finishRequests records count finished requests, one per second of the node's clock.
+func (n *node) finishRequests(count int, r access.Record) {
 	for range count {
 		n.now += clock.Second
 		n.seq++
@@ -66,20 +68,21 @@
 	}
 }
 
-// view is how both nodes see the upstreams; palermo can't reach messina.
-func view(lost bool, worse string) []access.UpstreamState {
-	there := access.StateInUse
-	if lost {
-		there = access.StateUnreachable
+// upstreamStates returns the states of all upstreams as one node sees them: those at messina
+// as unreachable if messinaLost is set, and bacheca-4 in the given state.
+func upstreamStates(messinaLost bool, bacheca4 string) []access.UpstreamState {
+	atMessina := access.StateInUse
+	if messinaLost {
+		atMessina = access.StateUnreachable
 	}
 	off := upstream("conferme", 3, palermo, "palermo", access.StateOff)
 	off.Weight = 0
 	return []access.UpstreamState{
 		upstream("bacheca", 1, palermo, "palermo", access.StateInUse),
-		upstream("bacheca", 2, messina, "messina", there),
+		upstream("bacheca", 2, messina, "messina", atMessina),
 		upstream("bacheca", 3, palermo, "palermo", access.StateLeaving),
-		upstream("bacheca", 4, catania, "catania", worse),
-		upstream("conferme", 1, messina, "messina", there),
+		upstream("bacheca", 4, catania, "catania", bacheca4),
+		upstream("conferme", 1, messina, "messina", atMessina),
 		upstream("conferme", 2, catania, "catania", access.StateInUse),
 		off,
 	}
@@ -89,63 +92,63 @@
 	n := &node{Log: access.New(access.Config{Records: 200, Callers: 5})}
 	n.SetServices(services)
 	n.RecordEvent(access.Event{At: 2 * clock.Second, Kind: access.TableAccepted, Reason: "version 7"})
-	n.close(9000, served("clinica-etna", "bacheca", "bacheca-1", 40))
-	n.close(400, served("hotel-aretusa", "conferme", "conferme-2", 90))
-	n.close(60, served("hotel-aretusa", "bacheca", "bacheca-4", 700))
-	broken := served("hotel-aretusa", "bacheca", "bacheca-4", 30)
-	broken.Status = 500
-	n.close(4, broken)
+	n.finishRequests(9000, served("clinica-etna", "bacheca", "bacheca-1", 40))
+	n.finishRequests(400, served("hotel-aretusa", "conferme", "conferme-2", 90))
+	n.finishRequests(60, served("hotel-aretusa", "bacheca", "bacheca-4", 700))
+	serverError := served("hotel-aretusa", "bacheca", "bacheca-4", 30)
+	serverError.Status = 500
+	n.finishRequests(4, serverError)
 	n.RecordEvent(access.Event{At: n.now, Kind: access.PathLost, Node: messina, Reason: "unreachable"})
-	n.close(25, refused("ufficio-noto", "bacheca", "", access.ReasonCallerLimit, access.NotRun))
-	n.close(12, refused("hotel-aretusa", "bacheca", "bacheca-4", "set-aside", access.NotRun))
-	n.close(2, refused("clinica-etna", "conferme", "conferme-1", "timeout", access.Unknown))
+	n.finishRequests(25, refused("ufficio-noto", "bacheca", "", access.ReasonCallerLimit, access.NotRun))
+	n.finishRequests(12, refused("hotel-aretusa", "bacheca", "bacheca-4", "set-aside", access.NotRun))
+	n.finishRequests(2, refused("clinica-etna", "conferme", "conferme-1", "timeout", access.Unknown))
 	n.RecordEvent(access.Event{
 		At: n.now, Kind: access.ForcedUnderFloor, Service: "bacheca", Upstream: "bacheca-4", Node: catania, Reason: "floor",
 	})
-	n.close(300, served("clinica-etna", "bacheca", "bacheca-2", 35))
+	n.finishRequests(300, served("clinica-etna", "bacheca", "bacheca-2", 35))
 	n.RecordEvent(access.Event{At: n.now, Kind: access.TableOlder, Reason: "version 5, below 7"})
 	n.RequestReceived()
 	s := n.Snapshot(n.now, access.Filter{})
-	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "palermo-1", palermo, "palermo", 7, view(true, access.StateForced)
+	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "palermo-1", palermo, "palermo", 7, upstreamStates(true, access.StateForced)
 	return s
 }
 
 func cataniaNode() access.Snapshot {
 	n := &node{Log: access.New(access.Config{Start: clock.Hour}), now: clock.Hour}
 	n.SetServices(services)
-	n.close(300, served("clinica-etna", "conferme", "conferme-2", 80))
-	aside := access.Event{
+	n.finishRequests(300, served("clinica-etna", "conferme", "conferme-2", 80))
+	ejected := access.Event{
 		At: n.now, Kind: access.Ejected, Service: "conferme", Upstream: "conferme-2", Node: catania,
 		Until: n.now + 60*clock.Second, Reason: "its requests are slower than the service's",
 		Evidence: access.Evidence{Outcomes: 55, Slow: 21, Overdue: 2, Score: 9.4, Threshold: 9.2, BaselineLatency: 85},
 	}
-	n.RecordEvent(aside)
+	n.RecordEvent(ejected)
 	for _, kind := range []access.EventKind{access.Trial, access.Ramp, access.Restored} {
-		n.close(60, served("scuola-gela", "conferme", "conferme-1", 70))
+		n.finishRequests(60, served("scuola-gela", "conferme", "conferme-1", 70))
 		n.RecordEvent(access.Event{At: n.now, Kind: kind, Service: "conferme", Upstream: "conferme-2", Node: catania})
 	}
-	aside.Service, aside.Upstream, aside.Reason = "bacheca", "bacheca-4", "its share of failures is above the service's"
-	aside.Evidence = access.Evidence{Outcomes: 40, Failed: 12, Score: 9.8, Threshold: 9.2, BaselineFailed: 0.004}
-	aside.At, aside.Until = n.now, n.now+30*clock.Second
-	n.RecordEvent(aside)
-	n.close(30, served("scuola-gela", "bacheca", "bacheca-1", 50))
+	ejected.Service, ejected.Upstream, ejected.Reason = "bacheca", "bacheca-4", "its share of failures is above the service's"
+	ejected.Evidence = access.Evidence{Outcomes: 40, Failed: 12, Score: 9.8, Threshold: 9.2, BaselineFailed: 0.004}
+	ejected.At, ejected.Until = n.now, n.now+30*clock.Second
+	n.RecordEvent(ejected)
+	n.finishRequests(30, served("scuola-gela", "bacheca", "bacheca-1", 50))
 	n.RecordEvent(access.Event{At: n.now, Kind: access.Trial, Service: "bacheca", Upstream: "bacheca-4", Node: catania})
-	aside.At, aside.Until = n.now+2*clock.Second, n.now+500*clock.Second
-	n.RecordEvent(aside)
-	n.close(3, refused(evil, "bacheca", "bacheca-4", "torn-answer", access.Unknown))
-	n.close(400, served("scuola-gela", "bacheca", "bacheca-1", 45))
+	ejected.At, ejected.Until = n.now+2*clock.Second, n.now+500*clock.Second
+	n.RecordEvent(ejected)
+	n.finishRequests(3, refused(hostileCaller, "bacheca", "bacheca-4", "torn-answer", access.Unknown))
+	n.finishRequests(400, served("scuola-gela", "bacheca", "bacheca-1", 45))
 	n.RecordEvent(access.Event{At: n.now - 20*clock.Second, Kind: access.PlatformLost, Reason: "timeout"})
 	s := n.Snapshot(n.now, access.Filter{})
-	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "catania-1", catania, "catania", 6, view(false, access.StateEjected)
+	s.Name, s.Node, s.Domain, s.Table, s.Upstreams = "catania-1", catania, "catania", 6, upstreamStates(false, access.StateEjected)
 	return s
 }
 
-// results is what two nodes answered and a third did not.
+// results returns the results of a query of three nodes, the last of which timed out.
 func results() []report.NodeResult {
-	here, there := palermoNode(), cataniaNode()
+	first, second := palermoNode(), cataniaNode()
 	return []report.NodeResult{
-		{Address: "10.1.0.1:7302", Snapshot: &here},
-		{Address: "10.2.0.1:7302", Snapshot: &there},
+		{Address: "10.1.0.1:7302", Snapshot: &first},
+		{Address: "10.2.0.1:7302", Snapshot: &second},
 		{Address: "10.3.0.1:7302", Err: fasthttp.ErrTimeout},
 	}
 }
--- a/report/words.go
+++ b/report/format.go
@@ -14,8 +14,8 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// reasonTexts says the reasons of entries and gates in words that need no
-// knowledge of the program.
+// reasonTexts describes the reasons of entries and gates in words that need no knowledge of
+// the program.
 var reasonTexts = map[string]string{
 	access.ReasonCallerLimit:   "the caller was over its own limit",
 	access.ReasonServiceLimit:  "the service was over its limit",
@@ -51,12 +51,12 @@
 	"":                         "no reason was noted",
 }
 
-// describeReason says a reason in words; one that is not known stands for itself.
+// describeReason describes a reason in words. It returns an unknown reason unchanged.
 func describeReason(reason string) string {
 	return cmp.Or(reasonTexts[reason], reason)
 }
 
-// formatState says an upstream's state in words.
+// formatState describes an upstream's state in words. It returns an unknown state unchanged.
 func formatState(state string) string {
 	switch state {
 	case access.StateInUse:
@@ -90,7 +90,7 @@
 	}
 }
 
-// eventKindTexts are the kinds of events in words.
+// eventKindTexts describes the kinds of events in words.
 var eventKindTexts = map[access.EventKind]string{
 	access.Ejected:          "set aside as sick",
 	access.Trial:            "tried again",
@@ -110,12 +110,12 @@
 	access.PlatformRestored: "platform answers again",
 }
 
-// formatEventKind says an event's kind in words; one that is not known stands for itself.
+// formatEventKind describes an event's kind in words. It returns an unknown kind unchanged.
 func formatEventKind(kind access.EventKind) string {
 	return cmp.Or(eventKindTexts[kind], string(kind))
 }
 
-// formatDuration writes a span with two units at most: 850ms, 45s, 2m 10s, 3h 5m, 2d 4h.
+// formatDuration formats a duration with at most two units: 850ms, 45s, 2m 10s, 3h 5m, 2d 4h.
 func formatDuration(d clock.Millis) string {
 	type unit struct {
 		size clock.Millis
@@ -140,6 +140,7 @@
 	return ""
 }
 
+// formatAge formats the time since an event, for example "2m 10s ago".
 func formatAge(d clock.Millis) string {
 	if d < clock.Second {
 		return "just now"
@@ -147,13 +148,13 @@
 	return formatDuration(d) + " ago"
 }
 
-// formatCount writes a count with thousands apart: 12,345.
+// formatCount formats a count with thousands separators: 12,345.
 func formatCount[T uint64 | int](n T) string {
 	return humanize.Comma(int64(n))
 }
 
-// formatDecimal writes a count that need not be whole, with a digit after the point
-// if it is small.
+// formatDecimal formats a fractional count: with one decimal below 10, otherwise truncated
+// to a whole number.
 func formatDecimal(x float64) string {
 	if x < 10 {
 		return strconv.FormatFloat(x, 'f', 1, 64)
@@ -161,9 +162,10 @@
 	return formatCount(uint64(x))
 }
 
-// formatPercent writes a share of 1 in percent with two digits that count.
-func formatPercent(x float64) string {
-	percent := 100 * x
+// formatPercent formats a share, where 1 is the whole, in percent: as an integer from
+// 10% on, otherwise with two significant digits.
+func formatPercent(share float64) string {
+	percent := 100 * share
 	size := math.Abs(percent)
 	switch {
 	case size == 0 || size >= 10:
@@ -175,12 +177,13 @@
 	}
 }
 
-// formatTarget writes the share that an objective promises, with all its digits.
-func formatTarget(x float64) string {
-	return strconv.FormatFloat(100*x, 'g', 6, 64) + "%"
+// formatTarget formats the target share of an objective in percent with up to six
+// significant digits.
+func formatTarget(share float64) string {
+	return strconv.FormatFloat(100*share, 'g', 6, 64) + "%"
 }
 
-// formatBurnRate writes a burn rate.
+// formatBurnRate formats a burn rate, for example "2.5x"; from 10 on without decimals.
 func formatBurnRate(rate float64) string {
 	if rate >= 10 {
 		return strconv.FormatFloat(rate, 'f', 0, 64) + "x"
@@ -188,14 +191,15 @@
 	return strconv.FormatFloat(rate, 'f', 1, 64) + "x"
 }
 
-func pluralize[T uint64 | int](n T, one, many string) string {
+// pluralize returns the count, followed by the singular for 1 and by the plural otherwise.
+func pluralize[T uint64 | int](n T, singular, plural string) string {
 	if n == 1 {
-		return formatCount(n) + " " + one
+		return formatCount(n) + " " + singular
 	}
-	return formatCount(n) + " " + many
+	return formatCount(n) + " " + plural
 }
 
-// joinNames joins names as a sentence does: a, b and c.
+// joinNames joins names to a list within a sentence: "a, b and c".
 func joinNames(names []string) string {
 	switch len(names) {
 	case 0:
@@ -208,7 +212,8 @@
 	}
 }
 
-// formatEvidence says what a gate had seen when it set its upstream aside.
+// formatEvidence describes the evidence on which a gate ejected its upstream. Without any
+// counts it describes the reason.
 func formatEvidence(e access.Evidence, reason string) string {
 	var parts []string
 	of := " of " + pluralize(e.Outcomes, "request", "requests")
@@ -229,9 +234,9 @@
 	return joinNames(parts)
 }
 
-// stripControl drops control characters: callers choose some texts, and a terminal
-// obeys escape sequences in them. Line ends, as in a table's list of faults,
-// become spaces.
+// stripControl removes control characters, since callers choose some of the texts and a
+// terminal would interpret escape sequences in them. White space, such as the line breaks
+// in a table's list of errors, becomes spaces.
 func stripControl(text string) string {
 	return strings.Map(func(r rune) rune {
 		switch {
--- a/report/fuzz_test.go
+++ b/report/fuzz_test.go
@@ -9,9 +9,9 @@
 	"fuchsiapick.example/fuchsiapick/report"
 )
 
-// A node of another release, or what else listens at its address, answers with
-// odd numbers. The report must come out all the same, for the other nodes'
-// sake.
+// FuzzMerge guards against a report that fails because of one node's answer. A node of
+// another release, or another program at its address, may answer with inconsistent values;
+// the report on the other nodes must still be written.
 func FuzzMerge(f *testing.F) {
 	for _, r := range results() {
 		body, err := json.Marshal(r.Snapshot)
--- a/report/history.go
+++ b/report/history.go
@@ -7,30 +7,31 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// StateReejected is the state of an Aside that ended in another one.
+// StateReejected is the state of an ejection whose upstream was ejected again before it was
+// back in full use.
 const StateReejected = "relapsed"
 
-// ejections makes episodes of the events that gates noted, the newest first.
-// Events are the newest first.
+// ejections groups the events that gates recorded into one Ejection for each time that an
+// upstream was ejected. The events and the result are sorted newest first.
 func ejections(events []Event) []Ejection {
 	found := []Ejection{}
-	// open holds the index of the episode that lasts, by upstream.
+	// open holds the index of the ongoing ejection of each upstream.
 	open := make(map[upstreamKey]int)
 	for _, e := range slices.Backward(events) {
 		key := upstreamKey{e.Service, e.Upstream}
-		at, known := open[key]
+		i, ok := open[key]
 		if e.Kind == access.Ejected {
-			if known {
-				found[at].reeject(e)
+			if ok {
+				found[i].reeject(e)
 			}
 			open[key] = len(found)
 			found = append(found, newEjection(e))
 			continue
 		}
-		if !known {
+		if !ok {
 			continue
 		}
-		found[at].apply(e)
+		found[i].apply(e)
 		if e.Kind == access.Restored {
 			delete(open, key)
 		}
@@ -50,58 +51,60 @@
 	}
 }
 
-func (a *Ejection) apply(e Event) {
-	switch e.Kind {
+// apply updates the ejection with a later event of its upstream.
+func (e *Ejection) apply(event Event) {
+	switch event.Kind {
 	case access.Trial:
-		a.State, a.Trial, a.Remaining = access.StateTrial, e.Age, 0
+		e.State, e.Trial, e.Remaining = access.StateTrial, event.Age, 0
 	case access.Ramp:
-		a.State, a.Ramp, a.Remaining = access.StateRamp, e.Age, 0
+		e.State, e.Ramp, e.Remaining = access.StateRamp, event.Age, 0
 	case access.Restored:
-		a.State, a.Back, a.Remaining = string(access.Restored), e.Age, 0
+		e.State, e.Back, e.Remaining = string(access.Restored), event.Age, 0
 	case access.ForcedUnderFloor:
-		if !slices.Contains(a.ForcedBy, e.By) {
-			a.ForcedBy = append(a.ForcedBy, e.By)
+		if !slices.Contains(e.ForcedBy, event.By) {
+			e.ForcedBy = append(e.ForcedBy, event.By)
 		}
 	default:
 	}
 }
 
-// reeject ends the episode where the next one begins.
-func (a *Ejection) reeject(e Event) {
-	a.State, a.Remaining, a.Back = StateReejected, 0, e.Age
+// reeject ends the ejection at the event that begins the upstream's next one.
+func (e *Ejection) reeject(next Event) {
+	e.State, e.Remaining, e.Back = StateReejected, 0, next.Age
 }
 
-// IsOngoing tells whether the upstream is not in full use yet.
-func (a *Ejection) IsOngoing() bool {
-	return a.State != string(access.Restored) && a.State != StateReejected
+// IsOngoing reports whether the upstream isn't back in full use yet.
+func (e *Ejection) IsOngoing() bool {
+	return e.State != string(access.Restored) && e.State != StateReejected
 }
 
-// duration returns how long the upstream had no work but trials.
-func (a *Ejection) duration() clock.Millis {
+// duration returns how long the upstream got no requests other than trials.
+func (e *Ejection) duration() clock.Millis {
 	switch {
-	case a.Ramp != noAge:
-		return a.Age - a.Ramp
-	case a.Back != noAge:
-		return a.Age - a.Back
+	case e.Ramp != noAge:
+		return e.Age - e.Ramp
+	case e.Back != noAge:
+		return e.Age - e.Back
 	default:
-		return a.Age
+		return e.Age
 	}
 }
 
-// pathLosses makes episodes of paths lost and found again, the newest first.
+// pathLosses groups path events into one Path for each time that a path was lost. The
+// events and the result are sorted newest first.
 func pathLosses(events []Event) []Path {
 	found := []Path{}
-	type ends struct{ from, to string }
-	open := make(map[ends]int)
+	type nodePair struct{ from, to string }
+	open := make(map[nodePair]int)
 	for _, e := range slices.Backward(events) {
-		key := ends{e.By, e.Node}
-		at, known := open[key]
+		key := nodePair{e.By, e.Node}
+		i, ok := open[key]
 		switch {
-		case e.Kind == access.PathLost && !known:
+		case e.Kind == access.PathLost && !ok:
 			open[key] = len(found)
 			found = append(found, Path{From: e.By, To: e.Node, Age: e.Age, Reason: e.Reason, Back: noAge})
-		case e.Kind == access.PathRestored && known:
-			found[at].Back = e.Age
+		case e.Kind == access.PathRestored && ok:
+			found[i].Back = e.Age
 			delete(open, key)
 		}
 	}
--- a/report/html.go
+++ b/report/html.go
@@ -13,7 +13,7 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// page is what the template is filled with.
+// page is the data of the template.
 type page struct {
 	Date     string
 	Partial  bool
@@ -24,18 +24,18 @@
 	Sheets   []sheet
 }
 
-// card is one number at the top of the page.
+// card is a highlighted count at the top of the page.
 type card struct {
 	Class string
 	Text  string
 	Count string
 }
 
-// HTML writes the report as one page without outside assets.
+// HTML writes the report as one HTML page that refers to no other files.
 func (r *Report) HTML(w io.Writer) error {
-	finder := findingsBuilder{report: r}
-	view := page{
-		Date: r.date(), Partial: r.Partial, Scope: finder.scope(), Findings: r.Findings,
+	builder := findingsBuilder{report: r}
+	data := page{
+		Date: r.date(), Partial: r.Partial, Scope: builder.scope(), Findings: r.Findings,
 		Plots: r.plots(), Sheets: r.sheets(),
 		Cards: []card{
 			{"served", "served", formatCount(r.Requests.Served)},
@@ -44,5 +44,5 @@
 			{"open", "still open", formatCount(r.Requests.Open)},
 		},
 	}
-	return errors.Annotate(pageTemplate.Execute(w, view), "writing the report")
+	return errors.Annotate(pageTemplate.Execute(w, data), "writing the report")
 }
--- a/report/merge.go
+++ b/report/merge.go
@@ -14,8 +14,8 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Merge makes one report of the nodes' answers. Totals are summed; a node that
-// answered at two addresses counts once.
+// Merge merges the results of the queried nodes into one report. It sums the totals; a node
+// that answered at two addresses counts once. Merge leaves Report.AsOf unset.
 func Merge(results []NodeResult) Report {
 	m := &merger{names: make(map[string]string), totals: make(map[totalKey]*access.Total)}
 	m.report = Report{
@@ -41,22 +41,24 @@
 	return m.report
 }
 
-// merger holds what Merge has gathered so far.
+// merger holds the intermediate state of Merge.
 type merger struct {
 	report    Report
 	snapshots []*access.Snapshot
-	// names holds the names of nodes by link address.
+	// names maps the link address of a node to its name.
 	names  map[string]string
 	totals map[totalKey]*access.Total
 }
 
-// totalKey is what totals of two nodes are the same by.
+// totalKey identifies the totals that are summed over nodes.
 type totalKey struct {
 	caller, service, upstream string
 	outcome                   access.Outcome
 	reason                    string
 }
 
+// addNode adds a node to the report, and its snapshot to the merger if the node answered
+// for the first time.
 func (m *merger) addNode(r NodeResult) {
 	n := Node{Address: r.Address}
 	s := r.Snapshot
@@ -75,15 +77,16 @@
 		if s.Node != "" {
 			m.names[s.Node] = n.Name
 		}
-		named := *s
-		named.Name = n.Name
-		m.snapshots = append(m.snapshots, &named)
+		snapshot := *s
+		snapshot.Name = n.Name
+		m.snapshots = append(m.snapshots, &snapshot)
 		m.report.Filter = s.Filter
 	}
 	m.report.Nodes = append(m.report.Nodes, n)
 }
 
-// describeFetchError says in words why a node didn't answer.
+// describeFetchError describes why a node's snapshot is missing. The text completes a
+// sentence about the node.
 func describeFetchError(err error) string {
 	switch {
 	case errors.Is(err, fasthttp.ErrTimeout), errors.Is(err, fasthttp.ErrDialTimeout):
@@ -99,7 +102,8 @@
 	}
 }
 
-// nodeName returns the name of the node at a link address, if it answered.
+// nodeName returns the name of the node at a link address, or the address itself if that
+// node didn't answer.
 func (m *merger) nodeName(link string) string {
 	return cmp.Or(m.names[link], link)
 }
@@ -112,25 +116,26 @@
 	for _, t := range s.Totals {
 		r.add(&t)
 		key := totalKey{t.Caller, t.Service, t.Upstream, t.Outcome, t.Reason}
-		if known := m.totals[key]; known != nil {
-			known.Count += t.Count
-			known.Took += t.Took
+		if total := m.totals[key]; total != nil {
+			total.Count += t.Count
+			total.Took += t.Took
 			continue
 		}
 		m.totals[key] = &t
 	}
 }
 
+// addHistory adds the snapshot's events, and its records of requests that were not served.
 func (m *merger) addHistory(s *access.Snapshot) {
 	for _, e := range s.Events {
-		noted := Event{
+		event := Event{
 			By: s.Name, Age: max(s.Now-e.At, 0), Kind: e.Kind, Service: e.Service, Upstream: e.Upstream,
 			Node: m.nodeName(e.Node), Reason: e.Reason, Evidence: e.Evidence,
 		}
 		if e.Until > 0 {
-			noted.Remaining = max(e.Until-s.Now, 0)
+			event.Remaining = max(e.Until-s.Now, 0)
 		}
-		m.report.Events = append(m.report.Events, noted)
+		m.report.Events = append(m.report.Events, event)
 	}
 	for _, r := range s.Records {
 		if r.Outcome == access.Served {
@@ -145,6 +150,8 @@
 	}
 }
 
+// finishTotals computes the refusals and the services from the merged totals, and sorts
+// these lists, the events and the unserved requests.
 func (m *merger) finishTotals() {
 	refusals := make(map[Refusal]uint64)
 	services := make(map[string]*Service)
@@ -176,8 +183,8 @@
 	slices.SortStableFunc(m.report.Unserved, func(a, b Record) int { return cmp.Compare(a.Age, b.Age) })
 }
 
-// mergeBurn judges each service's merged windows by the objective of the node
-// with the newest table.
+// mergeBurn merges each service's windows over all nodes and evaluates them against the
+// objective from the node with the newest table.
 func (m *merger) mergeBurn() {
 	type merged struct {
 		table     uint64
@@ -187,15 +194,15 @@
 	services := make(map[string]*merged)
 	for _, s := range m.snapshots {
 		for _, b := range s.Burn {
-			known := services[b.Service]
-			if known == nil {
-				known = &merged{}
-				services[b.Service] = known
+			service := services[b.Service]
+			if service == nil {
+				service = &merged{}
+				services[b.Service] = service
 			}
-			if known.windows == nil || s.Table > known.table {
-				known.table, known.objective = s.Table, b.Objective
+			if service.windows == nil || s.Table > service.table {
+				service.table, service.objective = s.Table, b.Objective
 			}
-			known.windows = append(known.windows, b.Windows)
+			service.windows = append(service.windows, b.Windows)
 		}
 	}
 	for name, b := range services {
@@ -207,5 +214,5 @@
 	slices.SortFunc(m.report.Burn, func(a, b Burn) int { return cmp.Compare(a.Service, b.Service) })
 }
 
-// noAge marks an age of what has not happened.
+// noAge is the age of an event that has not happened.
 const noAge clock.Millis = -1
--- a/report/plot.go
+++ b/report/plot.go
@@ -8,10 +8,10 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// plot is one drawing in the units of its view box, which the page renders as
-// inline SVG. Charting libraries were weighed: they bring fonts and scripts
-// for axes that three plain drawings don't need, and the page must escape what
-// callers chose by the same rules as its tables.
+// plot is one chart in the units of its view box; the page renders it as inline SVG. It
+// uses no charting library: these bring fonts and scripts for axes that three simple charts
+// don't need, and the page must escape names that callers chose by the same rules as in its
+// tables.
 type plot struct {
 	Title  string
 	Note   string
@@ -22,26 +22,28 @@
 	Legend []legend
 }
 
-// box is a bar. Class names its colour, Hint is shown on hovering.
+// box is a filled rectangle. Class is the CSS class that sets its colour, Hint the text that
+// is shown on hovering.
 type box struct {
 	X, Y, W, H int
 	Class      string
 	Hint       string
 }
 
-// label is a text; Anchor is start, middle or end.
+// label is a text at a position. Anchor is start, middle or end.
 type label struct {
 	X, Y   int
 	Anchor string
 	Text   string
 }
 
+// legend is one entry of a chart's legend.
 type legend struct {
 	Class string
 	Text  string
 }
 
-// Measures of the drawings.
+// Dimensions of the charts, in units of the view box, and the number of charts on a page.
 const (
 	plotWidth   = 760
 	plotLeft    = 190
@@ -61,16 +63,16 @@
 		all = append(all, r.historyPlot())
 	}
 	for _, b := range r.Burn {
-		rate, drawn := b.plottedWindow()
-		if drawn && len(all) < cap(all) {
+		rate, ok := b.plottedWindow()
+		if ok && len(all) < cap(all) {
 			all = append(all, burnPlot(b, rate))
 		}
 	}
 	return all
 }
 
-// outcomePlot draws a bar for each service, cut by outcome. An outcome that
-// occurred is never thinner than a line, so that three of a million show.
+// outcomePlot draws a bar for each service, divided by outcome. An outcome that occurred is
+// at least minBarWidth wide, so that three requests of a million are visible.
 func (r *Report) outcomePlot() plot {
 	const width, right = 290, plotLeft + 290 + 10
 	p := plot{
@@ -108,7 +110,7 @@
 	return p
 }
 
-// historyPlot draws when upstreams were out of use and paths lost.
+// historyPlot draws the times when upstreams were ejected and paths were lost.
 func (r *Report) historyPlot() plot {
 	p := plot{
 		Title: "Set aside and lost paths over time",
@@ -118,17 +120,17 @@
 		},
 	}
 	var oldest clock.Millis
-	for _, a := range r.Ejections {
-		oldest = max(oldest, a.Age)
+	for _, e := range r.Ejections {
+		oldest = max(oldest, e.Age)
 	}
-	for _, x := range r.Paths {
-		oldest = max(oldest, x.Age)
+	for _, p := range r.Paths {
+		oldest = max(oldest, p.Age)
 	}
 	axis := timeAxis{oldest: oldest + oldest/20 + 1}
 	rows := make(map[string]int)
 	row := func(name string) int {
-		y, known := rows[name]
-		if !known {
+		y, ok := rows[name]
+		if !ok {
 			y = p.Height
 			rows[name] = y
 			p.Height += rowHeight
@@ -138,10 +140,10 @@
 		return y
 	}
 	for i := range r.Ejections {
-		a := &r.Ejections[i]
-		y := row(r.upstreamLabel(a.Service, a.Upstream))
-		hint := a.Upstream + ": " + formatEvidence(a.Evidence, a.Reason)
-		for _, phase := range a.phases() {
+		e := &r.Ejections[i]
+		y := row(r.upstreamLabel(e.Service, e.Upstream))
+		hint := e.Upstream + ": " + formatEvidence(e.Evidence, e.Reason)
+		for _, phase := range e.phases() {
 			p.Boxes = append(p.Boxes, axis.box(phase.from, phase.to, y, phase.class, hint))
 		}
 	}
@@ -154,31 +156,33 @@
 	return p
 }
 
-// phase is a part of an Aside between two ages.
+// phase is a part of an ejection between two ages.
 type phase struct {
 	from, to clock.Millis
 	class    string
 }
 
-// phases cuts an Aside into the time out of use, on trial and coming back.
-func (a *Ejection) phases() []phase {
-	steps := []phase{{from: a.Age, class: "out"}, {from: a.Trial, class: "trial"}, {from: a.Ramp, class: "ramp"}}
-	end := max(a.Back, 0)
-	var found []phase
-	for _, s := range steps {
-		if s.from == noAge {
+// phases divides an ejection into the times out of use, on trial and ramping up. It skips
+// phases that the ejection did not reach.
+func (e *Ejection) phases() []phase {
+	all := []phase{{from: e.Age, class: "out"}, {from: e.Trial, class: "trial"}, {from: e.Ramp, class: "ramp"}}
+	end := max(e.Back, 0)
+	var reached []phase
+	for _, p := range all {
+		if p.from == noAge {
 			continue
 		}
-		if len(found) > 0 {
-			found[len(found)-1].to = s.from
+		if len(reached) > 0 {
+			reached[len(reached)-1].to = p.from
 		}
-		s.to = end
-		found = append(found, s)
+		p.to = end
+		reached = append(reached, p)
 	}
-	return found
+	return reached
 }
 
-// timeAxis places ages from oldest at the left to now at the right.
+// timeAxis maps ages to horizontal positions, from the oldest age at the left to now at the
+// right.
 type timeAxis struct {
 	oldest clock.Millis
 }
@@ -186,8 +190,8 @@
 func (timeAxis) width() int { return plotWidth - plotLeft - 10 }
 
 func (t timeAxis) position(age clock.Millis) int {
-	left := float64(t.oldest-age) / float64(t.oldest)
-	return plotLeft + int(math.Round(left*float64(t.width())))
+	fraction := float64(t.oldest-age) / float64(t.oldest)
+	return plotLeft + int(math.Round(fraction*float64(t.width())))
 }
 
 func (t timeAxis) box(from, to clock.Millis, y int, class, hint string) box {
@@ -203,9 +207,9 @@
 	}
 }
 
-// plottedWindow returns the window that a plot shows: the longest of up to six hours
-// that the nodes' lives cover, or the shortest. It returns false if that has
-// no bad requests.
+// plottedWindow returns the window that the service's chart shows: the longest window of up
+// to six hours that is fully covered, or else the shortest. It returns false if there is no
+// window or the window has no bad requests.
 func (b *Burn) plottedWindow() (burn.Rate, bool) {
 	if len(b.Rates) == 0 {
 		return burn.Rate{}, false
@@ -219,7 +223,7 @@
 	return rate, rate.Failed+rate.Slow > 0
 }
 
-// burnPlot draws the share of bad requests in each slice of a window.
+// burnPlot draws the share of bad requests in each time slice of a window.
 func burnPlot(b Burn, rate burn.Rate) plot {
 	const height, top, slices = 90, 14, 13
 	p := plot{
@@ -230,27 +234,27 @@
 		Legend: []legend{{"failed", "not served well"}, {"slow", "slow"}},
 	}
 	worst := 0.0
-	for _, x := range rate.Series {
-		worst = max(worst, badShare(x))
+	for _, point := range rate.Series {
+		worst = max(worst, badShare(point))
 	}
 	scale := roundScale(max(worst, 1-b.Objective.Availability))
 	step := (plotWidth - plotLeft - 10) / slices
 	for i := range slices {
 		p.Boxes = append(p.Boxes, box{plotLeft + i*step, top + height, step - 2, 2, "ground", "no requests"})
 	}
-	for _, x := range rate.Series {
-		left, y := plotLeft+(slices-1-x.Slice)*step, top+height
-		p.Boxes = append(p.Boxes, box{left, y, step - 2, 2, "served", formatCount(x.Total) + " requests"})
+	for _, point := range rate.Series {
+		left, y := plotLeft+(slices-1-point.Slice)*step, top+height
+		p.Boxes = append(p.Boxes, box{left, y, step - 2, 2, "served", formatCount(point.Total) + " requests"})
 		for _, part := range []struct {
 			n     uint64
 			class string
-		}{{x.Failed, "failed"}, {x.Slow, "slow"}} {
+		}{{point.Failed, "failed"}, {point.Slow, "slow"}} {
 			if part.n == 0 {
 				continue
 			}
-			h := max(int(math.Round(float64(part.n)/float64(x.Total)/scale*height)), minBarWidth)
+			h := max(int(math.Round(float64(part.n)/float64(point.Total)/scale*height)), minBarWidth)
 			y -= h
-			hint := formatCount(part.n) + " of " + formatCount(x.Total) + " " + part.class
+			hint := formatCount(part.n) + " of " + formatCount(point.Total) + " " + part.class
 			p.Boxes = append(p.Boxes, box{left, y, step - 2, h, part.class, hint})
 		}
 	}
@@ -264,6 +268,7 @@
 	return p
 }
 
+// badShare returns the share of bad requests in a time slice, from 0 to 1.
 func badShare(p burn.Point) float64 {
 	if p.Total == 0 {
 		return 0
@@ -271,14 +276,15 @@
 	return float64(p.Failed+p.Slow) / float64(p.Total)
 }
 
-// roundScale rounds a share up to 1, 2 or 5 of a power of ten, at most 1.
-func roundScale(x float64) float64 {
-	if x <= 0 {
+// roundScale rounds a share up to 1, 2 or 5 times a power of ten, at most 1. It returns
+// 0.01 for a share of 0.
+func roundScale(share float64) float64 {
+	if share <= 0 {
 		return 0.01
 	}
-	power := math.Pow(10, math.Floor(math.Log10(x)))
+	power := math.Pow(10, math.Floor(math.Log10(share)))
 	for _, step := range []float64{1, 2, 5, 10} {
-		if x <= step*power*(1+1e-9) {
+		if share <= step*power*(1+1e-9) {
 			return min(step*power, 1)
 		}
 	}
--- a/report/report.go
+++ b/report/report.go
@@ -1,10 +1,11 @@
-// Package report merges the accounts of nodes into one report that a manager
-// can read: who got what, what was refused and why, which upstreams were set
-// aside on what evidence, and how fast objectives burn.
+// Package report merges the access log snapshots of nodes into one report that a reader
+// without knowledge of the program understands: how each caller's requests ended, which
+// requests were refused and why, which upstreams were ejected on what evidence, and how fast
+// services spend their error budgets.
 //
-// Each node counts time by its own clock, so instants are turned into ages as
-// of the moment the node answered; the reporter's wall time stands only as the
-// report's date.
+// Each node measures time by its own clock, so the report converts instants into ages as of
+// the moment when the node answered. The wall time of the reporting machine is used only as
+// the report's date.
 package report
 
 import (
@@ -15,79 +16,83 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Format is the version of the report's JSON.
+// Format is the version of the report's JSON format.
 const Format = 1
 
-// Report is the merged account of the nodes asked.
+// Report is the merged report on the nodes that were queried.
 type Report struct {
 	Format int `json:"format"`
-	// AsOf is the reporter's wall time.
+	// AsOf is the wall time of the machine that made the report.
 	AsOf   time.Time     `json:"asof"`
 	Filter access.Filter `json:"filter"`
-	// Partial means that a node did not answer, so that every total may be
-	// too small.
+	// Partial means that a node did not answer, so that every total may be too small.
 	Partial bool `json:"partial"`
-	// TableNodes is how many nodes the upstreams' table names, so that a reader
-	// sees whether all of them were asked.
+	// TableNodes is the number of nodes that the upstreams in the nodes' tables belong to,
+	// so that a reader sees whether all of them were queried.
 	TableNodes int        `json:"named"`
 	Findings   []Finding  `json:"findings"`
 	Nodes      []Node     `json:"nodes"`
 	Requests   Requests   `json:"requests"`
 	Upstreams  []Upstream `json:"upstreams"`
-	// Totals says who got what, the largest first.
+	// Totals counts the finished requests by caller, service, upstream, outcome and reason,
+	// the largest first.
 	Totals []access.Total `json:"totals"`
-	// Callers says how exact each caller's totals are.
+	// Callers counts the requests of each caller, and how many the totals may miss.
 	Callers   []Caller   `json:"callers"`
 	Services  []Service  `json:"services"`
 	Refusals  []Refusal  `json:"refusals"`
 	Ejections []Ejection `json:"asides"`
 	Paths     []Path     `json:"paths"`
-	// Events is the newest first; those that Asides and Paths tell of are in
-	// it too.
+	// Events is sorted newest first. It includes the events that Ejections and Paths are
+	// made from.
 	Events []Event `json:"events"`
-	// Unserved holds single requests that were not served, the newest first.
+	// Unserved holds records of requests that were not served, the newest first.
 	Unserved []Record `json:"unserved"`
 	Burn     []Burn   `json:"burn"`
 }
 
-// Level says how much a finding matters.
+// Level is the severity of a finding.
 type Level string
 
-// The levels, the most pressing first.
+// The levels, the most severe first.
 const (
 	LevelBad   Level = "bad"
 	LevelWatch Level = "watch"
 	LevelNote  Level = "note"
 )
 
-// Finding is one sentence for a person who doesn't program.
+// Finding is a statement on the report in a sentence or two, for a reader who doesn't
+// program.
 type Finding struct {
 	Level Level  `json:"level"`
 	Text  string `json:"text"`
 }
 
-// Node is what a node that was asked answered.
+// Node describes a queried node and its answer.
 type Node struct {
-	// Address is the admin address that was asked.
+	// Address is the admin address that was queried.
 	Address string `json:"address"`
-	// Fault says why there is no answer; it is empty if there is one.
+	// Fault describes why there is no answer; it is empty if there is one.
 	Fault string `json:"fault"`
-	// Duplicate means that the node Name answered at another address too and
-	// was counted there.
+	// Duplicate means that the node Name also answered at another address and is counted
+	// there.
 	Duplicate bool   `json:"duplicate"`
 	Name      string `json:"name"`
-	Node      string `json:"node"`
-	Domain    string `json:"domain"`
-	Table     uint64 `json:"table"`
-	// Uptime is the span since the node started, Span how far its totals reach.
+	// Node is the node's link address.
+	Node   string `json:"node"`
+	Domain string `json:"domain"`
+	// Table is the version of the table in force, 0 if there is none.
+	Table uint64 `json:"table"`
+	// Uptime is the time since the node started, Span the time back to which its totals
+	// reach.
 	Uptime  clock.Millis   `json:"life"`
 	Span    clock.Millis   `json:"span"`
 	Open    uint64         `json:"open"`
 	Dropped access.Dropped `json:"dropped"`
 }
 
-// Requests counts requests. Received, Closed and Open are of the nodes' whole
-// lives and unfiltered; the others are the sums of Totals.
+// Requests counts requests. Received, Closed and Open count all requests since the nodes
+// started, without the filter; the outcomes are the sums of Totals.
 type Requests struct {
 	Received uint64 `json:"received"`
 	Closed   uint64 `json:"closed"`
@@ -95,16 +100,16 @@
 	Outcomes
 }
 
-// Outcomes counts accounts by outcome.
+// Outcomes counts finished requests by outcome.
 type Outcomes struct {
 	Served uint64 `json:"served"`
-	// Errors is how many of those served got an upstream's 5xx.
+	// Errors counts the served requests that got a 5xx status from an upstream.
 	Errors  uint64 `json:"errors"`
 	NotRun  uint64 `json:"notrun"`
 	Unknown uint64 `json:"unknown"`
 }
 
-// Sum returns the number of accounts.
+// Sum returns the number of finished requests.
 func (o *Outcomes) Sum() uint64 {
 	return o.Served + o.NotRun + o.Unknown
 }
@@ -123,23 +128,24 @@
 	}
 }
 
-// Upstream is an upstream's state, as its own gate has it or, if that didn't
-// answer, as the entries that did have it.
+// Upstream is an upstream's state as its own gate reports it or, if that gate's node didn't
+// answer, as the entries report it.
 type Upstream struct {
 	access.UpstreamState
 	Outcomes
 
-	// Mean is the mean span of the requests it served.
+	// Mean is the mean duration of the requests that it served.
 	Mean clock.Millis `json:"mean"`
-	// FromGate means that the state is from the upstream's own gate.
+	// FromGate means that the state comes from the upstream's own gate.
 	FromGate bool `json:"gate"`
-	// UnreachableFrom names the nodes that can't reach the upstream's node, of Views
-	// that answered.
+	// UnreachableFrom names the nodes that can't reach the upstream's node, out of
+	// NodesReporting.
 	UnreachableFrom []string `json:"lost"`
-	// ForcedBy names the nodes that use it although it is set aside, since the
-	// service's floor leaves them no choice.
-	ForcedBy       []string `json:"kept"`
-	NodesReporting int      `json:"views"`
+	// ForcedBy names the nodes that use the upstream although it is ejected, since the
+	// service's floor requires it.
+	ForcedBy []string `json:"kept"`
+	// NodesReporting is the number of nodes that sent a state of the upstream.
+	NodesReporting int `json:"views"`
 }
 
 // Caller counts a caller's requests.
@@ -147,12 +153,12 @@
 	Name string `json:"name"`
 	Outcomes
 
-	// Missed is how many more of its requests at most stand under
+	// Missed is the maximum number of further requests of the caller that are counted under
 	// access.Others.
 	Missed uint64 `json:"missed"`
-	// Upstreams is how many upstreams had its requests.
+	// Upstreams is the number of upstreams that got its requests.
 	Upstreams int `json:"upstreams"`
-	// Mean is the mean span of the requests that were served.
+	// Mean is the mean duration of the requests that were served.
 	Mean clock.Millis `json:"mean"`
 }
 
@@ -162,55 +168,57 @@
 	Outcomes
 }
 
-// Refusal counts the requests that were not served for one reason.
+// Refusal counts the requests of a service that were not served for one reason.
 type Refusal struct {
 	Service string         `json:"service"`
 	Outcome access.Outcome `json:"outcome"`
 	Reason  string         `json:"reason"`
-	// Meaning says the reason in words.
+	// Meaning describes the reason in words.
 	Meaning string `json:"meaning"`
 	Count   uint64 `json:"count"`
-	// CallerFault means that the caller is to answer for it, so that it burns none
-	// of the service's budget.
+	// CallerFault means that the caller is at fault, so that the requests don't spend the
+	// service's error budget.
 	CallerFault bool `json:"fault"`
 }
 
-// Ejection is one time that an upstream was set aside.
+// Ejection is one period for which a gate ejected its upstream.
 type Ejection struct {
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
-	// By is the node whose gate set it aside.
+	// By is the node whose gate ejected the upstream.
 	By string `json:"by"`
-	// Age is how long ago that was.
+	// Age is the time since the ejection began.
 	Age clock.Millis `json:"age"`
-	// State is set-aside, trial, ramp, relapsed or back.
+	// State is one of "set-aside", "trial", "ramp", "relapsed" and "back".
 	State string `json:"state"`
-	// Duration is how long it had no work, trials not counted.
+	// Duration is how long the upstream got no requests other than trials.
 	Duration clock.Millis `json:"out"`
-	// Trial, Ramp and Back are ages; each is -1 if it did not come to that. Of
-	// a relapsed one, Back is when it was set aside again.
+	// Trial, Ramp and Back are the times since the upstream entered these phases, -1 for a
+	// phase that it did not reach. If the upstream was ejected again, Back is the time since
+	// then.
 	Trial clock.Millis `json:"trial"`
 	Ramp  clock.Millis `json:"ramp"`
 	Back  clock.Millis `json:"back"`
-	// Remaining is how long the hold-off still lasts; 0 if it has no set end.
+	// Remaining is the time until the first trial; 0 if none is scheduled or trials have begun.
 	Remaining clock.Millis    `json:"left"`
 	Reason    string          `json:"reason"`
 	Evidence  access.Evidence `json:"evidence"`
-	// ForcedBy names the nodes that went on using it under the service's floor.
+	// ForcedBy names the nodes that kept using the upstream under the service's floor.
 	ForcedBy []string `json:"kept"`
 }
 
-// Path is one time that a node could not reach another.
+// Path is one period for which a node could not reach another.
 type Path struct {
-	From   string       `json:"from"`
-	To     string       `json:"to"`
+	From string `json:"from"`
+	To   string `json:"to"`
+	// Age is the time since the path was lost.
 	Age    clock.Millis `json:"age"`
 	Reason string       `json:"reason"`
-	// Back is the age of its end, -1 while it lasts.
+	// Back is the time since the path was restored, -1 while it is lost.
 	Back clock.Millis `json:"back"`
 }
 
-// Event is an event as the node By noted it.
+// Event is an event that the node By recorded.
 type Event struct {
 	By       string           `json:"by"`
 	Age      clock.Millis     `json:"age"`
@@ -219,14 +227,14 @@
 	Upstream string           `json:"upstream"`
 	Node     string           `json:"node"`
 	Reason   string           `json:"reason"`
-	// Remaining is how long a hold-off still lasts; 0 if it has no set end or is
-	// over.
+	// Remaining is the time until an ejected upstream is tried again; 0 if no trial is
+	// scheduled or its time has passed.
 	Remaining clock.Millis    `json:"left"`
 	Evidence  access.Evidence `json:"evidence"`
 }
 
-// Record is what became of one request, with its age since it ended and the
-// name of its entry.
+// Record describes how one request ended. Age is the time since its end, Entry the name of
+// the node that received it.
 type Record struct {
 	Entry    string         `json:"entry"`
 	Age      clock.Millis   `json:"age"`
@@ -245,7 +253,7 @@
 	Forced   bool           `json:"forced"`
 }
 
-// Burn is the burn of one service's objective.
+// Burn holds the error budgets and burn rates of one service's objective.
 type Burn struct {
 	Service   string           `json:"service"`
 	Objective access.Objective `json:"objective"`
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -15,10 +15,11 @@
 	"fuchsiapick.example/fuchsiapick/report"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// A change of the report's words, numbers or layout shows as a change of these
-// files, for a person to read before it lands.
+// Guards the report's texts, numbers and layout: a change shows as a difference in the golden
+// files, which is reviewed with the commit. Names of callers must not reach a terminal or a
+// browser with escape sequences or markup.
 func TestGolden(t *testing.T) {
 	r := report.Merge(results())
 	r.AsOf = time.Date(2026, 12, 2, 6, 30, 0, 0, time.UTC)
@@ -43,28 +44,29 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got.Bytes(), want) {
-				t.Errorf("got another report than %s; run with -update and read the difference:\n%s", file, difference(got.String(), string(want)))
+				t.Errorf("report differs from %s; run with -update and review the difference:\n%s", file, firstDifference(got.String(), string(want)))
 			}
 			if strings.ContainsRune(got.String(), '\x1b') || tt.name == "report.html" && strings.Contains(got.String(), "<script>") {
-				t.Error("got a caller's name as it is, want it harmless")
+				t.Error("got a caller's name unescaped, want control characters removed and markup escaped")
 			}
 		})
 	}
 }
 
-// difference returns the first line that differs.
-func difference(got, want string) string {
+// firstDifference returns the first line that differs, from both texts.
+func firstDifference(got, want string) string {
 	a, b := strings.Split(got, "\n"), strings.Split(want, "\n")
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
 			return "got  " + a[i] + "\nwant " + b[i]
 		}
 	}
-	return "one is longer"
+	return "one text is longer"
 }
 
-// Totals of a merged report must be the sums of the nodes' own.
-func TestMergeConserves(t *testing.T) {
+// Guards against requests that are lost or counted twice when snapshots are merged: totals of
+// the report must be the sums of the nodes' totals.
+func TestMergePreservesTotals(t *testing.T) {
 	all := results()
 	r := report.Merge(all)
 	want := all[0].Snapshot.Closed + all[1].Snapshot.Closed
@@ -77,19 +79,18 @@
 	}
 }
 
-// An operator names a node by two of its addresses. Its requests must not
-// stand in the report twice.
+// Guards against counting a node's requests twice if an operator lists two of its addresses.
 func TestMergeCountsNodeOnce(t *testing.T) {
-	one := palermoNode()
-	r := report.Merge([]report.NodeResult{{Address: "10.1.0.1:7302", Snapshot: &one}, {Address: "127.0.0.1:7302", Snapshot: &one}})
-	if r.Requests.Received != one.Received || r.Partial || !r.Nodes[1].Duplicate || r.Answered() != 1 {
-		t.Errorf("got %d received, partial %v, nodes %+v; want %d, whole, one a duplicate", r.Requests.Received, r.Partial, r.Nodes, one.Received)
+	snapshot := palermoNode()
+	r := report.Merge([]report.NodeResult{{Address: "10.1.0.1:7302", Snapshot: &snapshot}, {Address: "127.0.0.1:7302", Snapshot: &snapshot}})
+	if r.Requests.Received != snapshot.Received || r.Partial || !r.Nodes[1].Duplicate || r.Answered() != 1 {
+		t.Errorf("got %d received, partial %v, nodes %+v; want %d, not partial, one duplicate", r.Requests.Received, r.Partial, r.Nodes, snapshot.Received)
 	}
 }
 
-// What a manager takes for sick must be sick: a lost path, a leaving upstream
-// and one over its limit are told in other words.
-func TestFindingsTellApart(t *testing.T) {
+// Guards against findings that call a healthy upstream sick: an upstream that is leaving, has
+// weight 0 or is over its limit is out of use for another reason.
+func TestFindingsDistinguishStates(t *testing.T) {
 	tests := []struct {
 		name  string
 		state string
@@ -117,14 +118,14 @@
 	}
 }
 
-// A caller that a node no longer keeps apart may have made requests there: the
-// report must say how many at most, and not that there were none.
-func TestMissedCallersAddUp(t *testing.T) {
+// Guards against reporting no requests for a caller that nodes no longer count apart: the
+// report must give the maximum number of its requests, summed over the nodes.
+func TestMissedRequestsAreSummed(t *testing.T) {
 	all := make([]report.NodeResult, 0, 2)
 	for _, link := range []string{palermo, catania} {
 		n := &node{Log: access.New(access.Config{Callers: 1})}
-		n.close(3, served("hotel-aretusa", "bacheca", "bacheca-1", 40))
-		n.close(1, served("clinica-etna", "bacheca", "bacheca-1", 40))
+		n.finishRequests(3, served("hotel-aretusa", "bacheca", "bacheca-1", 40))
+		n.finishRequests(1, served("clinica-etna", "bacheca", "bacheca-1", 40))
 		s := n.Snapshot(n.now, access.Filter{Caller: "hotel-aretusa"})
 		s.Node = link
 		all = append(all, report.NodeResult{Snapshot: &s})
@@ -135,8 +136,8 @@
 	}
 }
 
-// An operator asks one node of a fleet: the report is whole, and must not look
-// like the fleet's.
+// Guards against a report on one node that looks like a report on the fleet: all queried
+// nodes answered, so the report isn't partial, but the table names more nodes.
 func TestFindingsNameNodesNotAsked(t *testing.T) {
 	r := report.Merge(results()[:1])
 	const want = "The table names 3 nodes; this report is of 1 of them"
@@ -145,7 +146,7 @@
 	}
 }
 
-// BenchmarkMerge gives the cost of a report over growing numbers of nodes.
+// BenchmarkMerge measures the cost of a report by the number of nodes.
 func BenchmarkMerge(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 2400} {
 		b.Run(strconv.Itoa(nodes), func(b *testing.B) {
--- a/report/sheet.go
+++ b/report/sheet.go
@@ -8,35 +8,35 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Bounds on the rows of a table for people; JSON has all.
+// Limits on the rows of a table in text and HTML; the JSON report has all rows.
 const (
 	maxRows = 40
-	// maxLatestRows is for tables of single requests and events.
+	// maxLatestRows is the limit for tables of single requests and of events.
 	maxLatestRows = 20
 )
 
-// column is a heading. Numbers are set to the right; only long texts are
-// broken into lines.
+// column is a column's heading and layout. Numbers are aligned to the right; only columns
+// that are Long are wrapped.
 type column struct {
 	Name   string
 	Number bool
 	Long   bool
 }
 
-// sheet is one table for people, the same in text and in HTML.
+// sheet is one table of the report, with the same content in text and in HTML.
 type sheet struct {
 	Title string
-	// Note says in a sentence how to read the table.
+	// Note explains in a sentence how to read the table.
 	Note    string
 	Columns []column
 	Rows    [][]string
-	// Empty stands in place of a table without rows.
+	// Empty is shown in place of a table without rows.
 	Empty string
-	// Left is how many rows are not shown.
+	// Left is the number of rows that are not shown.
 	Left int
 }
 
-// Short tells whether the table should stay on one printed page.
+// Short reports whether the table should stay on one printed page.
 func (s sheet) Short() bool { return len(s.Rows) <= maxLatestRows }
 
 func textColumn(name string) column { return column{Name: name} }
@@ -45,10 +45,10 @@
 
 func numberColumn(name string) column { return column{Name: name, Number: true} }
 
-// limitRows bounds the rows shown, and takes control characters out of them.
-func (s sheet) limitRows(most int) sheet {
-	if over := len(s.Rows) - most; over > 0 {
-		s.Rows, s.Left = s.Rows[:most], over
+// limitRows keeps the first limit rows, and strips control characters from their cells.
+func (s sheet) limitRows(limit int) sheet {
+	if excess := len(s.Rows) - limit; excess > 0 {
+		s.Rows, s.Left = s.Rows[:limit], excess
 	}
 	for _, row := range s.Rows {
 		for i := range row {
@@ -58,7 +58,8 @@
 	return s
 }
 
-// sheets returns the report's tables in the order that people read them.
+// sheets returns the report's tables in the order in which they are shown. If no node
+// answered, it returns only the table of nodes.
 func (r *Report) sheets() []sheet {
 	if r.Answered() == 0 {
 		return []sheet{r.nodeSheet().limitRows(maxRows)}
@@ -92,8 +93,9 @@
 	return s
 }
 
-// formatUpstreamState says an upstream's state, and beside it what only entries
-// know: from where its node can't be reached, and who keeps using it.
+// formatUpstreamState describes an upstream's state, and adds what only entries know: how
+// many nodes can't reach the upstream's node, and how many keep using the upstream under
+// the floor.
 func formatUpstreamState(u Upstream) string {
 	text := formatState(u.State)
 	if len(u.ForcedBy) > 0 && u.State != access.StateForced {
@@ -108,8 +110,8 @@
 	return text
 }
 
-// totalSheet is who got what. Refusals that one upstream's gate gave stand
-// with that upstream.
+// totalSheet lists the merged totals. A refusal by an upstream's gate is listed with that
+// upstream.
 func (r *Report) totalSheet() sheet {
 	s := sheet{
 		Title: "Who got what",
@@ -151,12 +153,12 @@
 		Empty: "No request was refused or has an unknown outcome.",
 	}
 	for _, f := range r.Refusals {
-		who := "the service"
+		responsible := "the service"
 		if f.CallerFault {
-			who = "the caller"
+			responsible = "the caller"
 		}
 		s.Rows = append(s.Rows, []string{
-			cmp.Or(f.Service, "(no service)"), formatOutcome(f.Outcome), f.Meaning, formatCount(f.Count), who,
+			cmp.Or(f.Service, "(no service)"), formatOutcome(f.Outcome), f.Meaning, formatCount(f.Count), responsible,
 		})
 	}
 	return s
@@ -172,14 +174,14 @@
 		},
 		Empty: "No upstream was set aside in the time that the nodes remember.",
 	}
-	for _, a := range r.Ejections {
-		now := formatState(a.State)
-		if a.Remaining > 0 {
-			now += ", tried again in " + formatDuration(a.Remaining)
+	for _, e := range r.Ejections {
+		now := formatState(e.State)
+		if e.Remaining > 0 {
+			now += ", tried again in " + formatDuration(e.Remaining)
 		}
 		s.Rows = append(s.Rows, []string{
-			a.Service, a.Upstream, a.By, formatAge(a.Age), formatEvidence(a.Evidence, a.Reason),
-			formatScore(a.Evidence), formatDuration(a.Duration), now, cmp.Or(joinNames(a.ForcedBy), "nobody"),
+			e.Service, e.Upstream, e.By, formatAge(e.Age), formatEvidence(e.Evidence, e.Reason),
+			formatScore(e.Evidence), formatDuration(e.Duration), now, cmp.Or(joinNames(e.ForcedBy), "nobody"),
 		})
 	}
 	return s
@@ -197,11 +199,11 @@
 		Empty:   "No path was lost in the time that the nodes remember.",
 	}
 	for _, p := range r.Paths {
-		lasted, now := p.Age, "still lost"
+		duration, now := p.Age, "still lost"
 		if p.Back != noAge {
-			lasted, now = p.Age-p.Back, "back "+formatAge(p.Back)
+			duration, now = p.Age-p.Back, "back "+formatAge(p.Back)
 		}
-		s.Rows = append(s.Rows, []string{p.From, p.To, formatAge(p.Age), formatDuration(lasted), now})
+		s.Rows = append(s.Rows, []string{p.From, p.To, formatAge(p.Age), formatDuration(duration), now})
 	}
 	return s
 }
--- a/report/text.go
+++ b/report/text.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// Text writes the report for a terminal.
+// Text writes the report as plain text for a terminal.
 func (r *Report) Text(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	p := &printer{out: out}
@@ -31,21 +31,22 @@
 	return errors.Annotate(out.Flush(), "writing the report")
 }
 
-// levelMarks stand before findings, so that a level shows without colour.
+// levelMarks holds the prefixes of findings that show their level without colour.
 var levelMarks = map[Level]string{LevelBad: "!!", LevelWatch: " !", LevelNote: "  "}
 
 func (r *Report) date() string {
 	return r.AsOf.UTC().Format(time.RFC1123)
 }
 
-// JSON writes the report for programs.
+// JSON writes the report as indented JSON for programs.
 func (r *Report) JSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return errors.Annotate(encoder.Encode(r), "writing the report")
 }
 
-// printer writes text whose errors the buffer keeps for its Flush.
+// printer writes lines of text. It ignores write errors, since the buffered writer keeps
+// the first one and returns it from Flush.
 type printer struct {
 	out *bufio.Writer
 }
@@ -54,6 +55,7 @@
 	_, _ = p.out.WriteString(strings.Join(parts, "") + "\n")
 }
 
+// sheet writes a table with aligned columns.
 func (p *printer) sheet(s sheet) {
 	p.line()
 	p.line(strings.ToUpper(s.Title))
@@ -67,11 +69,11 @@
 	var grid bytes.Buffer
 	table := tabwriter.NewWriter(&grid, 0, 0, 2, ' ', 0)
 	widths := s.widths()
-	head := make([]string, len(s.Columns))
+	headings := make([]string, len(s.Columns))
 	for i, c := range s.Columns {
-		head[i] = c.Name
+		headings[i] = c.Name
 	}
-	for _, row := range append([][]string{head}, s.Rows...) {
+	for _, row := range append([][]string{headings}, s.Rows...) {
 		var text strings.Builder
 		for i, c := range row {
 			text.WriteString("  ")
@@ -92,6 +94,7 @@
 	}
 }
 
+// widths returns the width in runes of each column's widest cell or heading.
 func (s *sheet) widths() []int {
 	widths := make([]int, len(s.Columns))
 	for i, c := range s.Columns {
--- a/report/upstreams.go
+++ b/report/upstreams.go
@@ -8,30 +8,31 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// StateGone is the state of an upstream that had requests and that no node's
-// table names.
+// StateGone is the state of an upstream that got requests but is in no node's table.
 const StateGone = "gone"
 
-// upstreamKey names an upstream among all services.
+// upstreamKey identifies an upstream among those of all services.
 type upstreamKey struct {
 	service string
 	name    string
 }
 
-// upstreamSum gathers what nodes say of one upstream.
+// upstreamSum accumulates what the nodes report on one upstream.
 type upstreamSum struct {
 	Upstream
 
-	took clock.Millis
-	seen bool
+	// servedTime is the summed duration of the requests that the upstream served.
+	servedTime clock.Millis
+	// hasView is set once a node's view of the upstream was added.
+	hasView bool
 }
 
-// mergeUpstreams takes each upstream's state from its own gate, which sees all
-// its outcomes. What only entries can tell, that they can't reach it, stands
-// beside that state: it is about the path, not about the upstream.
+// mergeUpstreams takes each upstream's state from its own gate, which sees all its outcomes.
+// That an entry can't reach the upstream is kept apart from this state, since it concerns
+// the path and not the upstream.
 func (m *merger) mergeUpstreams() {
 	sums := make(map[upstreamKey]*upstreamSum)
-	at := func(service, name string) *upstreamSum {
+	sumOf := func(service, name string) *upstreamSum {
 		key := upstreamKey{service, name}
 		if sums[key] == nil {
 			sums[key] = &upstreamSum{Upstream: Upstream{
@@ -41,30 +42,30 @@
 		}
 		return sums[key]
 	}
-	named := make(map[string]bool)
+	tableNodes := make(map[string]bool)
 	for _, s := range m.snapshots {
 		for _, u := range s.Upstreams {
-			named[u.Node] = true
+			tableNodes[u.Node] = true
 			if s.Filter.MatchesUpstream(u) {
-				at(u.Service, u.Name).addView(s, u)
+				sumOf(u.Service, u.Name).addView(s, u)
 			}
 		}
 	}
-	m.report.TableNodes = len(named)
+	m.report.TableNodes = len(tableNodes)
 	for _, t := range m.report.Totals {
 		if t.Upstream == "" || t.Upstream == access.Others {
 			continue
 		}
-		u := at(t.Service, t.Upstream)
+		u := sumOf(t.Service, t.Upstream)
 		u.add(&t)
 		if t.Outcome == access.Served {
-			u.took += t.Took
+			u.servedTime += t.Took
 		}
 	}
 	for _, u := range sums {
 		u.Node = m.nodeName(u.Node)
 		if u.Served > 0 {
-			u.Mean = u.took / clock.Millis(u.Served)
+			u.Mean = u.servedTime / clock.Millis(u.Served)
 		}
 		m.report.Upstreams = append(m.report.Upstreams, u.Upstream)
 	}
@@ -73,27 +74,29 @@
 	})
 }
 
-// addView takes in one node's view.
+// addView adds one node's view of the upstream. The view of the upstream's own gate wins;
+// without it, a view from a node that reaches the upstream wins over one that doesn't, and
+// among these the one with the highest severity.
 func (u *upstreamSum) addView(s *access.Snapshot, state access.UpstreamState) {
 	u.NodesReporting++
-	lost := state.State == access.StateUnreachable
-	if lost {
+	unreachable := state.State == access.StateUnreachable
+	if unreachable {
 		u.UnreachableFrom = append(u.UnreachableFrom, s.Name)
 	}
 	if state.State == access.StateForced {
 		u.ForcedBy = append(u.ForcedBy, s.Name)
 	}
-	gate := s.Node != "" && s.Node == state.Node
-	better := !u.seen || u.State == access.StateUnreachable && !lost || !lost && state.Severity > u.Severity
-	if gate || !u.FromGate && better {
+	isGate := s.Node != "" && s.Node == state.Node
+	better := !u.hasView || u.State == access.StateUnreachable && !unreachable || !unreachable && state.Severity > u.Severity
+	if isGate || !u.FromGate && better {
 		u.UpstreamState = state
-		u.FromGate = gate
+		u.FromGate = isGate
 	}
-	u.seen = true
+	u.hasView = true
 }
 
-// upstreamLabel names an upstream for people: by its service too if another service
-// has one of the same name.
+// upstreamLabel returns the name under which an upstream is shown. It includes the service
+// if another service has an upstream of the same name.
 func (r *Report) upstreamLabel(service, upstream string) string {
 	for _, u := range r.Upstreams {
 		if u.Name == upstream && u.Service != service {
