--- a/report/findings.go
+++ b/report/findings.go
@@ -49,7 +49,8 @@
 	f.findings = append(f.findings, Finding{Level: level, Text: stripControl(strings.Join(parts, ""))})
 }
 
-// addOverflow adds a finding with the number of those that maxPerKind leaves out of total.
+// addOverflow adds a finding with the number of findings that were left out, if total is more
+// than maxPerKind.
 func (f *findingsBuilder) addOverflow(total int, what string) {
 	if total > maxPerKind {
 		f.add(LevelWatch, "There are ", formatCount(total-maxPerKind), " more ", what, "; the tables have them.")
--- a/report/history.go
+++ b/report/history.go
@@ -19,10 +19,10 @@
 	open := make(map[upstreamKey]int)
 	for _, e := range slices.Backward(events) {
 		key := upstreamKey{e.Service, e.Upstream}
-		i, ok := open[key]
+		index, ok := open[key]
 		if e.Kind == access.Ejected {
 			if ok {
-				found[i].reeject(e)
+				found[index].reeject(e)
 			}
 			open[key] = len(found)
 			found = append(found, newEjection(e))
@@ -31,7 +31,7 @@
 		if !ok {
 			continue
 		}
-		found[i].apply(e)
+		found[index].apply(e)
 		if e.Kind == access.Restored {
 			delete(open, key)
 		}
@@ -98,13 +98,13 @@
 	open := make(map[nodePair]int)
 	for _, e := range slices.Backward(events) {
 		key := nodePair{e.By, e.Node}
-		i, ok := open[key]
+		index, ok := open[key]
 		switch {
 		case e.Kind == access.PathLost && !ok:
 			open[key] = len(found)
 			found = append(found, Path{From: e.By, To: e.Node, Age: e.Age, Reason: e.Reason, Back: noAge})
 		case e.Kind == access.PathRestored && ok:
-			found[i].Back = e.Age
+			found[index].Back = e.Age
 			delete(open, key)
 		}
 	}
--- a/report/plot.go
+++ b/report/plot.go
@@ -123,8 +123,8 @@
 	for _, e := range r.Ejections {
 		oldest = max(oldest, e.Age)
 	}
-	for _, p := range r.Paths {
-		oldest = max(oldest, p.Age)
+	for _, path := range r.Paths {
+		oldest = max(oldest, path.Age)
 	}
 	axis := timeAxis{oldest: oldest + oldest/20 + 1}
 	rows := make(map[string]int)
@@ -147,9 +147,9 @@
 			p.Boxes = append(p.Boxes, axis.box(phase.from, phase.to, y, phase.class, hint))
 		}
 	}
-	for _, x := range r.Paths {
-		y := row(x.From + " to " + x.To)
-		p.Boxes = append(p.Boxes, axis.box(x.Age, max(x.Back, 0), y, "path", "path lost"))
+	for _, path := range r.Paths {
+		y := row(path.From + " to " + path.To)
+		p.Boxes = append(p.Boxes, axis.box(path.Age, max(path.Back, 0), y, "path", "path lost"))
 	}
 	p.Labels = append(p.Labels, axis.labels(p.Height+textOffset)...)
 	p.Height += rowHeight
--- a/report/report.go
+++ b/report/report.go
@@ -153,8 +153,8 @@
 	Name string `json:"name"`
 	Outcomes
 
-	// Missed is the maximum number of further requests of the caller that are counted under
-	// access.Others.
+	// Missed is the maximum number of the caller's requests that may be counted under
+	// access.Others, in addition to its outcomes.
 	Missed uint64 `json:"missed"`
 	// Upstreams is the number of upstreams that got its requests.
 	Upstreams int `json:"upstreams"`
--- a/report/upstreams.go
+++ b/report/upstreams.go
@@ -28,8 +28,8 @@
 }
 
 // mergeUpstreams takes each upstream's state from its own gate, which sees all its outcomes.
-// That an entry can't reach the upstream is kept apart from this state, since it concerns
-// the path and not the upstream.
+// Nodes that can't reach the upstream are listed apart from this state, since they report on
+// the path and not on the upstream.
 func (m *merger) mergeUpstreams() {
 	sums := make(map[upstreamKey]*upstreamSum)
 	sumOf := func(service, name string) *upstreamSum {
