--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what a node does, for scraping in the Prometheus text
-// format. Label sets are bounded by the tables of a node's life: services,
-// upstreams, outcomes and reasons; callers are never labels.
+// Package metrics exposes a node's metrics in the Prometheus text format. The label values
+// are services, upstreams, outcomes and reasons, so that the tables that a node has had in
+// force bound the number of series; callers are never labels.
 package metrics
 
 import (
@@ -19,22 +19,22 @@
 
 const namespace = "fuchsiapick"
 
-// Recorder is the account of requests that is counted along.
+// Recorder records requests and events. Set passes on to it what it counts.
 type Recorder interface {
 	RequestReceived()
 	RequestFinished(now clock.Millis, r access.Record)
 	RecordEvent(e access.Event)
 }
 
-// State is what is read anew at each scrape.
+// State provides the node's state, which is read at each scrape.
 type State interface {
 	States() []access.UpstreamState
 	Version() uint64
 	InFlight() int
 }
 
-// Config configures a Set. Book and State are required; what else is left out
-// is not exposed.
+// Config configures a Set. Recorder and State are required. The metrics of any other field
+// that is left out are not exposed.
 type Config struct {
 	Recorder  Recorder
 	State     State
@@ -44,11 +44,13 @@
 	Gates     Gates
 	Quotas    Quotas
 	LogDrops  LogDrops
-	// Requests bounds callers' concurrent requests, as the settings have it.
+	// Requests is the maximum number of concurrent requests from callers, as set in the
+	// settings.
 	Requests int
 }
 
-// Set wraps a Book and counts what passes. It is safe for concurrent use.
+// Set wraps a Recorder and counts the requests and events that it passes on. It is safe for
+// concurrent use.
 type Set struct {
 	config      Config
 	registry    *prometheus.Registry
@@ -57,13 +59,13 @@
 	attempts    *prometheus.CounterVec
 	requestTime *prometheus.HistogramVec
 	waitTime    *prometheus.HistogramVec
-	notRetried  *prometheus.CounterVec // not sent again
+	notRetried  *prometheus.CounterVec
 	events      *prometheus.CounterVec
 	refusals    *prometheus.CounterVec
 	services    *serviceCounters
 }
 
-// New returns a set with its registry.
+// New returns a set with a registry of its own.
 func New(c Config) *Set {
 	s := &Set{
 		config:   c,
@@ -111,13 +113,14 @@
 	for _, kind := range eventKinds {
 		s.events.WithLabelValues(string(kind))
 	}
-	// A full node refuses before it knows the service.
+	// A node at its request limit refuses a request before it knows the service, so this
+	// series has empty labels for service and upstream.
 	s.requests.WithLabelValues("", "", string(access.NotRun), access.ReasonBusy)
 	return s
 }
 
-// eventKinds of events are counted from 0 on: an alert on the first table that is
-// rejected needs a series that was there before.
+// eventKinds holds the kinds of events whose series start at 0. Without an earlier value, an
+// alert would miss the first rejected table.
 var eventKinds = []access.EventKind{
 	access.Ejected, access.Trial, access.Ramp, access.Restored, access.ForcedUnderFloor,
 	access.PathLost, access.PathRestored, access.Crashed, access.Quarantined, access.Released, access.Leaving,
@@ -125,7 +128,7 @@
 	access.PlatformLost, access.PlatformRestored,
 }
 
-// Handler serves the metrics over HTTP.
+// Handler returns the HTTP handler that serves the metrics.
 func (s *Set) Handler() fasthttp.RequestHandler {
 	return fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}))
 }
@@ -136,7 +139,7 @@
 	s.config.Recorder.RequestReceived()
 }
 
-// RequestFinished counts a request that was answered.
+// RequestFinished counts a request that was answered at now.
 func (s *Set) RequestFinished(now clock.Millis, r access.Record) {
 	s.requests.WithLabelValues(r.Service, r.Upstream, string(r.Outcome), r.Reason).Inc()
 	s.attempts.WithLabelValues(r.Service).Add(float64(r.Attempts))
@@ -157,20 +160,21 @@
 	s.config.Recorder.RecordEvent(e)
 }
 
-// RecordRefusal counts a dispatch that a gate beside this node refused to run.
+// RecordRefusal counts a dispatch that a gate of this node refused to run.
 func (s *Set) RecordRefusal(service, upstream string, reason wire.Reason) {
 	s.refusals.WithLabelValues(service, upstream, string(reason)).Inc()
 }
 
-// SetServices takes the table in force: the objectives that requests are judged
-// by from now on. Series of services that it no longer names vanish.
+// SetServices sets the services of the table in force, whose objectives apply to requests
+// from now on. It deletes the series of services that the table no longer names.
 func (s *Set) SetServices(services []table.Service) {
 	for i := range services {
-		// An alert on a spent budget needs a series that was there before.
+		// An alert on a spent retry budget would miss the first request without an earlier
+		// value of the series.
 		s.notRetried.WithLabelValues(services[i].Name, string(retry.NoBudget))
 	}
-	for _, gone := range s.services.set(services) {
-		labels := prometheus.Labels{"service": gone}
+	for _, removed := range s.services.setServices(services) {
+		labels := prometheus.Labels{"service": removed}
 		s.requests.DeletePartialMatch(labels)
 		s.attempts.DeletePartialMatch(labels)
 		s.requestTime.DeletePartialMatch(labels)
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -25,10 +25,10 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// fake is a node with an upstream in each state.
-type fake struct{}
+// fakeNode implements all sources of metrics. It has an upstream in each state.
+type fakeNode struct{}
 
-func (fake) States() []access.UpstreamState {
+func (fakeNode) States() []access.UpstreamState {
 	states := []string{
 		access.StateInUse, access.StateEjected, access.StateTrial, access.StateRamp, access.StateForced,
 		access.StateUnreachable, access.StateLeaving, access.StateOff, access.StateOverLimit, access.StateUnknown,
@@ -40,7 +40,7 @@
 	return all
 }
 
-func (fake) GateStates() []metrics.GateState {
+func (fakeNode) GateStates() []metrics.GateState {
 	var all []metrics.GateState
 	for _, v := range []health.State{health.InUse, health.Ejected, health.Trial, health.Ramp} {
 		all = append(all, metrics.GateState{Service: "conferme", Upstream: v.String(), Verdict: v, Slots: 3, Queue: 6})
@@ -48,44 +48,46 @@
 	return append(all, metrics.GateState{Service: "conferme", Upstream: "gone", Verdict: health.Ejected, Leaving: true})
 }
 
-func (fake) PlatformStats() metrics.PlatformStats {
+func (fakeNode) PlatformStats() metrics.PlatformStats {
 	return metrics.PlatformStats{
 		Answered: metrics.CallStats{Count: 7, Bytes: 900, Took: 70}, Failed: metrics.CallStats{Count: 2, Bytes: 80, Took: 1400},
 		UpdatesReceived: 30, Revision: 7, IsKnown: true, Age: 400, Lag: 900, LateChanges: 1,
 	}
 }
 
-func (fake) QuotaCounts() metrics.QuotaCounts {
+func (fakeNode) QuotaCounts() metrics.QuotaCounts {
 	return metrics.QuotaCounts{Granted: 9, Refused: 3, Alone: 2, Unknown: 1}
 }
 
-func (fake) Dropped() (busy, rate uint64) { return 1, 2 }
+func (fakeNode) Dropped() (busy, rate uint64) { return 1, 2 }
 
-func (fake) Version() uint64          { return 7 }
-func (fake) InFlight() int            { return 2 }
-func (fake) Ready() bool              { return true }
-func (fake) Links() metrics.LinkCount { return metrics.LinkCount{Peers: 8, Dialled: 5, Accepted: 4} }
+func (fakeNode) Version() uint64 { return 7 }
+func (fakeNode) InFlight() int   { return 2 }
+func (fakeNode) Ready() bool     { return true }
+func (fakeNode) Links() metrics.LinkCount {
+	return metrics.LinkCount{Peers: 8, Dialled: 5, Accepted: 4}
+}
 
-var serviceCounters = []table.Service{{
+var services = []table.Service{{
 	Name: "conferme", Objective: table.Objective{Availability: 0.999, Latency: 500, LatencyRatio: 0.99},
 }}
 
-// newSet returns a set with every source.
-func newSet(book metrics.Recorder) *metrics.Set {
+// newSet returns a set with all sources and one service.
+func newSet(recorder metrics.Recorder) *metrics.Set {
 	s := metrics.New(metrics.Config{
-		Recorder: book, State: fake{}, Readiness: fake{}, Platform: fake{}, Links: fake{}, Gates: fake{}, Quotas: fake{}, LogDrops: fake{}, Requests: 4096,
+		Recorder: recorder, State: fakeNode{}, Readiness: fakeNode{}, Platform: fakeNode{}, Links: fakeNode{}, Gates: fakeNode{}, Quotas: fakeNode{}, LogDrops: fakeNode{}, Requests: 4096,
 	})
-	s.SetServices(serviceCounters)
+	s.SetServices(services)
 	return s
 }
 
-// wholeSet returns a set that has counted a request with each outcome and
-// reason, and each reason of a gate.
-func wholeSet(t *testing.T) *metrics.Set {
+// populatedSet returns a set that has counted a request for each pair of an outcome and a
+// reason, and a refusal for each reason.
+func populatedSet(t *testing.T) *metrics.Set {
 	t.Helper()
 	s := newSet(access.New(access.Config{}))
 	for _, outcome := range []access.Outcome{access.Served, access.NotRun, access.Unknown} {
-		for _, reason := range append(constants(t, "../access", "Reason"), constants(t, "../wire", "Reason")...) {
+		for _, reason := range append(constantValues(t, "../access", "Reason"), constantValues(t, "../wire", "Reason")...) {
 			s.RequestReceived()
 			s.RequestFinished(0, access.Record{Service: "conferme", Outcome: outcome, Reason: reason, Attempts: 1, NoRetry: "budget"})
 			s.RecordRefusal("conferme", "at-in-use", wire.Reason(reason))
@@ -94,7 +96,7 @@
 	return s
 }
 
-// scrape reads the exposition text as a store would.
+// scrape requests the metrics and parses the text as Prometheus does.
 func scrape(t interface{ Fatal(args ...any) }, s *metrics.Set) map[string]*dto.MetricFamily {
 	var ctx fasthttp.RequestCtx
 	ctx.Request.Header.SetMethod(fasthttp.MethodGet)
@@ -107,8 +109,9 @@
 	return families
 }
 
-// value returns that of the one series with the labels, given as name=value.
-func value(t interface{ Fatal(args ...any) }, families map[string]*dto.MetricFamily, name string, labels ...string) float64 {
+// seriesValue returns the value of the counter or gauge with exactly these labels, given as
+// name=value in the order of names. It fails the test if there is no such series.
+func seriesValue(t interface{ Fatal(args ...any) }, families map[string]*dto.MetricFamily, name string, labels ...string) float64 {
 	for _, m := range families[name].GetMetric() {
 		var text []string
 		for _, l := range m.GetLabel() {
@@ -122,9 +125,9 @@
 	return 0
 }
 
-// constants returns the values of a package's constants whose names begin with
-// the prefix, or whose type it is.
-func constants(t *testing.T, dir, prefix string) []string {
+// constantValues returns the values of the constants in a package's directory whose name
+// begins with the prefix or whose type has the prefix as its name.
+func constantValues(t *testing.T, dir, prefix string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -155,43 +158,45 @@
 	return found
 }
 
-// A table is rejected and nobody is told: the series appeared with its first
-// event, and a store sees no increase in the first value of a series. The
-// cause: an event's kind that was added without a counter that begins at 0.
+// Guards against an alert that misses the first event of a kind, such as a rejected table. A
+// series that appears with its first event shows no increase to Prometheus; this happens if
+// a new kind of event is not in the list of counters that start at 0.
 func TestSeriesBeginAtZero(t *testing.T) {
 	families := scrape(t, newSet(access.New(access.Config{})))
-	kinds := constants(t, "../access", "EventKind")
+	kinds := constantValues(t, "../access", "EventKind")
 	if len(kinds) < 13 {
 		t.Fatalf("got %d kinds of events, want 13 or more", len(kinds))
 	}
 	for _, kind := range kinds {
-		if got := value(t, families, "fuchsiapick_events_total", "kind="+kind); got != 0 {
+		if got := seriesValue(t, families, "fuchsiapick_events_total", "kind="+kind); got != 0 {
 			t.Errorf("%s: got %v, want 0", kind, got)
 		}
 	}
-	if got := value(t, families, "fuchsiapick_requests_total", "outcome=not-run", "reason=node-busy", "service=", "upstream="); got != 0 {
+	if got := seriesValue(t, families, "fuchsiapick_requests_total", "outcome=not-run", "reason=node-busy", "service=", "upstream="); got != 0 {
 		t.Errorf("node-busy: got %v, want 0", got)
 	}
 	for _, outcome := range []string{"served", "not-run", "unknown"} {
-		if got := value(t, families, "fuchsiapick_outcomes_total", "outcome="+outcome, "service=conferme"); got != 0 {
+		if got := seriesValue(t, families, "fuchsiapick_outcomes_total", "outcome="+outcome, "service=conferme"); got != 0 {
 			t.Errorf("%s: got %v, want 0", outcome, got)
 		}
 	}
 }
 
-var gauges = []string{
+// scrapedGauges holds the metrics with labels of services that are read from the node at each
+// scrape.
+var scrapedGauges = []string{
 	"fuchsiapick_upstream_state", "fuchsiapick_upstream_severity",
 	"fuchsiapick_gate_verdict", "fuchsiapick_gate_requests", "fuchsiapick_gate_bound", "fuchsiapick_gate_retries", "fuchsiapick_gate_retry_bound",
 }
 
-// A service that the table no longer names must not stay in every scrape for
-// as long as the node lives.
-func TestServicesThatAreGoneVanish(t *testing.T) {
-	s := wholeSet(t)
+// Guards against series of services that the table no longer names: they would be exposed
+// until the node restarts.
+func TestRemovedServicesLoseTheirSeries(t *testing.T) {
+	s := populatedSet(t)
 	s.SetServices(nil)
 	for name, family := range scrape(t, s) {
-		if slices.Contains(gauges, name) {
-			continue // read anew from the node
+		if slices.Contains(scrapedGauges, name) {
+			continue // the fake node still has the service
 		}
 		for _, m := range family.GetMetric() {
 			if strings.Contains(m.String(), `"conferme"`) {
@@ -201,14 +206,14 @@
 	}
 }
 
-// An alert wakes somebody, and the report says that all is well: the two judge
-// requests in two places, and one of them was changed.
-func TestAlertsAndReportCountAlike(t *testing.T) {
-	reasons := append(constants(t, "../access", "Reason"), constants(t, "../wire", "Reason")...)
+// Guards against alerts that contradict the report. The metrics and the access log classify
+// requests in separate code, of which only one may get changed.
+func TestAlertsAndReportCountSameRequests(t *testing.T) {
+	reasons := append(constantValues(t, "../access", "Reason"), constantValues(t, "../wire", "Reason")...)
 	rapid.Check(t, func(t *rapid.T) {
-		book := access.New(access.Config{})
-		s := newSet(book)
-		book.SetServices(serviceCounters)
+		recorder := access.New(access.Config{})
+		s := newSet(recorder)
+		recorder.SetServices(services)
 		for range rapid.IntRange(1, 50).Draw(t, "requests") {
 			s.RequestReceived()
 			s.RequestFinished(clock.Second, access.Record{
@@ -220,7 +225,7 @@
 			})
 		}
 		var want burn.Window
-		for _, b := range book.Snapshot(2*clock.Second, access.Filter{}).Burn {
+		for _, b := range recorder.Snapshot(2*clock.Second, access.Filter{}).Burn {
 			want = b.Windows[0]
 		}
 		families := scrape(t, s)
@@ -233,7 +238,7 @@
 			{"objective_requests_total", "latency", want.Good()},
 			{"objective_bad_total", "latency", want.Slow},
 		} {
-			got := value(t, families, "fuchsiapick_"+test.name, "promise="+test.promise, "service=conferme")
+			got := seriesValue(t, families, "fuchsiapick_"+test.name, "promise="+test.promise, "service=conferme")
 			if got != float64(test.want) {
 				t.Errorf("%s of %s: got %v, want %d", test.name, test.promise, got, test.want)
 			}
--- a/metrics/node.go
+++ b/metrics/node.go
@@ -8,31 +8,34 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// Readiness tells whether the node takes callers' requests.
+// Readiness reports whether the node accepts callers' requests.
 type Readiness interface {
 	Ready() bool
 }
 
-// Platform tells how reading the platform's values goes.
+// Platform provides statistics on reading the platform's values.
 type Platform interface {
 	PlatformStats() PlatformStats
 }
 
-// PlatformStats counts the calls to the platform since the node started.
+// PlatformStats describes how the node's copy of the platform's values is kept up to date.
+// Its counts are since the node started.
 type PlatformStats struct {
-	// Answered and Failed sum up the calls with a whole answer, and those without.
+	// Answered and Failed sum up the calls with and without a complete answer.
 	Answered, Failed CallStats
-	// UpdatesReceived counts what other nodes told in place of a call.
+	// UpdatesReceived counts updates from other nodes that replaced a call.
 	UpdatesReceived uint64
-	// CopyErrors counts lists of all values that showed the copy here to be wrong.
+	// CopyErrors counts the complete lists of values that differed from this node's copy.
 	CopyErrors uint64
-	// Revision is the platform's at the last change that is known.
+	// Revision is the platform's revision at the last change that the node knows.
 	Revision uint64
-	// Age is how long ago what is known was the platform's, once Known.
+	// IsKnown means that the node has a copy of the platform's values, Age is the time since
+	// that copy was known to be current.
 	IsKnown bool
 	Age     clock.Millis
-	// Lag is for how long the oldest change that a peer knows has not been read; Late
-	// counts when that was longer than an edit may take.
+	// Lag is the time for which the oldest change that a peer knows has been unread on this
+	// node, 0 if there is none. LateChanges counts how often this time exceeded the limit
+	// for an edit.
 	Lag         clock.Millis
 	LateChanges uint64
 }
@@ -40,62 +43,64 @@
 // CallStats sums up calls to the platform.
 type CallStats struct {
 	Count uint64
-	// Bytes are those that came from it, Took the time of all calls.
+	// Bytes is the number of bytes received, Took the summed duration of the calls.
 	Bytes uint64
 	Took  clock.Millis
 }
 
-// LogDrops tells how many log lines were left out.
+// LogDrops provides the number of log lines that were dropped.
 type LogDrops interface {
-	// Dropped counts those that found the output busy, and those over the rate of
-	// their message.
+	// Dropped returns how many lines were dropped because the output was busy, and because
+	// they exceeded the rate limit of their message.
 	Dropped() (busy, rate uint64)
 }
 
-// Links tells how many links this node has to and from other nodes.
+// Links provides the number of links between this node and others.
 type Links interface {
 	Links() LinkCount
 }
 
-// LinkCount counts links that are open now.
+// LinkCount counts the peers and the links that are open now.
 type LinkCount struct {
-	// Peers are the nodes that this one may dial.
+	// Peers counts the nodes that this one may dial.
 	Peers int
-	// Dialled are open links that this node opened, Accepted those of others.
+	// Dialled counts the open links that this node opened, Accepted those that others opened.
 	Dialled, Accepted int
 }
 
-// Gates tells how the gates beside the node's backend servers do.
+// Gates provides the states of the node's gates.
 type Gates interface {
 	GateStates() []GateState
 }
 
-// GateState is what one gate itself says of its upstream.
+// GateState is the state of one gate and the gate's own verdict on its upstream.
 type GateState struct {
 	Service, Upstream string
-	// Verdict is the gate's own.
+	// Verdict is the gate's verdict on the upstream's health.
 	Verdict health.State
-	// Leaving upstreams get no new work, whatever the verdict.
+	// Leaving means that the upstream gets no new requests, whatever the verdict.
 	Leaving bool
-	// Running requests hold a slot, Waiting ones are in the queue.
+	// Running counts the requests that hold a slot, Waiting those in the queue.
 	Running, Waiting int
-	// Slots and Queue are the most of each, as the table has them.
+	// Slots and Queue are the limits on Running and Waiting, as set in the table.
 	Slots, Queue int
-	// Retries arrived in the last window, and RetryBound may; both are 0 for a service
-	// whose retries the gates don't bound.
+	// Retries counts the retries that arrived in the last window of the retry budget,
+	// RetryBound is their limit. Both are 0 for a service whose retries the gates don't bound.
 	Retries, RetryBound float64
 }
 
-// Quotas tells how requests of client accounts with a quota were decided.
+// Quotas provides the decisions on requests of client accounts with a quota.
 type Quotas interface {
 	QuotaCounts() QuotaCounts
 }
 
-// QuotaCounts counts requests of client accounts since the node started.
+// QuotaCounts counts the requests of client accounts with a quota by decision, since the node
+// started.
 type QuotaCounts struct {
-	// Granted and Refused are what the accounts' homes decided.
+	// Granted and Refused count the requests that the accounts' homes decided.
 	Granted, Refused uint64
-	// Alone and Unknown were admitted and refused while no home could be asked.
+	// Alone counts the requests that this node admitted on its own while the account's home
+	// could not be reached, Unknown those that it refused.
 	Alone, Unknown uint64
 }
 
@@ -122,7 +127,7 @@
 		"The platform's revision at the last change that is known.", nil, nil)
 	platformAgeDesc = prometheus.NewDesc(namespace+"_platform_age_seconds",
 		"How long ago what is known was the platform's.", nil, nil)
-	linesDesc = prometheus.NewDesc(namespace+"_log_lines_lost_total",
+	logLinesLostDesc = prometheus.NewDesc(namespace+"_log_lines_lost_total",
 		"Log lines left out: the output was busy, or over the rate of their message.", []string{"cause"}, nil)
 	peersDesc = prometheus.NewDesc(namespace+"_peers",
 		"Nodes that this one may dial.", nil, nil)
@@ -143,38 +148,38 @@
 		"Retries that the gate may grant in a window.", []string{"service", "upstream"}, nil)
 )
 
-// Results of a call to the platform.
+// Values of the label result.
 const (
 	resultAnswered = "answered"
 	resultError    = "error"
 )
 
-// Places of a request at a gate.
+// Values of the label place: a request at a gate runs in a slot or waits in the queue.
 const (
 	placeSlot  = "slot"
 	placeQueue = "queue"
 )
 
-// nodeCollector reads the node's parts at each scrape. A part that isn't given is
-// not exposed.
+// nodeCollector reads the optional sources of its configuration at each scrape. It exposes no
+// metrics for a source that isn't configured.
 type nodeCollector struct {
 	config Config
 }
 
-// Describe sends the descriptions.
+// Describe sends the descriptions of all metrics, configured or not.
 func (*nodeCollector) Describe(out chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		readyDesc, requestsBoundDesc, platformCallsDesc, platformBytesDesc, platformCallTimeDesc, platformLagDesc, platformLateDesc, platformUpdatesDesc, copyErrorsDesc, platformRevisionDesc, platformAgeDesc, linesDesc, peersDesc, linksDesc, verdictDesc, gateRequestsDesc, gateBoundDesc, retriesDesc, retryBoundDesc, quotaDesc,
+		readyDesc, requestsBoundDesc, platformCallsDesc, platformBytesDesc, platformCallTimeDesc, platformLagDesc, platformLateDesc, platformUpdatesDesc, copyErrorsDesc, platformRevisionDesc, platformAgeDesc, logLinesLostDesc, peersDesc, linksDesc, verdictDesc, gateRequestsDesc, gateBoundDesc, retriesDesc, retryBoundDesc, quotaDesc,
 	} {
 		out <- d
 	}
 }
 
-// Collect sends what the parts say now.
+// Collect sends the current values of the configured sources.
 func (s *nodeCollector) Collect(out chan<- prometheus.Metric) {
 	c := s.config
 	if c.Readiness != nil {
-		out <- gauge(readyDesc, boolean(c.Readiness.Ready()))
+		out <- gauge(readyDesc, boolValue(c.Readiness.Ready()))
 	}
 	if c.Requests > 0 {
 		out <- gauge(requestsBoundDesc, float64(c.Requests))
@@ -184,8 +189,8 @@
 	}
 	if c.LogDrops != nil {
 		busy, rate := c.LogDrops.Dropped()
-		out <- counter(linesDesc, busy, "busy")
-		out <- counter(linesDesc, rate, "rate")
+		out <- counter(logLinesLostDesc, busy, "busy")
+		out <- counter(logLinesLostDesc, rate, "rate")
 	}
 	if c.Links != nil {
 		l := c.Links.Links()
@@ -203,16 +208,16 @@
 	}
 }
 
-func collectPlatform(out chan<- prometheus.Metric, r PlatformStats) {
-	collectCalls(out, r.Answered, resultAnswered)
-	collectCalls(out, r.Failed, resultError)
-	out <- gauge(platformLagDesc, r.Lag.Seconds())
-	out <- counter(platformLateDesc, r.LateChanges)
-	out <- counter(platformUpdatesDesc, r.UpdatesReceived)
-	out <- counter(copyErrorsDesc, r.CopyErrors)
-	out <- gauge(platformRevisionDesc, float64(r.Revision))
-	if r.IsKnown {
-		out <- gauge(platformAgeDesc, r.Age.Seconds())
+func collectPlatform(out chan<- prometheus.Metric, stats PlatformStats) {
+	collectCalls(out, stats.Answered, resultAnswered)
+	collectCalls(out, stats.Failed, resultError)
+	out <- gauge(platformLagDesc, stats.Lag.Seconds())
+	out <- counter(platformLateDesc, stats.LateChanges)
+	out <- counter(platformUpdatesDesc, stats.UpdatesReceived)
+	out <- counter(copyErrorsDesc, stats.CopyErrors)
+	out <- gauge(platformRevisionDesc, float64(stats.Revision))
+	if stats.IsKnown {
+		out <- gauge(platformAgeDesc, stats.Age.Seconds())
 	}
 }
 
@@ -239,7 +244,7 @@
 	out <- gauge(retryBoundDesc, g.RetryBound, g.Service, g.Upstream)
 }
 
-// verdict writes what the gate says as the report does.
+// verdict returns the value of the label verdict, in the words of access.UpstreamState.
 func (g *GateState) verdict() string {
 	if g.Leaving {
 		return access.StateLeaving
@@ -255,7 +260,7 @@
 	return prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(value), labels...)
 }
 
-func boolean(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/metrics/operator_docs_test.go
+++ b/metrics/operator_docs_test.go
@@ -17,9 +17,9 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-const pages = "../docs/operators/"
+const pagesDir = "../docs/operators/"
 
-// ruleFile is the part of Prometheus's rule format that the alerts use.
+// ruleFile is the part of the format of Prometheus rule files that the alerts use.
 type ruleFile struct {
 	Groups []struct {
 		Name     string       `yaml:"name"`
@@ -44,7 +44,7 @@
 
 func readPage(t *testing.T, name string) string {
 	t.Helper()
-	text, err := os.ReadFile(pages + name)
+	text, err := os.ReadFile(pagesDir + name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 	return all
 }
 
-// labelsOf returns a metric's labels and the values they were seen with.
+// labelsOf returns the values of each label in a metric's series.
 func labelsOf(f *dto.MetricFamily) map[string][]string {
 	labels := map[string][]string{}
 	for _, m := range f.GetMetric() {
@@ -77,15 +77,14 @@
 	return labels
 }
 
-// names returns a metric's labels as the page writes them.
-func names(f *dto.MetricFamily) string {
+// labelNames returns the sorted names of a metric's labels, separated by spaces.
+func labelNames(f *dto.MetricFamily) string {
 	return strings.Join(slices.Sorted(maps.Keys(labelsOf(f))), " ")
 }
 
-// An operator looks for a metric that the page names and the store has none, or
-// finds one that no page explains.
-func TestLogsPageNamesWhatIsExposed(t *testing.T) {
-	families := scrape(t, wholeSet(t))
+// Guards against a page of metrics that lists one that isn't exposed, or lacks one that is.
+func TestLogsPageListsExposedMetrics(t *testing.T) {
+	families := scrape(t, populatedSet(t))
 	documented := map[string]string{}
 	rows := regexp.MustCompile("(?m)^\\| `(fuchsiapick_[a-z_]+)` \\| ([a-z, ]*) ?\\|").FindAllStringSubmatch(readPage(t, "logs.md"), -1)
 	for _, row := range rows {
@@ -97,13 +96,13 @@
 		if !strings.HasPrefix(name, "fuchsiapick_") {
 			continue
 		}
-		if labels, ok := documented[name]; !ok || labels != names(family) {
-			t.Errorf("%s: got a row %v with labels %q, want one with %q", name, ok, labels, names(family))
+		if labels, ok := documented[name]; !ok || labels != labelNames(family) {
+			t.Errorf("%s: got a row %v with labels %q, want a row with %q", name, ok, labels, labelNames(family))
 		}
 	}
 	for name := range documented {
 		if families[name] == nil {
-			t.Errorf("%s: got a row, want none: nothing exposes it", name)
+			t.Errorf("%s: got a row, want none: the metric is not exposed", name)
 		}
 	}
 }
@@ -114,53 +113,54 @@
 	grouping = regexp.MustCompile(`\b(?:by|ignoring|on) \(([^)]*)\)`)
 )
 
-// An alert never fires, for it asks for a metric, a label or a value of a label
-// that no node exposes. A store takes such a rule without a word.
-func TestAlertsAskForWhatIsExposed(t *testing.T) {
-	families := scrape(t, wholeSet(t))
+// Guards against an alert that never fires because its expression uses a metric, a label or a
+// label value that no node exposes. Prometheus loads such a rule without an error.
+func TestAlertsUseExposedMetrics(t *testing.T) {
+	families := scrape(t, populatedSet(t))
 	rules := readRules(t)
 	records := map[string]bool{}
 	for _, r := range rules {
 		records[r.Record] = true
 	}
-	texts := map[string]string{}
+	exprs := map[string]string{}
 	for _, r := range rules {
-		texts[r.Alert+r.Record] = r.Expr
+		exprs[r.Alert+r.Record] = r.Expr
 	}
 	for _, block := range regexp.MustCompile("(?s)```\n(fuchsiapick_.*?)```").FindAllStringSubmatch(readPage(t, "alerts.md"), -1) {
-		texts["alerts.md: "+block[1]] = block[1]
+		exprs["alerts.md: "+block[1]] = block[1]
 	}
-	for name, expr := range texts {
+	for name, expr := range exprs {
 		labels := map[string]bool{"instance": true}
-		asked := 0
+		used := 0
 		for _, found := range selector.FindAllStringSubmatch(expr, -1) {
 			if strings.HasPrefix(found[1], "fuchsiapick_") || found[1] == "up" {
-				asked++
+				used++
 				checkSelector(t, name, families, found[1], found[2], labels)
 			} else if strings.Contains(found[1], ":") {
-				asked++
+				used++
 				if !records[found[1]] {
-					t.Errorf("%s: got %s, want a record of the file", name, found[1])
+					t.Errorf("%s: got %s, want a recording rule of the file", name, found[1])
 				}
 			}
 		}
 		for _, list := range grouping.FindAllStringSubmatch(expr, -1) {
 			for _, label := range strings.Split(list[1], ", ") {
 				if !labels[label] {
-					t.Errorf("%s: got label %q in %s, want one of the metrics asked for", name, label, list[0])
+					t.Errorf("%s: got label %q in %s, want a label of the metrics in the expression", name, label, list[0])
 				}
 			}
 		}
-		if asked == 0 {
-			t.Errorf("%s: got no metric in %q, want one", name, expr)
+		if used == 0 {
+			t.Errorf("%s: got no metric in %q, want at least one", name, expr)
 		}
 	}
 }
 
-// checkSelector adds the metric's labels to those that the rule may group by.
+// checkSelector checks that a metric and the label values that it is selected by are exposed,
+// and adds the metric's labels to those that the rule may group by.
 func checkSelector(t *testing.T, rule string, families map[string]*dto.MetricFamily, name, matchers string, labels map[string]bool) {
 	t.Helper()
-	exposed := map[string][]string{"job": {"fuchsiapick"}} // up is the store's own
+	exposed := map[string][]string{"job": {"fuchsiapick"}} // Prometheus itself sets up
 	if name != "up" {
 		if families[name] == nil {
 			t.Errorf("%s: got %s, want a metric that is exposed", rule, name)
@@ -176,16 +176,16 @@
 		if m[2] == "=~" {
 			wanted = strings.Split(m[3], "|")
 		}
-		for _, one := range wanted {
-			if !slices.Contains(exposed[m[1]], one) {
-				t.Errorf("%s: got %s with %s=%q, want a label and value that is exposed", rule, name, m[1], one)
+		for _, value := range wanted {
+			if !slices.Contains(exposed[m[1]], value) {
+				t.Errorf("%s: got %s with %s=%q, want a label and value that is exposed", rule, name, m[1], value)
 			}
 		}
 	}
 }
 
-// The page says what to do about an alert that there isn't, or an alert sends a
-// person to a page that says nothing of it.
+// Guards against a page of alerts that lists one that doesn't exist, and against an alert
+// that is missing from the page or whose runbook link has no heading there.
 func TestAlertsPageNamesEveryAlert(t *testing.T) {
 	page := readPage(t, "alerts.md")
 	rows := regexp.MustCompile("(?m)^\\| `(Fuchsiapick[A-Za-z]+)` \\| (page|ticket) \\|").FindAllStringSubmatch(page, -1)
@@ -203,7 +203,7 @@
 		delete(documented, r.Alert)
 		heading := "\n## " + strings.ReplaceAll(strings.TrimPrefix(r.Annotations.Runbook, "alerts.md#"), "-", " ") + "\n"
 		if r.Annotations.Summary == "" || !strings.Contains(strings.ToLower(page), heading) {
-			t.Errorf("%s: got summary %q and runbook %q, want both, and a heading", r.Alert, r.Annotations.Summary, r.Annotations.Runbook)
+			t.Errorf("%s: got summary %q and runbook %q, want both, and a heading for the runbook", r.Alert, r.Annotations.Summary, r.Annotations.Runbook)
 		}
 	}
 	if len(documented) > 0 {
@@ -211,9 +211,9 @@
 	}
 }
 
-// The store pages at one burn and the report at another: the thresholds stand
-// in two places.
-func TestBurnAlertsHaveTheReportsThresholds(t *testing.T) {
+// Guards against burn-rate thresholds that differ between the Prometheus rules and the
+// report, which are defined in two places.
+func TestBurnAlertsMatchReportThresholds(t *testing.T) {
 	windows := make([]burn.Window, 0, len(burn.Spans))
 	for _, span := range burn.Spans {
 		windows = append(windows, burn.Window{Span: span, Covered: span, Total: 1000, Failed: 1000})
--- a/metrics/services.go
+++ b/metrics/services.go
@@ -11,18 +11,19 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// serviceCounters counts for each service how requests ended, and what its objective
-// is judged by, as the report's burn does.
+// serviceCounters counts for each service the outcomes of requests, and the requests that
+// count for or against its objective by the rules of the report's burn rates.
 //
-// The counters of a service begin at 0 as soon as the table names it. A series
-// that appeared with its first failure would hide it: the store sees no
-// increase in a series' first value.
+// The counters of a service start at 0 as soon as the table names it. A series that appeared
+// with its first failure would hide that failure, since Prometheus sees no increase in a
+// series' first value.
 type serviceCounters struct {
 	outcomes          *prometheus.CounterVec
 	objectiveRequests *prometheus.CounterVec
 	objectiveBad      *prometheus.CounterVec
 	objectiveRatio    *prometheus.GaugeVec
-	objectives        atomic.Pointer[map[string]table.Objective]
+	// objectives maps the services of the table in force to their objectives.
+	objectives atomic.Pointer[map[string]table.Objective]
 }
 
 func newServiceCounters() *serviceCounters {
@@ -52,25 +53,26 @@
 	return []prometheus.Collector{s.outcomes, s.objectiveRequests, s.objectiveBad, s.objectiveRatio}
 }
 
-// set takes the services of the table in force and returns the names of those
-// that are gone.
-func (s *serviceCounters) set(all []table.Service) []string {
-	next := make(map[string]table.Objective, len(all))
-	for i := range all {
-		next[all[i].Name] = all[i].Objective
-		s.initSeries(all[i].Name, all[i].Objective)
+// setServices sets the services of the table in force, deletes the series of those that it no
+// longer names, and returns their names.
+func (s *serviceCounters) setServices(services []table.Service) []string {
+	next := make(map[string]table.Objective, len(services))
+	for i := range services {
+		next[services[i].Name] = services[i].Objective
+		s.initSeries(services[i].Name, services[i].Objective)
 	}
-	var gone []string
+	var removed []string
 	for name := range *s.objectives.Swap(&next) {
 		if _, ok := next[name]; !ok {
 			s.deleteSeries(name)
-			gone = append(gone, name)
+			removed = append(removed, name)
 		}
 	}
-	return gone
+	return removed
 }
 
-// initSeries makes the series of a service unless they are there.
+// initSeries creates those series of a service that don't exist yet, and sets its objective
+// ratios.
 func (s *serviceCounters) initSeries(service string, o table.Objective) {
 	for _, outcome := range []access.Outcome{access.Served, access.NotRun, access.Unknown} {
 		s.outcomes.WithLabelValues(service, string(outcome))
@@ -90,8 +92,8 @@
 	s.objectiveRatio.DeletePartialMatch(labels)
 }
 
-// count counts one request. It must judge as package access does, or alerts
-// and report contradict each other; a test holds the two together.
+// count counts one request. It must apply the same rules as package access, or else alerts
+// and report contradict each other; TestAlertsAndReportCountSameRequests compares the two.
 func (s *serviceCounters) count(r *access.Record) {
 	objective, ok := (*s.objectives.Load())[r.Service]
 	if !ok {
--- a/metrics/states.go
+++ b/metrics/states.go
@@ -11,20 +11,20 @@
 	inFlightDesc = prometheus.NewDesc(namespace+"_in_flight", "Requests in flight, as entry and as gate.", nil, nil)
 )
 
-// stateCollector reads gauges from the node at each scrape, so that upstreams which
-// the table no longer names vanish.
+// stateCollector reads gauges from the node at each scrape, so that the series of upstreams
+// that the table no longer names disappear.
 type stateCollector struct {
 	source State
 }
 
-// Describe sends the descriptions.
+// Describe sends the descriptions of the gauges.
 func (*stateCollector) Describe(out chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{stateDesc, severityDesc, versionDesc, inFlightDesc} {
 		out <- d
 	}
 }
 
-// Collect sends the gauges.
+// Collect sends the current values of the gauges.
 func (s *stateCollector) Collect(out chan<- prometheus.Metric) {
 	for _, u := range s.source.States() {
 		out <- prometheus.MustNewConstMetric(stateDesc, prometheus.GaugeValue, 1, u.Service, u.Name, u.State)
