--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves a node's admin address: metrics, health, readiness and
-// what reports read.
+// Package admin implements the HTTP server on a node's admin address. It serves metrics,
+// liveness, readiness, quarantined requests and the snapshots that reports are made from.
 package admin
 
 import (
@@ -11,11 +11,15 @@
 	"fuchsiapick.example/fuchsiapick/access"
 )
 
-// Node is what the admin address tells about.
+// Node provides the data that the admin address serves.
 type Node interface {
+	// Ready reports whether the node accepts requests: it has a table in force and isn't
+	// leaving.
 	Ready() bool
+	// Snapshot returns the part of the access log that matches the filter.
 	Snapshot(f access.Filter) access.Snapshot
-	// Quarantine lists the requests under which backend servers crash.
+	// Quarantine returns the requests that are suspected of crashing backend servers, or
+	// quarantined for it.
 	Quarantine() []access.Suspect
 }
 
@@ -27,32 +31,33 @@
 	Metrics fasthttp.RequestHandler
 }
 
-// Server answers on the admin address.
+// Server creates the HTTP servers of the admin and metrics addresses.
 type Server struct {
 	config Config
 }
 
-// New returns a server that isn't listening yet.
+// New returns a server; the caller listens with the servers from HTTP and MetricsHTTP.
 func New(c Config) *Server {
 	return &Server{config: c}
 }
 
-// maxRequest bounds a request to the admin address, which has no body.
-const maxRequest = 16 << 10
+// maxRequestSize bounds the body of a request to the admin address in bytes. Requests there
+// need no body.
+const maxRequestSize = 16 << 10
 
-// HTTP returns the HTTP server.
+// HTTP returns the HTTP server of the admin address. It accepts only GET and HEAD requests.
 func (s *Server) HTTP() *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:               s.serve,
 		Name:                  "fuchsiapick",
 		NoDefaultServerHeader: true,
-		MaxRequestBodySize:    maxRequest,
+		MaxRequestBodySize:    maxRequestSize,
 		GetOnly:               true,
 		CloseOnShutdown:       true,
 	}
 }
 
-// MetricsHTTP returns the HTTP server of an address for metrics alone.
+// MetricsHTTP returns the HTTP server of an address that serves only /metrics.
 func (s *Server) MetricsHTTP() *fasthttp.Server {
 	server := s.HTTP()
 	server.Handler = func(ctx *fasthttp.RequestCtx) {
@@ -70,11 +75,11 @@
 	case "/healthz":
 		ctx.SetBodyString("ok\n")
 	case "/readyz":
-		s.ready(ctx)
+		s.serveReadiness(ctx)
 	case "/metrics":
 		s.config.Metrics(ctx)
 	case "/report":
-		s.report(ctx)
+		s.serveReport(ctx)
 	case "/quarantine":
 		s.writeJSON(ctx, s.config.Node.Quarantine())
 	default:
@@ -82,7 +87,8 @@
 	}
 }
 
-func (s *Server) ready(ctx *fasthttp.RequestCtx) {
+// serveReadiness answers with status 200 if the node is ready, otherwise with 503.
+func (s *Server) serveReadiness(ctx *fasthttp.RequestCtx) {
 	if s.config.Node.Ready() {
 		ctx.SetBodyString("ready\n")
 		return
@@ -90,7 +96,9 @@
 	ctx.Error("no table in force, or leaving\n", fasthttp.StatusServiceUnavailable)
 }
 
-func (s *Server) report(ctx *fasthttp.RequestCtx) {
+// serveReport answers with the snapshot that matches the filter in the query, or with status
+// 400 if the filter is invalid.
+func (s *Server) serveReport(ctx *fasthttp.RequestCtx) {
 	filter, err := access.ParseFilter(func(name string) string { return string(ctx.QueryArgs().Peek(name)) })
 	if err != nil {
 		ctx.Error(err.Error()+"\n", fasthttp.StatusBadRequest)
@@ -99,10 +107,11 @@
 	s.writeJSON(ctx, s.config.Node.Snapshot(filter))
 }
 
+// writeJSON answers with the value as JSON.
 func (s *Server) writeJSON(ctx *fasthttp.RequestCtx, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		s.config.Log.WithError(err).WithField("path", string(ctx.Path())).Error("answer not written")
+		s.config.Log.WithError(err).WithField("path", string(ctx.Path())).Error("response not encoded; answering with status 500")
 		ctx.Error("not written\n", fasthttp.StatusInternalServerError)
 		return
 	}
