--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -36,26 +36,27 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// Every line goes through four sizes or more, and a name finds one measure.
-func TestMeasuresAreWhole(t *testing.T) {
+// Through three sizes a curve still looks like a line, and if two measures had the same
+// name TestSlopesStayWithinMargin would check only the first one.
+func TestMeasuresHaveFourSizesAndUniqueNames(t *testing.T) {
 	type key struct{ role, name, unit, against string }
 	seen := map[key]bool{}
 	for _, m := range capacity.All() {
 		if len(m.Sizes) < 4 {
-			t.Errorf("got %d sizes for %s, want 4 at least", len(m.Sizes), m.Name)
+			t.Errorf("got %d sizes for %s, want at least 4", len(m.Sizes), m.Name)
 		}
 		k := key{m.Role, m.Name, m.Unit, m.Against}
 		if seen[k] {
-			t.Errorf("got two measures %v, want one", k)
+			t.Errorf("got two measures with the key %v, want one", k)
 		}
 		seen[k] = true
 	}
 }
 
-// A field more in a heartbeat or a larger buffer for each link shows on no
-// small fleet. At the size to design for it takes the control budget of every
-// node, so what docs/CAPACITY.md works with is held within a fifth here.
-func TestSlopesHold(t *testing.T) {
+// An additional field in a heartbeat or a larger buffer per link goes unnoticed in a
+// small fleet, but at the design size it uses up the control budget of every node. The
+// slopes in docs/CAPACITY.md may therefore grow by at most a fifth.
+func TestSlopesStayWithinMargin(t *testing.T) {
 	tests := []struct {
 		role, name, against string
 		want                float64
@@ -64,7 +65,7 @@
 		{"link", "handshakes, both ways", "links opened", 611},
 		{"link", "goroutines of open links, both ends", "links", 4},
 		{"link", "peers without a link, held", "nodes in the table", 1700},
-		// 98 B of it are the host, shares, timeout and ranks of a route.
+		// This includes 98 B for the host, shares, timeout and priority of a route.
 		{"table", "held", "upstreams", 499},
 		{"entry", "view of all upstreams, held beside the table", "upstreams", 386},
 		{"gate", "idle gates, held", "upstreams beside the node", 5024},
@@ -74,25 +75,25 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.role+" "+tt.name, func(t *testing.T) {
-			r, err := find(t, tt.role, tt.name, tt.against).Run()
+			r, err := findMeasure(t, tt.role, tt.name, tt.against).Run()
 			if err != nil {
 				t.Fatal(err)
 			}
 			const margin = 1.2
 			if got := r.Line.Slope; got > margin*tt.want {
-				t.Errorf("got %.4g %s for each of %s, want at most %.1f times %.4g; points %v", got, r.Unit, tt.against, margin, tt.want, r.Points)
+				t.Errorf("got %.4g %s per unit of %s, want at most %.1f times %.4g; points %v", got, r.Unit, tt.against, margin, tt.want, r.Points)
 			}
 		})
 	}
 }
 
-func find(t *testing.T, role, name, against string) capacity.Measure {
+func findMeasure(t *testing.T, role, name, against string) capacity.Measure {
 	t.Helper()
 	for _, m := range capacity.All() {
 		if m.Role == role && m.Name == name && m.Against == against {
 			return m
 		}
 	}
-	t.Fatalf("got no measure %s of %s, want one", name, role)
+	t.Fatalf("got no measure %q of the role %q, want one", name, role)
 	return capacity.Measure{}
 }
--- a/capacity/crossings.go
+++ b/capacity/cross_domain.go
@@ -7,20 +7,20 @@
 	"fuchsiapick.example/fuchsiapick/choice"
 )
 
-// crossDomain measures, in virtual time, the requests that leave the failure
-// domain of their entry.
-func crossDomain() []Measure {
-	load := []int{10, 30, 50, 70, 90}
+// crossDomainMeasures returns the measures of the share of requests that leave the
+// failure domain of their entry. They run in virtual time.
+func crossDomainMeasures() []Measure {
+	loads := []int{10, 30, 50, 70, 90}
 	return []Measure{
 		{
 			Role: "entry", Name: "requests that cross domains, upstreams in domains at random", Unit: unitPercent,
-			Against: "% of slots in use", Sizes: load, Curve: true,
-			Cost: func(n int) (float64, error) { return crossDomainPercent(n, perService, true), nil },
+			Against: "% of slots in use", Sizes: loads, Curve: true,
+			Cost: func(n int) (float64, error) { return crossDomainPercent(n, upstreamsPerService, true), nil },
 		},
 		{
 			Role: "entry", Name: "requests that cross domains, upstreams spread evenly", Unit: unitPercent,
-			Against: "% of slots in use", Sizes: load, Curve: true,
-			Cost: func(n int) (float64, error) { return crossDomainPercent(n, perService, false), nil },
+			Against: "% of slots in use", Sizes: loads, Curve: true,
+			Cost: func(n int) (float64, error) { return crossDomainPercent(n, upstreamsPerService, false), nil },
 		},
 		{
 			Role: "entry", Name: "requests that cross domains at half load, upstreams spread evenly", Unit: unitPercent,
@@ -34,46 +34,49 @@
 	slots    = 7
 	halfLoad = 50
 	percent  = 100
-	// crossingRuns is the requests of one point: a share of 1 in 100 is then
-	// within a tenth of itself.
-	crossingRuns = 40_000
+	// crossDomainRequests is the number of simulated requests per point. A share of 1% is
+	// then accurate to within a tenth of its value.
+	crossDomainRequests = 40_000
 )
 
-// completion is the end of a request at an upstream, in service times.
+// completion is the end of a request at an upstream, in units of the mean service time.
 type completion struct {
 	at       float64
 	upstream int
 }
 
+// completions is a heap of completions, the earliest one first.
 type completions []completion
 
 // Len implements heap.Interface.
-func (e completions) Len() int { return len(e) }
+func (c completions) Len() int { return len(c) }
 
 // Less implements heap.Interface.
-func (e completions) Less(i, j int) bool { return e[i].at < e[j].at }
+func (c completions) Less(i, j int) bool { return c[i].at < c[j].at }
 
 // Swap implements heap.Interface.
-func (e completions) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (c completions) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (e *completions) Push(x any) {
-	if one, ok := x.(completion); ok {
-		*e = append(*e, one)
+func (c *completions) Push(x any) {
+	if added, ok := x.(completion); ok {
+		*c = append(*c, added)
 	}
 }
 
 // Pop implements heap.Interface.
-func (e *completions) Pop() any {
-	last := len(*e) - 1
-	one := (*e)[last]
-	*e = (*e)[:last]
-	return one
+func (c *completions) Pop() any {
+	last := len(*c) - 1
+	removed := (*c)[last]
+	*c = (*c)[:last]
+	return removed
 }
 
-// crossDomainPercent plays a service whose callers are spread evenly over the domains,
-// with arrivals and service times of exponential spans, and returns the
-// percentage of requests that crossed domains. Entries see every load at once.
+// crossDomainPercent simulates a service whose callers are spread evenly over the failure
+// domains, with exponentially distributed times between arrivals and service times. load
+// is the percentage of the slots in use. crossDomainPercent returns the percentage of
+// requests that crossed domains. The entries know the current load of every upstream
+// without delay.
 func crossDomainPercent(load, upstreams int, atRandom bool) float64 {
 	random := rand.New(rand.NewPCG(1, 0))
 	candidates := make([]choice.Candidate, upstreams)
@@ -90,8 +93,8 @@
 	}
 	rate := float64(upstreams*slots*load) / percent
 	var running completions
-	now, far := 0.0, 0
-	for range crossingRuns {
+	now, crossed := 0.0, 0
+	for range crossDomainRequests {
 		now += random.ExpFloat64() / rate
 		for len(running) > 0 && running[0].at <= now {
 			done := heap.Pop(&running).(completion)
@@ -100,10 +103,10 @@
 		domain := random.IntN(Domains)
 		i, _ := choosers[domain].Choose(candidates, nil)
 		if candidates[i].Domain != linkAddress(domain) {
-			far++
+			crossed++
 		}
 		candidates[i].InFlight++
 		heap.Push(&running, completion{at: now + random.ExpFloat64(), upstream: i})
 	}
-	return float64(far) * percent / crossingRuns
+	return float64(crossed) * percent / crossDomainRequests
 }
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -1,7 +1,6 @@
-// Package capacity measures what the parts of a node cost by their size: bytes,
-// processor time and memory at four sizes or more, with a straight line
-// through them. docs/CAPACITY.md works out from these lines what the size to
-// design for takes.
+// Package capacity measures how the cost of a node's parts grows with their size. It
+// takes bytes, CPU time and memory at four sizes or more and fits a straight line to
+// them. docs/CAPACITY.md extrapolates from these lines to the design size.
 package capacity
 
 import (
@@ -11,37 +10,39 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ErrPoints reports fewer points than a line may be drawn through.
+// ErrPoints reports that there are too few points to fit a line.
 const ErrPoints = errors.ConstError("too few points for a line")
 
-// minPoints of a line. Through three a curve still passes for a line.
+// minPoints is the minimum number of points for a line. With three points a curve still
+// looks like a line.
 const minPoints = 4
 
-// Point is one measured cost.
+// Point is the measured cost at one size.
 type Point struct {
 	Size float64
 	Cost float64
 }
 
-// Line is the least-squares line through points.
+// Line is a least-squares line.
 type Line struct {
-	// Base is the cost at size 0, Slope what each unit of size adds.
+	// Base is the cost at size 0, Slope the additional cost per unit of size.
 	Base  float64
 	Slope float64
-	// Residual is the root mean square distance of the points from the line, as
-	// a share of their mean cost.
+	// Residual is the root mean square distance of the points from the line, as a fraction
+	// of their mean cost.
 	Residual float64
 }
 
-// At returns the line's cost of a size.
+// At returns the cost that the line gives for a size.
 func (l Line) At(size float64) float64 {
 	return l.Base + l.Slope*size
 }
 
-// Fit draws the line through points. It returns ErrPoints for fewer than four.
+// Fit returns the least-squares line through the points. It returns ErrPoints for fewer
+// than four points.
 func Fit(points []Point) (Line, error) {
 	if len(points) < minPoints {
-		return Line{}, errors.Annotatef(ErrPoints, "%d, want %d at least", len(points), minPoints)
+		return Line{}, errors.Annotatef(ErrPoints, "%d points, want at least %d", len(points), minPoints)
 	}
 	sizes := make([]float64, 0, len(points))
 	costs := make([]float64, 0, len(points))
@@ -51,13 +52,13 @@
 	}
 	var l Line
 	l.Base, l.Slope = stat.LinearRegression(sizes, costs, nil, false)
-	squares := 0.0
+	squareSum := 0.0
 	for _, p := range points {
-		off := p.Cost - l.At(p.Size)
-		squares += off * off
+		residual := p.Cost - l.At(p.Size)
+		squareSum += residual * residual
 	}
 	if mean := stat.Mean(costs, nil); mean != 0 {
-		l.Residual = math.Sqrt(squares/float64(len(points))) / math.Abs(mean)
+		l.Residual = math.Sqrt(squareSum/float64(len(points))) / math.Abs(mean)
 	}
 	return l, nil
 }
--- a/capacity/frames.go
+++ b/capacity/frames.go
@@ -9,29 +9,29 @@
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
-// frames measures what links carry.
-func frames() []Measure {
-	beside := []int{1, 10, 40, 83, 166} // upstreams beside a node
+// frameMeasures returns the measures of the messages that links carry.
+func frameMeasures() []Measure {
+	sizes := []int{1, 10, 40, 83, 166}
 	return []Measure{
 		{
-			Role: "link", Name: "heartbeat", Unit: unitBytes, Against: besideNode,
-			Sizes: beside, Target: UpstreamsPerNode,
-			Cost: func(n int) (float64, error) { return frameBytes(heartbeat(n)) },
+			Role: "link", Name: "heartbeat", Unit: unitBytes, Against: localUpstreams,
+			Sizes: sizes, Target: UpstreamsPerNode,
+			Cost: func(n int) (float64, error) { return frameSize(heartbeat(n)) },
 		},
 		{
-			Role: "link", Name: "heartbeat encoded", Unit: unitMicros, Against: besideNode,
-			Sizes: beside, Target: UpstreamsPerNode,
+			Role: "link", Name: "heartbeat encoded", Unit: unitMicros, Against: localUpstreams,
+			Sizes: sizes, Target: UpstreamsPerNode,
 			Cost: func(n int) (float64, error) {
-				b := heartbeat(n)
+				h := heartbeat(n)
 				return cpuTime(func() error {
-					_, err := wire.Encode(b)
+					_, err := wire.Encode(h)
 					return err
 				})
 			},
 		},
 		{
-			Role: "link", Name: "heartbeat decoded", Unit: unitMicros, Against: besideNode,
-			Sizes: beside, Target: UpstreamsPerNode,
+			Role: "link", Name: "heartbeat decoded", Unit: unitMicros, Against: localUpstreams,
+			Sizes: sizes, Target: UpstreamsPerNode,
 			Cost: func(n int) (float64, error) {
 				frame, err := wire.Encode(heartbeat(n))
 				if err != nil {
@@ -44,8 +44,8 @@
 			},
 		},
 		{
-			Role: "link", Name: "heartbeat's state gathered from the gates", Unit: unitMicros, Against: besideNode,
-			Sizes: beside, Target: UpstreamsPerNode,
+			Role: "link", Name: "heartbeat's state gathered from the gates", Unit: unitMicros, Against: localUpstreams,
+			Sizes: sizes, Target: UpstreamsPerNode,
 			Cost: statusTime,
 		},
 		{
@@ -61,26 +61,27 @@
 		{
 			Role: "link", Name: "reply", Unit: unitBytes, Against: "bytes of answer",
 			Sizes: []int{0, 1 << 10, 4 << 10, 16 << 10},
-			Cost:  func(n int) (float64, error) { return frameBytes(reply(n)) },
+			Cost:  func(n int) (float64, error) { return frameSize(reply(n)) },
 		},
 		{
 			Role: "link", Name: "dispatch", Unit: unitBytes, Against: "bytes of body",
 			Sizes: []int{0, 1 << 10, 4 << 10, 16 << 10},
-			Cost:  func(n int) (float64, error) { return frameBytes(dispatch(n)) },
+			Cost:  func(n int) (float64, error) { return frameSize(dispatch(n)) },
 		},
 	}
 }
 
-func frameBytes(m wire.Message) (float64, error) {
+// frameSize returns the size of the encoded message in bytes.
+func frameSize(m wire.Message) (float64, error) {
 	frame, err := wire.Encode(m)
 	return float64(len(frame)), err
 }
 
-// hour is the instant of all messages: a node that has run for a while has
-// larger numbers to write than one that has just started.
+// hour is the time in all messages. A node that has run for some time encodes larger
+// numbers than a node that has just started.
 const hour = clock.Hour
 
-func state(i int) wire.Upstream {
+func upstreamState(i int) wire.Upstream {
 	return wire.Upstream{
 		Name: fmt.Sprintf("upstream-%d", i), Severity: 0.25, Share: 1, InFlight: 3, Waiting: 1,
 		Local: wire.Baseline{Known: true, FailureRate: 0.0125, Latency: 120},
@@ -88,30 +89,30 @@
 }
 
 func heartbeat(upstreams int) *wire.Heartbeat {
-	b := &wire.Heartbeat{Time: hour, Echo: hour, Version: 1 << 30, Digest: table.Digest(nil)}
+	h := &wire.Heartbeat{Time: hour, Echo: hour, Version: 1 << 30, Digest: table.Digest(nil)}
 	for i := range upstreams {
-		b.Upstreams = append(b.Upstreams, state(i))
+		h.Upstreams = append(h.Upstreams, upstreamState(i))
 	}
-	return b
+	return h
 }
 
-func reply(body int) *wire.Reply {
+func reply(bodySize int) *wire.Reply {
 	return &wire.Reply{
 		ID: wire.RequestID{Entry: 1 << 60, Seq: 1 << 30}, Attempt: 1, Outcome: wire.Answered, Status: 200,
-		Length: body, Body: make([]byte, body), Time: hour, Upstream: state(1),
+		Length: bodySize, Body: make([]byte, bodySize), Time: hour, Upstream: upstreamState(1),
 	}
 }
 
-func dispatch(body int) *wire.Dispatch {
+func dispatch(bodySize int) *wire.Dispatch {
 	return &wire.Dispatch{
 		ID: wire.RequestID{Entry: 1 << 60, Seq: 1 << 30}, Attempt: 1, Incarnation: 1 << 60,
 		Lease: hour, Budget: clock.Second, Upstream: "upstream-1", Caller: "caller-1", Method: "GET",
-		URI: "/service-1/route-1/" + strings.Repeat("x", 20), Body: make([]byte, body),
+		URI: "/service-1/route-1/" + strings.Repeat("x", 20), Body: make([]byte, bodySize),
 		Baseline: wire.Baseline{Known: true, FailureRate: 0.0125, Latency: 120},
 	}
 }
 
-// codecTime is the processor time of both ends for one frame.
+// codecTime returns the CPU time in microseconds to encode and decode one message.
 func codecTime(m wire.Message) (float64, error) {
 	return cpuTime(func() error {
 		frame, err := wire.Encode(m)
--- a/capacity/links.go
+++ b/capacity/links.go
@@ -12,34 +12,34 @@
 	"fuchsiapick.example/fuchsiapick/logging"
 )
 
-// links measures what open links cost. They have both ends in this
-// process, so that their costs are those of two nodes together.
-func links() []Measure {
-	open := []int{25, 50, 100, 200}
+// linkMeasures returns the measures of open links. Both ends of a link are in this
+// process, so the costs are those of two nodes together.
+func linkMeasures() []Measure {
+	sizes := []int{25, 50, 100, 200}
 	return []Measure{
 		{
 			Role: "link", Name: "open links, both ends, held", Unit: unitBytes, Against: "links",
-			Sizes: open,
-			Cost:  linksHeld,
+			Sizes: sizes,
+			Cost:  linkMemory,
 		},
 		{
 			Role: "link", Name: "goroutines of open links, both ends", Unit: unitCount, Against: "links",
-			Sizes: open,
+			Sizes: sizes,
 			Cost:  linkGoroutines,
 		},
 		{
 			Role: "link", Name: "handshakes, both ends", Unit: unitMicros, Against: "links opened",
-			Sizes: open,
-			Cost:  handshakes,
+			Sizes: sizes,
+			Cost:  handshakeTime,
 		},
 		{
 			Role: "link", Name: "handshakes, both ways", Unit: unitBytes, Against: "links opened",
-			Sizes: open,
+			Sizes: sizes,
 			Cost:  handshakeBytes,
 		},
 		{
 			Role: "link", Name: "a beat interval, both ways, 83 upstreams in each heartbeat", Unit: unitBytes, Against: "links",
-			Sizes: open,
+			Sizes: sizes,
 			Cost: func(n int) (float64, error) {
 				_, bytes, err := heartbeatCost(n, UpstreamsPerNode)
 				return bytes, err
@@ -47,7 +47,7 @@
 		},
 		{
 			Role: "link", Name: "a beat interval, both ways, no upstreams", Unit: unitBytes, Against: "links",
-			Sizes: open,
+			Sizes: sizes,
 			Cost: func(n int) (float64, error) {
 				_, bytes, err := heartbeatCost(n, 0)
 				return bytes, err
@@ -55,7 +55,7 @@
 		},
 		{
 			Role: "link", Name: "a beat interval, both ends, 83 upstreams in each heartbeat", Unit: unitMicros, Against: "links",
-			Sizes: open,
+			Sizes: sizes,
 			Cost: func(n int) (float64, error) {
 				micros, _, err := heartbeatCost(n, UpstreamsPerNode)
 				return micros, err
@@ -63,7 +63,7 @@
 		},
 		{
 			Role: "link", Name: "a beat interval, both ends, no upstreams", Unit: unitMicros, Against: "links",
-			Sizes: open,
+			Sizes: sizes,
 			Cost: func(n int) (float64, error) {
 				micros, _, err := heartbeatCost(n, 0)
 				return micros, err
@@ -72,24 +72,26 @@
 	}
 }
 
-// withLinks measures while links are open that beat no more than once.
-func withLinks(n int, cost func(a *listeningSide, open func() error) (float64, error)) (float64, error) {
+// withLinks calls cost with a link server and a function that opens n links to it, and
+// returns the result. The heartbeat interval is an hour, so that a link carries at most one
+// heartbeat.
+func withLinks(n int, cost func(server *linkServer, open func() error) (float64, error)) (float64, error) {
 	waitForGoroutines()
 	defer waitForGoroutines()
-	a, err := listen(clock.Hour, newHeartbeatCounter(0))
+	server, err := listen(clock.Hour, newHeartbeatCounter(0))
 	if err != nil {
 		return 0, err
 	}
-	defer a.close()
+	defer server.close()
 	var conns []*link.Conn
 	defer func() {
 		for _, c := range conns {
 			c.Close()
 		}
 	}()
-	return cost(a, func() error {
+	return cost(server, func() error {
 		for i := range n {
-			c, _, err := link.Dial(context.Background(), a.address, identity("10.0.0.1:7000", i), frameLimit)
+			c, _, err := link.Dial(context.Background(), server.address, identity("10.0.0.1:7000", i), frameLimit)
 			if err != nil {
 				return errors.Annotate(err, "opening a link")
 			}
@@ -99,80 +101,85 @@
 	})
 }
 
-func linksHeld(n int) (float64, error) {
-	return withLinks(n, func(_ *listeningSide, open func() error) (float64, error) {
+// linkMemory returns the memory in bytes of n open links.
+func linkMemory(n int) (float64, error) {
+	return withLinks(n, func(_ *linkServer, open func() error) (float64, error) {
 		return retainedBytes(func() (any, error) { return nil, open() })
 	})
 }
 
+// linkGoroutines returns the number of goroutines of n open links.
 func linkGoroutines(n int) (float64, error) {
-	return withLinks(n, func(_ *listeningSide, open func() error) (float64, error) {
+	return withLinks(n, func(_ *linkServer, open func() error) (float64, error) {
 		before := runtime.NumGoroutine()
 		err := open()
 		return float64(runtime.NumGoroutine() - before), err
 	})
 }
 
-func handshakes(n int) (float64, error) {
-	return withLinks(n, func(_ *listeningSide, open func() error) (float64, error) {
+// handshakeTime returns the CPU time in microseconds to open n links.
+func handshakeTime(n int) (float64, error) {
+	return withLinks(n, func(_ *linkServer, open func() error) (float64, error) {
 		return cpuTimeOnce(open)
 	})
 }
 
+// handshakeBytes returns the number of bytes transferred to open n links.
 func handshakeBytes(n int) (float64, error) {
-	return withLinks(n, func(a *listeningSide, open func() error) (float64, error) {
+	return withLinks(n, func(server *linkServer, open func() error) (float64, error) {
 		err := open()
-		return float64(a.carried.Load()), err
+		return float64(server.transferred.Load()), err
 	})
 }
 
-// peer is an entry's side; the number is its incarnation.
-func peer(address string, number int, every clock.Millis, now func() clock.Millis, watcher *heartbeatCounter) *link.Peer {
+// newPeer returns the dialling side of a link to the address. number determines the
+// incarnation and the address of its own node.
+func newPeer(address string, number int, interval clock.Millis, now func() clock.Millis, observer *heartbeatCounter) *link.Peer {
 	return link.NewPeer(link.PeerConfig{
 		Address: address, Self: identity(ip(number)+":7000", number), MaxFrame: frameLimit, MaxReplyBody: frameLimit,
-		HeartbeatInterval: every, Seed: uint64(number), Now: now, Status: watcher.Status, Observer: watcher, Log: logging.Silent(),
+		HeartbeatInterval: interval, Seed: uint64(number), Now: now, Status: observer.Status, Observer: observer, Log: logging.Silent(),
 	})
 }
 
-// withRunning runs peers until the cost is measured.
-func withRunning(peers []*link.Peer, cost func() (float64, error)) (float64, error) {
+// withRunningPeers runs the peers while it measures the cost, and waits for them to stop.
+func withRunningPeers(peers []*link.Peer, cost func() (float64, error)) (float64, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	defer all.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	defer cancel()
 	for _, p := range peers {
-		all.Go(func() { _ = p.Run(ctx) }) // ends with the context
+		running.Go(func() { _ = p.Run(ctx) }) // returns when the context is cancelled
 	}
 	return cost()
 }
 
-// heartbeatCost is the processor time and the bytes of one beat interval of so many
-// links.
+// heartbeatCost returns the CPU time in microseconds and the bytes transferred that n
+// open links take per heartbeat interval.
 func heartbeatCost(n, upstreams int) (micros, bytes float64, err error) {
 	waitForGoroutines()
 	defer waitForGoroutines()
 	handler := newHeartbeatCounter(upstreams)
-	a, err := listen(interval, handler)
+	server, err := listen(heartbeatInterval, handler)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer a.close()
+	defer server.close()
 	peers := make([]*link.Peer, 0, n)
 	for i := range n {
-		peers = append(peers, peer(a.address, i+1, interval, clock.NewSystem().Now, handler))
+		peers = append(peers, newPeer(server.address, i+1, heartbeatInterval, clock.NewSystem().Now, handler))
 	}
-	micros, err = withRunning(peers, func() (float64, error) {
-		// Two heartbeats in each interval of a link, one each way.
+	micros, err = withRunningPeers(peers, func() (float64, error) {
+		// A link carries two heartbeats per interval, one in each direction.
 		opened := handler.notifyAfter(2 * n)
 		for _, p := range peers {
 			p.EnsureLink()
 		}
 		<-opened
-		before := a.carried.Load()
-		heard := handler.notifyAfter(2 * n * intervals)
-		used, err := cpuTimeOnce(func() error { <-heard; return nil })
-		bytes = float64(a.carried.Load()-before) / intervals
-		return used / intervals, err
+		before := server.transferred.Load()
+		received := handler.notifyAfter(2 * n * measuredIntervals)
+		used, err := cpuTimeOnce(func() error { <-received; return nil })
+		bytes = float64(server.transferred.Load()-before) / measuredIntervals
+		return used / measuredIntervals, err
 	})
 	return micros, bytes, err
 }
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -7,24 +7,26 @@
 	"github.com/juju/errors"
 )
 
-// Measure is one cost and the sizes it is measured at.
+// Measure defines a cost and the sizes at which it is measured.
 type Measure struct {
-	// Role is the part of a node that bears the cost.
+	// Role is the part of a node that causes the cost.
 	Role string
 	Name string
-	// Unit is that of the cost, Against what the size counts.
+	// Unit is the unit of the cost. Against says what the size counts.
 	Unit    string
 	Against string
 	Sizes   []int
-	// Target is the size to design for, 0 if the page works it out otherwise.
+	// Target is the design size; 0 means that docs/CAPACITY.md calculates the cost at the
+	// design size in another way.
 	Target float64
-	// Curve says that the cost follows no line, so that only its points count.
+	// Curve is true if the cost is not linear in the size, so that no line is fitted.
 	Curve bool
-	// Cost measures one size.
+	// Cost measures the cost at one size.
 	Cost func(size int) (float64, error)
 }
 
-// Result is a measure's points and the line through them, if it isn't a curve.
+// Result holds the points of a measure and the line through them. Line is the zero value
+// if the measure is a curve.
 type Result struct {
 	Measure
 
@@ -32,7 +34,8 @@
 	Line   Line
 }
 
-// Run measures every size. It returns the first error of a cost, or ErrPoints.
+// Run measures the cost at every size. It returns the first error of Cost, or ErrPoints
+// if a measure that isn't a curve has fewer than four sizes.
 func (m Measure) Run() (Result, error) {
 	r := Result{Measure: m, Points: make([]Point, 0, len(m.Sizes))}
 	for _, size := range m.Sizes {
@@ -47,13 +50,13 @@
 	}
 	line, err := Fit(r.Points)
 	if err != nil {
-		return r, errors.Annotatef(err, "fitting %s", m.Name)
+		return r, errors.Annotatef(err, "fitting a line to %s", m.Name)
 	}
 	r.Line = line
 	return r, nil
 }
 
-// Units of costs.
+// Units of measured costs.
 const (
 	unitBytes   = "B"
 	unitMicros  = "µs"
@@ -61,37 +64,39 @@
 	unitPercent = "%"
 )
 
-// besideNode is the size of what grows with a node's own upstreams.
-const besideNode = "upstreams beside the node"
+// localUpstreams is the Against of costs that grow with a node's own upstreams.
+const localUpstreams = "upstreams beside the node"
 
-// retainedBytes returns the bytes, on heap and stacks, that what build returns keeps.
+// retainedBytes returns the heap and stack memory in bytes that the result of build
+// retains.
 func retainedBytes(build func() (any, error)) (float64, error) {
 	before := liveBytes()
-	kept, err := build()
+	retained, err := build()
 	if err != nil {
 		return 0, err
 	}
 	after := liveBytes()
-	runtime.KeepAlive(kept)
-	runtime.KeepAlive(build) // with what it uses, which was there before
+	runtime.KeepAlive(retained)
+	runtime.KeepAlive(build) // the values that build captures are counted in before
 	return float64(after - before), nil
 }
 
-// liveBytes returns the bytes of live heap and stacks. Finalizers and pools let go
-// of theirs one collection after another; what was left to them by the measure
-// before would be taken from the next one.
+// liveBytes returns the bytes of live heap objects and of stacks. It collects garbage
+// until the number is stable, because finalizers and pools release memory only over
+// several collections. Memory left over from one measurement would be subtracted from the
+// next one.
 func liveBytes() int64 {
 	const (
-		steady = 1 << 10
-		most   = 20
+		tolerance      = 1 << 10
+		maxCollections = 20
 	)
 	last := int64(0)
-	for range most {
+	for range maxCollections {
 		runtime.GC()
 		var stats runtime.MemStats
 		runtime.ReadMemStats(&stats)
 		now := int64(stats.HeapAlloc + stats.StackInuse)
-		if now > last-steady && now < last+steady {
+		if now > last-tolerance && now < last+tolerance {
 			return now
 		}
 		last = now
@@ -99,7 +104,8 @@
 	return last
 }
 
-// cpuTimeOnce returns the processor time of work in microseconds.
+// cpuTimeOnce returns the CPU time in microseconds that the process takes while work runs
+// once.
 func cpuTimeOnce(work func() error) (float64, error) {
 	runtime.GC()
 	before, err := processCPUTime()
@@ -113,12 +119,12 @@
 	return after - before, err
 }
 
-// cpuTime returns the processor time of work in microseconds per run, of all
-// threads and of garbage collection with it. Time on the wall would count what
-// other programs on the machine take. The run is repeated until the time is
-// long against the steps in which processor time is counted.
+// cpuTime returns the CPU time in microseconds per run of work, including all threads and
+// garbage collection. It doesn't use wall-clock time, which would include the time that
+// other programs on the machine take. It repeats work until the total is long compared
+// with the resolution of the CPU time.
 func cpuTime(work func() error) (float64, error) {
-	const enough = 100_000
+	const minMicros = 100_000
 	for runs := 1; ; runs *= 2 {
 		used, err := cpuTimeOnce(func() error {
 			for range runs {
@@ -131,18 +137,17 @@
 		if err != nil {
 			return 0, err
 		}
-		if used >= enough {
+		if used >= minMicros {
 			return used / float64(runs), nil
 		}
 	}
 }
 
-// processCPUTime returns the processor time that this process took, in
-// microseconds.
+// processCPUTime returns the CPU time in microseconds that this process has taken.
 func processCPUTime() (float64, error) {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
-		return 0, errors.Annotate(err, "reading the processor time")
+		return 0, errors.Annotate(err, "reading the process's CPU time")
 	}
 	const perSecond = 1e6
 	seconds := used.Utime.Sec + used.Stime.Sec
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// The size to design for.
+// The design size: the deployment that nodes are designed for.
 const (
 	Nodes            = 2400
 	Upstreams        = 200_000
 	Services         = 4100
 	Routes           = 190_000
 	Callers          = 1_300_000
-	Requests         = 3_400_000 // a second
-	Changes          = 110_000   // a day
+	Requests         = 3_400_000 // per second
+	Changes          = 110_000   // per day
 	Regions          = 11
 	Domains          = 42
 	UpstreamsPerNode = Upstreams / Nodes
@@ -18,5 +18,5 @@
 
 // All returns every measure, in the order of docs/CAPACITY.md.
 func All() []Measure {
-	return slices.Concat(tables(), entries(), crossDomain(), gates(), frames(), links(), peers(), platforms(), accessLog(), admins(), wholeNode())
+	return slices.Concat(tableMeasures(), entryMeasures(), crossDomainMeasures(), gateMeasures(), frameMeasures(), linkMeasures(), idlePeerMeasures(), platformMeasures(), accessLogMeasures(), adminMeasures(), wholeNodeMeasures())
 }
--- a/capacity/slopes/main.go
+++ b/capacity/slopes/main.go
@@ -1,7 +1,7 @@
-// Command slopes measures what the parts of a node cost by their size and
-// writes the lines that docs/CAPACITY.md works with, as a Markdown table.
+// Command slopes measures how the cost of a node's parts grows with their size, and
+// writes the fitted lines as a Markdown table for docs/CAPACITY.md.
 //
-// It takes a part of a measure's name as its argument, to run only some.
+// With an argument it runs only the measures whose role or name contains the argument.
 package main
 
 import (
@@ -25,10 +25,12 @@
 	var a args
 	arg.MustParse(&a)
 	if err := run(os.Stdout, a.Part); err != nil {
-		logrus.WithError(err).Fatal("not all was measured")
+		logrus.WithError(err).Fatal("measuring failed; the table is incomplete")
 	}
 }
 
+// run measures the costs whose role or name contains part, and writes a table row for
+// each. It returns an error if there are none.
 func run(out io.Writer, part string) error {
 	fmt.Fprintln(out, "| role | cost | against | points | base | slope | residual | at the size designed for |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -45,12 +47,12 @@
 		rows++
 	}
 	if rows == 0 {
-		return errors.NotFoundf("a measure with %q in its role or name", part)
+		return errors.NotFoundf("measure with %q in its role or name", part)
 	}
 	return nil
 }
 
-// row is a result as a line of the table.
+// row returns the row of the table for a result.
 func row(r capacity.Result) string {
 	points := make([]string, 0, len(r.Points))
 	for _, p := range r.Points {
@@ -60,16 +62,17 @@
 		return fmt.Sprintf("| %s | %s, %s | %s | %s | | | | |",
 			r.Role, r.Name, r.Unit, r.Against, strings.Join(points, "; "))
 	}
-	at := ""
+	targetCost := ""
 	if r.Target > 0 {
-		at = fmt.Sprintf("%.0f: %s %s", r.Target, formatFigure(r.Line.At(r.Target)), r.Unit)
+		targetCost = fmt.Sprintf("%.0f: %s %s", r.Target, formatFigure(r.Line.At(r.Target)), r.Unit)
 	}
 	return fmt.Sprintf("| %s | %s, %s | %s | %s | %s | %s | %.1f%% | %s |",
 		r.Role, r.Name, r.Unit, r.Against, strings.Join(points, "; "),
-		formatFigure(r.Line.Base), formatFigure(r.Line.Slope), 100*r.Line.Residual, at)
+		formatFigure(r.Line.Base), formatFigure(r.Line.Slope), 100*r.Line.Residual, targetCost)
 }
 
-// formatFigure writes three significant digits, and whole numbers in full.
+// formatFigure formats a number with three significant digits, or as a whole number if its
+// magnitude is at least 1000.
 func formatFigure(x float64) string {
 	if x >= 1000 || x <= -1000 {
 		return fmt.Sprintf("%.0f", x)
--- a/capacity/tables.go
+++ b/capacity/tables.go
@@ -9,22 +9,22 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// perService and routesEach are those of the size to design for: 200,000
+// upstreamsPerService and routesPerService are the averages at the design size: 200,000
 // upstreams and 190,000 routes in 4,100 services.
 const (
-	perService = 49
-	routesEach = 46
+	upstreamsPerService = 49
+	routesPerService    = 46
 )
 
-// tables measures the published configuration.
-func tables() []Measure {
-	inValue := upstreams(5, 20, 50, 100) // as many as one value of the platform holds
+// tableMeasures returns the measures of the published configuration.
+func tableMeasures() []Measure {
+	sizes := upstreamCounts(5, 20, 50, 100) // at most as many as fit in one value of the platform
 	return []Measure{
 		{
 			Role: "table", Name: "text with its routes", Unit: unitBytes, Against: "upstreams",
-			Sizes: inValue, Target: Upstreams,
+			Sizes: sizes, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
-				return float64(len(tableText(n/perService, perService, routesEach))), nil
+				return float64(len(tableText(n/upstreamsPerService, upstreamsPerService, routesPerService))), nil
 			},
 		},
 		{
@@ -34,9 +34,9 @@
 		},
 		{
 			Role: "table", Name: "parsed", Unit: unitMicros, Against: "upstreams",
-			Sizes: inValue, Target: Upstreams,
+			Sizes: sizes, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
-				text := []byte(tableText(n/perService, perService, routesEach))
+				text := []byte(tableText(n/upstreamsPerService, upstreamsPerService, routesPerService))
 				return cpuTime(func() error {
 					_, err := table.Parse(text)
 					return err
@@ -45,9 +45,9 @@
 		},
 		{
 			Role: "table", Name: "held", Unit: unitBytes, Against: "upstreams",
-			Sizes: inValue, Target: Upstreams,
+			Sizes: sizes, Target: Upstreams,
 			Cost: func(n int) (float64, error) {
-				text := []byte(tableText(n/perService, perService, routesEach))
+				text := []byte(tableText(n/upstreamsPerService, upstreamsPerService, routesPerService))
 				return retainedBytes(func() (any, error) { return table.Parse(text) })
 			},
 		},
@@ -61,7 +61,7 @@
 		},
 		{
 			Role: "table", Name: "compared after a one-line edit", Unit: unitMicros, Against: "upstreams",
-			Sizes: inValue, Target: Upstreams,
+			Sizes: sizes, Target: Upstreams,
 			Cost: diffTime,
 		},
 		{
@@ -83,16 +83,19 @@
 	}
 }
 
-func upstreams(services ...int) []int {
+// upstreamCounts returns the numbers of upstreams for numbers of services.
+func upstreamCounts(services ...int) []int {
 	sizes := make([]int, 0, len(services))
 	for _, n := range services {
-		sizes = append(sizes, n*perService)
+		sizes = append(sizes, n*upstreamsPerService)
 	}
 	return sizes
 }
 
+// diffTime returns the CPU time in microseconds to compare two tables that differ in one
+// line.
 func diffTime(upstreams int) (float64, error) {
-	text := tableText(upstreams/perService, perService, routesEach)
+	text := tableText(upstreams/upstreamsPerService, upstreamsPerService, routesPerService)
 	older, err := table.Parse([]byte(text))
 	if err != nil {
 		return 0, err
@@ -103,21 +106,21 @@
 	}
 	return cpuTime(func() error {
 		if n := len(table.Diff(older, newer)); n != 1 {
-			return errors.Errorf("%d changes found, want 1", n)
+			return errors.Errorf("comparing the tables found %d changes, want 1", n)
 		}
 		return nil
 	})
 }
 
-// tableText writes a table. Its nodes have as many upstreams beside them as
-// those of the size to design for.
-func tableText(services, each, routes int) string {
+// tableText returns the text of a table with so many upstreams and routes per service.
+// The upstreams are spread over as many nodes as the design size has.
+func tableText(services, upstreams, routes int) string {
 	var b strings.Builder
 	b.WriteString("format = 1\nversion = 1\n")
 	for s := range services {
 		fmt.Fprintf(&b, "[[service]]\nname = \"service-%d\"\n", s)
-		for u := range each {
-			i := s*each + u
+		for u := range upstreams {
+			i := s*upstreams + u
 			fmt.Fprintf(&b, "[[service.upstream]]\nname = \"upstream-%d\"\naddress = \"%s:8080\"\n"+
 				"node = \"%s:7000\"\ndomain = \"domain-%d\"\nslots = 7\n", i, ip(i), ip(i%Nodes), i%Nodes%Domains)
 		}
@@ -130,6 +133,7 @@
 	return b.String()
 }
 
+// instanceText returns the text of an instance list.
 func instanceText(nodes int) string {
 	var b strings.Builder
 	b.WriteString("version = 1\n")
@@ -139,7 +143,8 @@
 	return b.String()
 }
 
+// ip returns the address of a simulated host, for i below 1<<24.
 func ip(i int) string {
-	const octet = 255
-	return fmt.Sprintf("10.%d.%d.%d", i>>16&octet, i>>8&octet, i&octet)
+	const octetMask = 255
+	return fmt.Sprintf("10.%d.%d.%d", i>>16&octetMask, i>>8&octetMask, i&octetMask)
 }
