--- a/standin/admin.go
+++ b/standin/admin.go
@@ -11,11 +11,11 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// adminPrefix is where scripts drive a stand-in that runs as a process of its
-// own. No fault or mode touches these paths.
+// adminPrefix is the prefix of the paths by which scripts control a stand-in that runs as a
+// separate process. Faults and modes don't apply to these paths.
 const adminPrefix = "/standin/"
 
-// Paths of administration.
+// Admin paths.
 const (
 	publishPath = adminPrefix + "publish"
 	restorePath = adminPrefix + "restore"
@@ -28,8 +28,8 @@
 	statsPath   = adminPrefix + "stats"
 )
 
-func (p *Platform) admin(ctx *fasthttp.RequestCtx, path string) {
-	post := map[string]func(*fasthttp.RequestCtx) error{
+func (p *Platform) serveAdmin(ctx *fasthttp.RequestCtx, path string) {
+	actions := map[string]func(*fasthttp.RequestCtx) error{
 		publishPath: p.adminPublish,
 		restorePath: p.adminRestore,
 		modePath:    p.adminMode,
@@ -40,7 +40,7 @@
 	case path == awaitPath && ctx.IsGet():
 		p.adminAwait(ctx)
 	default:
-		runPost(ctx, post[path])
+		runPost(ctx, actions[path])
 	}
 }
 
@@ -51,13 +51,13 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	runAwait(ctx, func(wait context.Context) error { return p.AwaitCalls(wait, calls) })
+	runAwait(ctx, func(ctx context.Context) error { return p.AwaitCalls(ctx, calls) })
 	if ctx.Response.StatusCode() == fasthttp.StatusOK {
 		writeJSON(ctx, p.Calls())
 	}
 }
 
-// countArgument reads a count, 0 if it isn't given.
+// countArgument reads a count from the query arguments, 0 if it isn't given.
 func countArgument(ctx *fasthttp.RequestCtx, name string) (uint64, error) {
 	text := ctx.QueryArgs().Peek(name)
 	if len(text) == 0 {
@@ -67,15 +67,15 @@
 	return count, errors.Annotatef(err, "reading %s", name)
 }
 
-// defaultAwaitTimeout bounds GET /standin/await for scripts that name no wait.
+// defaultAwaitTimeout bounds GET /standin/await for requests without the argument wait.
 const defaultAwaitTimeout = 10 * clock.Second
 
-// runAwait sets status 200 when what a script waits for has come, and 408 when
-// ?wait= is over.
+// runAwait calls await with the timeout of the argument wait. It leaves status 200 if await
+// succeeds, and sets 408 if await returns an error.
 func runAwait(ctx *fasthttp.RequestCtx, await func(context.Context) error) {
-	span := defaultAwaitTimeout
+	timeout := defaultAwaitTimeout
 	if text := ctx.QueryArgs().Peek("wait"); len(text) > 0 {
-		if err := span.UnmarshalText(text); err != nil {
+		if err := timeout.UnmarshalText(text); err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
@@ -85,9 +85,9 @@
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
-	// Not under the request itself: its memory is used again when it is answered,
-	// while the goroutine below may still end the wait.
-	wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), span.Duration())
+	// WithoutCancel detaches the wait from the request: the server reuses the request's
+	// memory after the answer, while the goroutine below may still cancel the wait.
+	waitCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout.Duration())
 	defer cancel()
 	gone, release := conn.watch()
 	defer release()
@@ -95,16 +95,16 @@
 		defer cancel()
 		select {
 		case <-gone:
-		case <-wait.Done():
+		case <-waitCtx.Done():
 		}
 	}()
-	if err := await(wait); err != nil {
+	if err := await(waitCtx); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusRequestTimeout)
 	}
 }
 
 func (p *Platform) adminPublish(ctx *fasthttp.RequestCtx) error {
-	key, version, err := publishArguments(ctx)
+	key, version, err := parsePublish(ctx)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 }
 
 func (p *Platform) adminRestore(ctx *fasthttp.RequestCtx) error {
-	key, version, err := publishArguments(ctx)
+	key, version, err := parsePublish(ctx)
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,8 @@
 	return nil
 }
 
-func publishArguments(ctx *fasthttp.RequestCtx) (key string, version uint64, err error) {
+// parsePublish reads the query arguments key and version.
+func parsePublish(ctx *fasthttp.RequestCtx) (key string, version uint64, err error) {
 	args := ctx.QueryArgs()
 	key = string(args.Peek("key"))
 	if key == "" {
@@ -153,8 +154,8 @@
 	}
 }
 
-// runPost answers 204 when the action was done, 400 with the reason when its
-// arguments are wrong, and 404 for no such action.
+// runPost runs the action of a POST. It answers 204 if the action succeeds, 400 with the
+// error if the action fails, 404 if action is nil, and 405 for another method.
 func runPost(ctx *fasthttp.RequestCtx, action func(*fasthttp.RequestCtx) error) {
 	if action == nil {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -171,6 +172,7 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
+// writeJSON sets the JSON encoding of the value as the body of the answer.
 func writeJSON(ctx *fasthttp.RequestCtx, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -12,50 +12,50 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Headers between a gate and its backend server.
+// Headers of requests that a gate sends to its backend server, and of the answers.
 const (
-	// RequestHeader carries the request's id, and is echoed.
+	// RequestHeader carries the request's id; the answer repeats it.
 	RequestHeader = "Fuchsiapick-Request"
-	// CallerHeader carries who asks.
+	// CallerHeader carries the caller's name.
 	CallerHeader = "Fuchsiapick-Caller"
-	// AccountHeader carries the client account whose key the request came with.
+	// AccountHeader carries the client account of the request's key.
 	AccountHeader = "Fuchsiapick-Account"
-	// DeadlineHeader carries the milliseconds that are left.
+	// DeadlineHeader carries the time left for the request, in milliseconds.
 	DeadlineHeader = "Fuchsiapick-Deadline"
-	// RefusalHeader is on a 503 for a request that did not run.
+	// RefusalHeader marks a 503 as an answer to a request that did not run.
 	RefusalHeader = "Fuchsiapick-Backend"
-	// RefusalShed is the value of RefusalHeader.
+	// RefusalShed is the only value of RefusalHeader.
 	RefusalShed = "shed"
 	// BackendHeader names the backend server that answered.
 	BackendHeader = "Backend"
 )
 
-// loadUpdateInterval is after how many begun requests /load is brought up to date.
+// loadUpdateInterval is the number of begun requests after which /load is updated.
 const loadUpdateInterval = 32
 
 // BackendConfig describes a backend server to start.
 type BackendConfig struct {
 	Name    string
 	Address string
-	// Slots is how many requests run at once; the next ones wait.
+	// Slots is how many requests run at once, at least 1; further requests wait.
 	Slots int
-	// Service is the time that a request takes.
+	// Service is the time that a request takes without a fault.
 	Service clock.Millis
-	// Ledger is how many entries the ledger holds; 0 stands for 65,536.
+	// Ledger is the maximum number of entries in the ledger; 0 means 65,536.
 	Ledger int
-	// Seed draws which requests a fault's share meets.
+	// Seed seeds the choice of the requests that a fault affects.
 	Seed uint64
 }
 
-// Backend stands in for a backend server. It is safe for concurrent use.
+// Backend is a simulated backend server. It is safe for concurrent use.
 type Backend struct {
-	config  BackendConfig
-	address string
-	once    sync.Once
-	stop    chan struct{}
-	clock   *clock.System
-	slots   chan struct{}
-	ledger  ledger
+	config    BackendConfig
+	address   string
+	closeOnce sync.Once
+	stop      chan struct{}
+	clock     *clock.System
+	slots     chan struct{}
+	ledger    ledger
 
 	mu       sync.Mutex
 	ln       *listener
@@ -67,13 +67,14 @@
 	load     load
 }
 
-// load is what /load answers.
+// load is the body of an answer to /load.
 type load struct {
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 }
 
-// StartBackend listens and serves until Close.
+// StartBackend starts a backend server that serves until Close. It returns an error if it
+// can't listen on the address.
 func StartBackend(ctx context.Context, config BackendConfig) (*Backend, error) {
 	if config.Slots <= 0 {
 		config.Slots = 1
@@ -106,7 +107,7 @@
 	return b.address
 }
 
-// SetFault changes how requests that arrive from now on are treated.
+// SetFault replaces the fault for requests that arrive from now on.
 func (b *Backend) SetFault(fault Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,7 +115,7 @@
 	b.sequence = 0
 }
 
-// Ledger returns the latest requests that were begun, oldest first.
+// Ledger returns the most recently begun requests, oldest first.
 func (b *Backend) Ledger() []Entry {
 	return b.ledger.entries()
 }
@@ -124,7 +125,8 @@
 	return b.ledger.counts()
 }
 
-// Await waits until the totals reach what is asked, or ctx ends.
+// Await waits until reached returns true for the totals. It returns an error if ctx ends
+// before.
 func (b *Backend) Await(ctx context.Context, reached func(Totals) bool) error {
 	return await(ctx, func() (bool, <-chan struct{}) {
 		b.ledger.mu.Lock()
@@ -133,10 +135,10 @@
 	})
 }
 
-// Close ends the backend server and all its connections. A second call does
+// Close stops the backend server and closes all its connections. A second call does
 // nothing.
 func (b *Backend) Close() {
-	b.once.Do(func() {
+	b.closeOnce.Do(func() {
 		b.mu.Lock()
 		close(b.stop)
 		ln := b.ln
@@ -153,19 +155,20 @@
 	case path == "/load":
 		writeJSON(ctx, b.staleLoad())
 	case strings.HasPrefix(path, adminPrefix):
-		b.admin(ctx, path)
+		b.serveAdmin(ctx, path)
 	default:
 		b.serveRequest(ctx)
 	}
 }
 
+// staleLoad returns the load as of the last update; see loadUpdateInterval.
 func (b *Backend) staleLoad() load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.load
 }
 
-func (b *Backend) admin(ctx *fasthttp.RequestCtx, path string) {
+func (b *Backend) serveAdmin(ctx *fasthttp.RequestCtx, path string) {
 	switch {
 	case path == ledgerPath && ctx.IsGet():
 		writeJSON(ctx, b.Ledger())
@@ -181,7 +184,7 @@
 }
 
 func (b *Backend) adminFault(ctx *fasthttp.RequestCtx) error {
-	fault, err := faultArguments(ctx)
+	fault, err := parseFault(ctx)
 	if err != nil {
 		return err
 	}
@@ -191,18 +194,18 @@
 
 // adminAwait answers GET /standin/await?begun=N&ended=N&refused=N&wait=10s.
 func (b *Backend) adminAwait(ctx *fasthttp.RequestCtx) {
-	var wanted [3]uint64
+	var minCounts [3]uint64
 	for i, name := range []string{"begun", "ended", "refused"} {
 		count, err := countArgument(ctx, name)
 		if err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		wanted[i] = count
+		minCounts[i] = count
 	}
-	runAwait(ctx, func(wait context.Context) error {
-		return b.Await(wait, func(t Totals) bool {
-			return t.Begun >= wanted[0] && t.Ended() >= wanted[1] && t.Refused >= wanted[2]
+	runAwait(ctx, func(ctx context.Context) error {
+		return b.Await(ctx, func(t Totals) bool {
+			return t.Begun >= minCounts[0] && t.Ended() >= minCounts[1] && t.Refused >= minCounts[2]
 		})
 	})
 	if ctx.Response.StatusCode() == fasthttp.StatusOK {
--- a/standin/backend_test.go
+++ b/standin/backend_test.go
@@ -22,8 +22,8 @@
 	return b
 }
 
-// ask sends a GET and returns its answer.
-func ask(t *testing.T, address, path string, headers ...string) *fasthttp.Response {
+// get sends a GET request, with headers as pairs of name and value, and returns the answer.
+func get(t *testing.T, address, path string, headers ...string) *fasthttp.Response {
 	t.Helper()
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -38,8 +38,9 @@
 	return resp
 }
 
-// open writes the head of a request and leaves the connection open.
-func open(t *testing.T, address, id string) net.Conn {
+// openRequest sends a request with the given id and returns the connection without reading
+// the answer.
+func openRequest(t *testing.T, address, id string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(t.Context(), "tcp", address)
@@ -61,12 +62,12 @@
 	}
 }
 
-func TestBackendAnswersWhole(t *testing.T) {
+func TestBackendAnswersAndRecordsRequests(t *testing.T) {
 	b := startBackend(t, standin.BackendConfig{Name: "a1", Service: 1})
 	for _, id := range []string{"first", "second", "third"} {
-		got := ask(t, b.Address(), "/rosters?size=5000", standin.RequestHeader, id, standin.CallerHeader, "hotel")
+		got := get(t, b.Address(), "/rosters?size=5000", standin.RequestHeader, id, standin.CallerHeader, "hotel")
 		if want := standin.AnswerBody(id, 5000); !bytes.Equal(got.Body(), want) {
-			t.Errorf("%s: got %d bytes that differ, want its own %d", id, len(got.Body()), len(want))
+			t.Errorf("%s: got a body of %d bytes that differs, want the %d bytes for this id", id, len(got.Body()), len(want))
 		}
 		if name := string(got.Header.Peek(standin.BackendHeader)); name != "a1" {
 			t.Errorf("%s: got answer of %q, want a1", id, name)
@@ -103,7 +104,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := startBackend(t, standin.BackendConfig{Service: 2})
 			b.SetFault(tt.fault)
-			got := ask(t, b.Address(), "/x", standin.DeadlineHeader, tt.deadline)
+			got := get(t, b.Address(), "/x", standin.DeadlineHeader, tt.deadline)
 			if got.StatusCode() != tt.status {
 				t.Errorf("got status %d, want %d", got.StatusCode(), tt.status)
 			}
@@ -111,36 +112,36 @@
 				t.Errorf("got refusal %v, want %v", refused, tt.refused)
 			}
 			if closes := got.ConnectionClose(); closes != (tt.fault.Kind == standin.Drains) {
-				t.Errorf("got connection closed %v, want it under drain only", closes)
+				t.Errorf("got connection closed %v, want it only under drain", closes)
 			}
 			if ran := len(b.Ledger()) == 1; ran == tt.refused {
-				t.Errorf("got entry %v, want one just if the request ran", ran)
+				t.Errorf("got entry %v, want one only if the request ran", ran)
 			}
 			if tt.fault.Factor > 1 {
 				if took := b.Ledger()[0].Ended - b.Ledger()[0].Started; took < 5*clock.Millis(1) {
-					t.Errorf("got %v, want the service time three times", took)
+					t.Errorf("got %v, want about three times the service time", took)
 				}
 			}
-			if status := ask(t, b.Address(), "/healthz").StatusCode(); status != fasthttp.StatusOK {
-				t.Errorf("got health %d, want 200 whatever the fault", status)
+			if status := get(t, b.Address(), "/healthz").StatusCode(); status != fasthttp.StatusOK {
+				t.Errorf("got health %d, want 200 under every fault", status)
 			}
 		})
 	}
 }
 
-// A caller gives up on a hanging request; its gate closes the connection. The
-// backend server must end the request then, or its slot stays taken for good
-// and a test would take a cancelled request for one that still runs.
-func TestBackendHangEndsWithItsConnection(t *testing.T) {
+// A caller gives up on a hanging request and its gate closes the connection. If the backend
+// server didn't end the request then, its slot would stay taken, and tests would mistake a
+// cancelled request for a running one.
+func TestBackendHangEndsWhenConnectionCloses(t *testing.T) {
 	b := startBackend(t, standin.BackendConfig{Slots: 1})
 	b.SetFault(standin.Fault{Kind: standin.Hangs})
-	conn := open(t, b.Address(), "lost")
+	conn := openRequest(t, b.Address(), "lost")
 	awaitBackend(t, b, func(totals standin.Totals) bool { return totals.Begun == 1 })
 	if got := b.Ledger()[0].Outcome; got != standin.Running {
 		t.Errorf("got %s while it hangs, want running", got)
 	}
 	b.SetFault(standin.Fault{Kind: standin.Sheds})
-	if got := ask(t, b.Address(), "/x").StatusCode(); got != fasthttp.StatusServiceUnavailable {
+	if got := get(t, b.Address(), "/x").StatusCode(); got != fasthttp.StatusServiceUnavailable {
 		t.Errorf("got status %d with all slots taken, want 503", got)
 	}
 	if err := conn.Close(); err != nil {
@@ -148,26 +149,26 @@
 	}
 	awaitBackend(t, b, func(totals standin.Totals) bool { return totals.Cancelled == 1 })
 	b.SetFault(standin.Fault{Kind: standin.Healthy})
-	if got := ask(t, b.Address(), "/x").StatusCode(); got != fasthttp.StatusOK {
+	if got := get(t, b.Address(), "/x").StatusCode(); got != fasthttp.StatusOK {
 		t.Errorf("got status %d after the slot was freed, want 200", got)
 	}
 }
 
-// A request waits for a slot and its caller hangs up. It must neither run later
-// nor be entered, or the ledger shows work that nobody asked for any more.
-func TestBackendQueuedRequestEndsWithItsConnection(t *testing.T) {
+// A request waits for a slot and its caller closes the connection. If the request ran later
+// or got an entry, the ledger would show work that no caller waits for.
+func TestBackendQueuedRequestEndsWhenConnectionCloses(t *testing.T) {
 	b := startBackend(t, standin.BackendConfig{Slots: 1})
 	b.SetFault(standin.Fault{Kind: standin.Hangs})
-	holder := open(t, b.Address(), "holder")
+	holder := openRequest(t, b.Address(), "holder")
 	awaitBackend(t, b, func(totals standin.Totals) bool { return totals.Begun == 1 })
-	waiter := open(t, b.Address(), "waiter")
+	waiter := openRequest(t, b.Address(), "waiter")
 	awaitBackend(t, b, func(totals standin.Totals) bool { return totals.Queued == 1 })
 	_ = waiter.Close()
 	awaitBackend(t, b, func(totals standin.Totals) bool { return totals.Abandoned == 1 })
 	_ = holder.Close()
 	awaitBackend(t, b, func(totals standin.Totals) bool { return totals.Ended() == 1 })
 	if got := b.Totals().Begun; got != 1 {
-		t.Errorf("got %d begun, want the holder only", got)
+		t.Errorf("got %d begun, want only the request that holds the slot", got)
 	}
 }
 
@@ -176,7 +177,7 @@
 		b := startBackend(t, standin.BackendConfig{Seed: 7})
 		b.SetFault(standin.Fault{Kind: standin.Fails, Share: 0.3})
 		for range 200 {
-			ask(t, b.Address(), "/x")
+			get(t, b.Address(), "/x")
 		}
 		return b.Totals().Failed
 	}
@@ -189,7 +190,7 @@
 func TestBackendLedgerIsBounded(t *testing.T) {
 	b := startBackend(t, standin.BackendConfig{Ledger: 4})
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
-		ask(t, b.Address(), "/x", standin.RequestHeader, id)
+		get(t, b.Address(), "/x", standin.RequestHeader, id)
 	}
 	got := b.Ledger()
 	if len(got) != 4 || got[0].ID != "c" || got[3].ID != "f" {
--- a/standin/broadcast.go
+++ b/standin/broadcast.go
@@ -6,13 +6,13 @@
 	"github.com/juju/errors"
 )
 
-// broadcast wakes all that wait for a change of something under a lock. The
-// lock is the owner's.
+// broadcast wakes all goroutines that wait for a change of its owner's state. The owner's
+// lock guards it.
 type broadcast struct {
 	changed chan struct{}
 }
 
-// wait returns a channel that closes at the next change. It needs the lock.
+// wait returns a channel that closes at the next change. The caller must hold the lock.
 func (b *broadcast) wait() <-chan struct{} {
 	if b.changed == nil {
 		b.changed = make(chan struct{})
@@ -20,7 +20,7 @@
 	return b.changed
 }
 
-// notify wakes all that wait. It needs the lock.
+// notify closes the channels that wait has returned. The caller must hold the lock.
 func (b *broadcast) notify() {
 	if b.changed != nil {
 		close(b.changed)
@@ -28,11 +28,11 @@
 	}
 }
 
-// await calls look until it reports true, after each change that look
-// returns, or until ctx ends.
-func await(ctx context.Context, look func() (bool, <-chan struct{})) error {
+// await returns once check reports true. It calls check again whenever the channel that
+// check returns is closed, and returns an error if ctx ends before.
+func await(ctx context.Context, check func() (bool, <-chan struct{})) error {
 	for {
-		reached, changed := look()
+		reached, changed := check()
 		if reached {
 			return nil
 		}
--- a/standin/crash.go
+++ b/standin/crash.go
@@ -11,11 +11,11 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// defaultDowntime is how long a process is gone after a crash unless told otherwise.
+// defaultDowntime is the default time from a crash to the restart.
 const defaultDowntime = 50 * clock.Millis(1)
 
-// Crash ends the backend server as the end of its process would: nothing listens at its
-// address, and all connections break off. It returns when that is so.
+// Crash simulates a crash of the backend server's process: it closes the listener and all
+// connections, and then returns.
 func (b *Backend) Crash() {
 	b.mu.Lock()
 	ln := b.ln
@@ -28,7 +28,8 @@
 	}
 }
 
-// Restart listens again on the address, unless the backend server is up or closed.
+// Restart listens on the same address again after a crash. It does nothing if the backend
+// server is up or closed, and returns an error if it can't listen.
 func (b *Backend) Restart(ctx context.Context) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,14 +45,14 @@
 	return nil
 }
 
-// Crashes returns how often the backend server has crashed.
+// Crashes returns the number of crashes so far.
 func (b *Backend) Crashes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crashes
 }
 
-// IsDown reports whether nothing listens at the address.
+// IsDown reports whether the backend server has crashed and not been restarted.
 func (b *Backend) IsDown() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,19 +68,19 @@
 	}
 }
 
-// crashes reports whether the fault ends the process at the request.
+// crashes reports whether the fault crashes the backend server at the request.
 func (f Fault) crashes(ctx *fasthttp.RequestCtx) bool {
 	return f.Kind == Crashes && strings.HasPrefix(string(ctx.Path()), f.Path)
 }
 
-// CrashFor crashes the process and starts another one after a time, 50 ms for 0.
-func (b *Backend) CrashFor(down clock.Millis) {
+// CrashFor crashes the backend server and restarts it after the given time; 0 means 50 ms.
+func (b *Backend) CrashFor(downtime clock.Millis) {
 	b.Crash()
-	if down == 0 {
-		down = defaultDowntime
+	if downtime == 0 {
+		downtime = defaultDowntime
 	}
-	time.AfterFunc(down.Duration(), func() {
-		// An address that another process has taken meanwhile leaves the stand-in down.
+	time.AfterFunc(downtime.Duration(), func() {
+		// If another process has taken the address meanwhile, the backend server stays downtime.
 		_ = b.Restart(context.Background())
 	})
 }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -12,54 +12,57 @@
 // FaultKind names how a backend server misbehaves.
 type FaultKind string
 
-// Kinds of faults, beside Slow. None touches /healthz, which answers 200
-// whatever the fault: health endpoints lag and mislead.
+// Kinds of faults, in addition to Slow. No fault changes /healthz, which always answers 200:
+// real health endpoints lag and mislead.
 const (
 	// Healthy serves each request in the service time.
 	Healthy FaultKind = "healthy"
 	// Fails answers 500 after the service time.
 	Fails FaultKind = "fails"
-	// Hangs begins the request and never answers it; it ends when the
-	// connection closes.
+	// Hangs begins the request and never answers it. The request ends when its connection
+	// closes.
 	Hangs FaultKind = "hangs"
-	// Sheds refuses a request at once when all slots are taken, and the share
-	// of requests besides, instead of letting them wait.
+	// Sheds refuses requests instead of letting them wait: all requests while all slots are
+	// taken, and otherwise the share of requests.
 	Sheds FaultKind = "sheds"
-	// ColdStart multiplies the service time by Factor at first; the factor
-	// falls evenly to 1 over the first Requests requests.
+	// ColdStart multiplies the service time by Factor at first. The factor falls linearly to
+	// 1 over the first Requests requests.
 	ColdStart FaultKind = "coldstart"
-	// Crashes ends the process at each request under Path, and starts it again later.
+	// Crashes crashes the backend server at each request whose path begins with Path, and
+	// restarts it after Downtime.
 	Crashes FaultKind = "crashes"
-	// Drains finishes what runs, refuses what is new, and closes connections.
+	// Drains finishes running requests, refuses new ones and closes their connections.
 	Drains FaultKind = "drains"
 )
 
-// Fault is what a backend server does to its requests.
+// Fault is the way in which a backend server misbehaves.
 type Fault struct {
 	Kind FaultKind
-	// Share of requests that the fault meets, from 0 to 1. For Fails, Slow
-	// and Hangs, 0 stands for all.
+	// Share is the share of requests that the fault affects, from 0 to 1. For Fails, Slow
+	// and Hangs, 0 means all requests.
 	Share float64
 	// Factor multiplies the service time under Slow and ColdStart.
 	Factor float64
-	// Requests is how many requests a cold start lasts; 0 means coldRequests.
-	// It is a count and no time, so that a test sees the same on every run.
+	// Requests is the length of a cold start in requests; 0 means 60. The length is a count
+	// and not a time, so that every run of a test sees the same.
 	Requests int
-	// Path begins those of the requests that Crashes meets.
+	// Path is the path prefix of the requests at which Crashes crashes the backend server.
 	Path string
-	// Downtime is how long a crashed process is gone; 0 stands for 50 ms. After is how long a
-	// request that crashes it runs before.
+	// Downtime is the time from a crash to the restart; 0 means 50 ms. CrashDelay is how long
+	// a request runs before it crashes the backend server.
 	Downtime, CrashDelay clock.Millis
-	// FailFastShare is the share of requests that Crashes fails at once, also those under Path.
+	// FailFastShare is the share of requests, from 0 to 1, that are answered immediately with
+	// 500. It takes precedence over a crash.
 	FailFastShare float64
 }
 
-// coldRequests is the length of a cold start unless told otherwise: at three
-// slots some twenty rounds, enough to be seen by a verdict over outcomes.
-const coldRequests = 60
+// defaultColdStartRequests is the default length of a cold start: with three slots about
+// twenty requests on each, which is enough for a verdict over outcomes to detect it.
+const defaultColdStartRequests = 60
 
-// faultArguments reads ?kind=&share=&factor=&requests=.
-func faultArguments(ctx *fasthttp.RequestCtx) (Fault, error) {
+// parseFault reads the query arguments kind, share, factor, down, path and requests. It
+// returns an error for an unknown kind and for a value that doesn't parse.
+func parseFault(ctx *fasthttp.RequestCtx) (Fault, error) {
 	args := ctx.QueryArgs()
 	fault := Fault{Kind: FaultKind(args.Peek("kind")), Path: string(args.Peek("path"))}
 	switch fault.Kind {
@@ -85,6 +88,7 @@
 	return fault, errors.Annotate(err, "reading requests")
 }
 
+// floatArgument reads a number from the query arguments, 0 if it isn't given.
 func floatArgument(args *fasthttp.Args, name string) (float64, error) {
 	text := args.Peek(name)
 	if len(text) == 0 {
@@ -94,8 +98,8 @@
 	return value, errors.Annotatef(err, "reading %s", name)
 }
 
-// share returns the share of requests that the fault meets. Sheds alone means
-// its 0, since it refuses besides whatever finds no free slot.
+// share returns the share of requests that the fault affects. A share of 0 means all
+// requests, except for Sheds, which also refuses every request that finds no free slot.
 func (f Fault) share() float64 {
 	if f.Share == 0 && f.Kind != Sheds {
 		return 1
@@ -103,18 +107,19 @@
 	return f.Share
 }
 
-// slowdown returns what the fault multiplies the service time of the
-// sequence-th request since it was set by; the first has sequence 0.
-func (f Fault) slowdown(sequence int, drawn bool) float64 {
+// slowdown returns the factor, at least 1, for the service time of a request. Sequence is
+// the number of requests since the fault was set, and affected says whether the request
+// belongs to the fault's share.
+func (f Fault) slowdown(sequence int, affected bool) float64 {
 	switch {
 	case f.Factor <= 1:
 		return 1
-	case f.Kind == Slow && drawn:
+	case f.Kind == Slow && affected:
 		return f.Factor
 	case f.Kind == ColdStart:
 		length := f.Requests
 		if length <= 0 {
-			length = coldRequests
+			length = defaultColdStartRequests
 		}
 		left := max(0, 1-float64(sequence)/float64(length))
 		return 1 + (f.Factor-1)*left
--- a/standin/ledger.go
+++ b/standin/ledger.go
@@ -6,7 +6,7 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Outcome is how a request that a backend server began has ended.
+// Outcome is the result of a request that a backend server began.
 type Outcome string
 
 // Outcomes of begun requests.
@@ -17,14 +17,14 @@
 	Cancelled Outcome = "cancelled"
 )
 
-// Entry is one request that a backend server began. A refused request has
-// none. Instants are of the backend server's own clock.
+// Entry is one request that a backend server began. A refused request has no entry. Started
+// and Ended are times of the backend server's own clock.
 type Entry struct {
 	ID     string `json:"id"`
 	Caller string `json:"caller"`
-	// Account is the client account that the request is said to be of.
+	// Account is the client account that the request's AccountHeader names.
 	Account string `json:"account"`
-	// Authorization is that header of the request.
+	// Authorization is the request's Authorization header.
 	Authorization string `json:"authorization"`
 	Method        string `json:"method"`
 	Path          string `json:"path"`
@@ -35,8 +35,8 @@
 	Outcome  Outcome      `json:"outcome"`
 }
 
-// Totals counts all requests since the start, those that the ledger no longer
-// holds included.
+// Totals counts all requests since the start, including those that the ledger no longer
+// holds.
 type Totals struct {
 	Begun     uint64 `json:"begun"`
 	Served    uint64 `json:"served"`
@@ -48,29 +48,29 @@
 	Queued uint64 `json:"queued"`
 	// Abandoned counts requests whose connection closed while they waited.
 	Abandoned uint64 `json:"abandoned"`
-	// Dropped counts entries that newer ones have replaced.
+	// Dropped counts entries that newer entries have replaced.
 	Dropped uint64 `json:"dropped"`
 }
 
-// Ended counts begun requests that are over.
+// Ended returns the number of begun requests that have ended.
 func (t Totals) Ended() uint64 {
 	return t.Served + t.Failed + t.Cancelled
 }
 
-// defaultLedgerSize bounds the entries held: some 20 MB, and minutes of a busy
-// backend server of the users' sizes.
+// defaultLedgerSize is the default number of entries kept: about 20 MB, or several minutes
+// of requests to a busy backend server of the deployments' sizes.
 const defaultLedgerSize = 1 << 16
 
-// ledger is a ring of the latest entries.
+// ledger is a ring buffer of the most recent entries.
 type ledger struct {
-	size    uint64 // entries held at most
+	size    uint64 // maximum number of entries
 	mu      sync.Mutex
 	ring    []Entry
 	totals  Totals
 	changed broadcast
 }
 
-// begin enters a request and returns its number.
+// begin adds an entry and returns its number, which counts from 0.
 func (l *ledger) begin(entry Entry) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,6 +86,7 @@
 	return number
 }
 
+// end sets the outcome and end time of an entry, if the ledger still holds it.
 func (l *ledger) end(number uint64, outcome Outcome, at clock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +108,7 @@
 	entry.Outcome = outcome
 }
 
-// updateTotals changes the counts by what isn't entered.
+// updateTotals applies a change to the totals for a request that has no entry.
 func (l *ledger) updateTotals(change func(*Totals)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +116,7 @@
 	l.changed.notify()
 }
 
-// entries returns a copy, oldest first.
+// entries returns a copy of the entries, oldest first.
 func (l *ledger) entries() []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what a node talks to: the
-// platform's configuration service, a backend server, and a TCP relay that
-// breaks connections. Tests, sessions and the demo use them; a node never does.
+// Package standin holds small stand-ins for the services that a node talks to: the
+// platform's configuration service and a backend server. It also has a TCP relay that
+// injects network faults. Tests, sessions and the demo use the stand-ins; a node never does.
 package standin
 
 import (
@@ -14,14 +14,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// listener hands out connections that report when the other end is gone, and
-// closes them all when the stand-in ends.
+// listener accepts connections as watchedConns and closes them all when the stand-in stops.
 type listener struct {
 	net.Listener
-	mu     sync.Mutex
-	open   map[*watchedConn]struct{}
-	closed bool
-	served sync.WaitGroup
+	mu        sync.Mutex
+	open      map[*watchedConn]struct{}
+	closed    bool
+	openConns sync.WaitGroup
 }
 
 func listen(ctx context.Context, address string) (*listener, error) {
@@ -40,7 +39,7 @@
 		if err != nil {
 			return nil, err
 		}
-		conn := &watchedConn{Conn: raw, owner: l, gone: make(chan struct{})}
+		conn := &watchedConn{Conn: raw, listener: l, gone: make(chan struct{})}
 		if l.add(conn) {
 			return conn, nil
 		}
@@ -48,6 +47,7 @@
 	}
 }
 
+// add registers an accepted connection. It returns false if the listener is closed.
 func (l *listener) add(conn *watchedConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +55,7 @@
 		return false
 	}
 	l.open[conn] = struct{}{}
-	l.served.Add(1)
+	l.openConns.Add(1)
 	return true
 }
 
@@ -64,13 +64,13 @@
 	defer l.mu.Unlock()
 	if _, ok := l.open[conn]; ok {
 		delete(l.open, conn)
-		l.served.Done()
+		l.openConns.Done()
 	}
 }
 
-// closeAll closes the listener and then every connection, so that who sees its connection
-// break off finds nothing at the address, and waits until the server has let go of the
-// last one.
+// closeAll closes the listener and then every connection, so that a peer whose connection
+// breaks finds nothing listening at the address. It returns once the server has closed the
+// last connection.
 func (l *listener) closeAll() {
 	closeQuietly(l.Listener)
 	l.mu.Lock()
@@ -79,23 +79,23 @@
 		conn.abort()
 	}
 	l.mu.Unlock()
-	l.served.Wait()
+	l.openConns.Wait()
 }
 
-// watchedConn tells a handler that the other end closed the connection while
-// the request was being served; fasthttp itself reads nothing until the answer
-// is written, so that a cancelled request would run to its end unseen.
+// watchedConn notifies a handler when the peer closes the connection while the handler
+// serves a request. Without it a cancelled request would run to its end, since fasthttp
+// reads nothing until the answer is written.
 type watchedConn struct {
 	net.Conn
-	owner *listener
+	listener *listener
 
 	mu       sync.Mutex
-	buffered []byte        // byte of a next request, read while watching
-	gone     chan struct{} // closed when the other end is known to be gone
+	buffered []byte        // byte of the next request, read by a watch
+	gone     chan struct{} // closed once the peer has gone
 	isGone   bool
 }
 
-// Read returns the byte that a watch took before it reads on.
+// Read returns the bytes that a watch has read, and then reads from the connection.
 func (c *watchedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	if len(c.buffered) > 0 && len(p) > 0 {
@@ -108,17 +108,18 @@
 	return c.Conn.Read(p)
 }
 
-// Close is called by the server when it is done with the connection.
+// Close closes the connection; the server calls it after the last request.
 func (c *watchedConn) Close() error {
-	c.owner.remove(c)
+	c.listener.remove(c)
 	return c.Conn.Close()
 }
 
-// abort closes the connection with a reset, without an answer.
+// abort resets the connection, so that the peer gets no answer.
 func (c *watchedConn) abort() {
 	reset(c.Conn)
 }
 
+// reset closes a TCP connection with a reset instead of an orderly close.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -126,8 +127,9 @@
 	closeQuietly(conn)
 }
 
-// watch reports on the returned channel when the other end goes. The handler
-// calls stop before it returns, so that the server reads the next request.
+// watch reads ahead to learn when the peer closes the connection; the channel gone closes
+// then. The handler must call stop before it returns, so that the server can read the next
+// request.
 func (c *watchedConn) watch() (gone <-chan struct{}, stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -143,6 +145,8 @@
 	}
 }
 
+// recordRead buffers the byte that a watch has read, and closes the channel gone on an error
+// that isn't the deadline set by stop.
 func (c *watchedConn) recordRead(read []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,6 +157,7 @@
 	}
 }
 
+// connOf returns the connection of a request, and false if it isn't a watchedConn.
 func connOf(ctx *fasthttp.RequestCtx) (*watchedConn, bool) {
 	conn, ok := ctx.Conn().(*watchedConn)
 	return conn, ok
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -10,36 +10,37 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// MaxValue is the largest value, in bytes, that the platform holds.
+// MaxValue is the size, in bytes, of the largest value that the real platform holds. The
+// stand-in doesn't enforce this limit.
 const MaxValue = 1 << 20
 
-// ErrMode reports the name of a mode or of a fault that doesn't exist.
-const ErrMode = errors.ConstError("unknown mode")
+// ErrMode means that no mode or kind of fault has the given name.
+const ErrMode = errors.ConstError("unknown mode or kind of fault")
 
-// PlatformMode is how the platform answers its readers.
+// PlatformMode is the way in which the platform answers its readers.
 type PlatformMode string
 
-// Modes of a platform, beside Slow.
+// Modes of a platform, in addition to Slow.
 const (
-	// Up answers at once.
+	// Up answers immediately.
 	Up PlatformMode = "up"
 	// Down closes every reader's connection without an answer.
 	Down PlatformMode = "down"
-	// Stale answers from what the platform held when the mode was set.
+	// Stale answers with the values as of the time when the mode was set.
 	Stale PlatformMode = "stale"
 	// Busy answers 429.
 	Busy PlatformMode = "busy"
-	// Silent takes requests and never answers.
+	// Silent accepts requests and doesn't answer them.
 	Silent PlatformMode = "silent"
 )
 
-// Slow is the platform's mode that delays each answer, and the backend
-// server's fault that lengthens each request. It is untyped since both use it.
+// Slow is the platform's mode that delays each answer, and the backend server's fault that
+// lengthens the service time. The constant is untyped since both types use it.
 const Slow = "slow"
 
-// defaultDelay is what Slow adds until SetDelay: well over a reader's usual
-// milliseconds and within its usual timeout.
-const defaultDelay = clock.Second / 2
+// defaultSlowDelay is the delay of Slow until SetDelay changes it: well above the typical few
+// milliseconds of a read, and within a reader's typical timeout.
+const defaultSlowDelay = clock.Second / 2
 
 // PlatformConfig describes a platform to start.
 type PlatformConfig struct {
@@ -47,7 +48,7 @@
 	Address string
 }
 
-// PlatformItem is one value of the platform, or its removal among changes.
+// PlatformItem is a value of the platform or, in a list of changes, its removal.
 type PlatformItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -56,41 +57,42 @@
 	IsGone   bool   `json:"isGone,omitempty"`
 }
 
-// snapshot is what a platform holds at one revision.
+// snapshot holds the items and the history of a platform at one revision.
 type snapshot struct {
 	revision  uint64
-	compacted uint64 // changes up to it are dropped
+	compacted uint64 // the history has no changes up to this revision
 	items     map[string]PlatformItem
 	history   []PlatformItem
 }
 
-func (c *snapshot) clone() snapshot {
-	copied := snapshot{revision: c.revision, compacted: c.compacted, items: map[string]PlatformItem{}, history: slices.Clone(c.history)}
-	for key, item := range c.items {
+func (s *snapshot) clone() snapshot {
+	copied := snapshot{revision: s.revision, compacted: s.compacted, items: map[string]PlatformItem{}, history: slices.Clone(s.history)}
+	for key, item := range s.items {
 		copied.items[key] = item
 	}
 	return copied
 }
 
-// Platform stands in for the users' metadata store: items under keys, one counter
-// of revisions, lists in pages and watches. It is safe for concurrent use.
+// Platform is a simulated metadata store of the platform: items under keys with one
+// revision counter, paged lists, and watches. It is safe for concurrent use.
 type Platform struct {
-	ln   *listener
-	once sync.Once
-	stop chan struct{}
+	ln        *listener
+	closeOnce sync.Once
+	stop      chan struct{}
 
 	mu           sync.Mutex
 	mode         PlatformMode
 	delay        clock.Millis
 	current      snapshot
-	frozen       snapshot // what Stale answers from
+	frozen       snapshot // served in mode Stale
 	versions     map[string]uint64
-	changed      broadcast // of values or mode
+	changed      broadcast // notified when a value or the mode changes
 	calls        uint64
 	callsChanged broadcast
 }
 
-// StartPlatform listens and serves until Close.
+// StartPlatform starts a platform that serves until Close. It returns an error if it can't
+// listen on the address.
 func StartPlatform(ctx context.Context, config PlatformConfig) (*Platform, error) {
 	ln, err := listen(ctx, config.Address)
 	if err != nil {
@@ -100,7 +102,7 @@
 		ln:       ln,
 		stop:     make(chan struct{}),
 		mode:     Up,
-		delay:    defaultDelay,
+		delay:    defaultSlowDelay,
 		current:  snapshot{revision: 1, items: map[string]PlatformItem{}},
 		versions: map[string]uint64{},
 	}
@@ -113,9 +115,9 @@
 	return p.ln.Addr().String()
 }
 
-// Publish sets a value. A version that isn't above the present one is left
-// out: of two operators who publish the same version the first one wins. The
-// value's size isn't bounded, so that tests can break MaxValue.
+// Publish sets a value. It ignores a version that isn't above the current one: if two
+// operators publish the same version, the first wins. The value's size isn't limited, so that
+// tests can exceed MaxValue.
 func (p *Platform) Publish(key string, version uint64, value []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +128,7 @@
 	p.put(key, value)
 }
 
-// Restore sets a value at any version, as operators do from a backup.
+// Restore sets a value at any version, as operators do who restore a backup.
 func (p *Platform) Restore(key string, version uint64, value []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,13 +136,14 @@
 	p.put(key, value)
 }
 
-// Put writes a value.
+// Put sets a value without a version.
 func (p *Platform) Put(key string, value []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.put(key, value)
 }
 
+// put sets a value and notifies watches. The caller must hold p.mu.
 func (p *Platform) put(key string, value []byte) {
 	p.current.revision++
 	item := PlatformItem{Key: key, Value: slices.Clone(value), Revision: p.current.revision, Created: p.current.revision}
@@ -162,7 +165,7 @@
 	p.changed.notify()
 }
 
-// Compact drops the history.
+// Compact drops the history, so that watches of earlier revisions get 410.
 func (p *Platform) Compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,7 +173,7 @@
 	p.changed.notify()
 }
 
-// SetMode changes how readers are answered, those that wait included.
+// SetMode changes how calls are answered, including watches that are waiting.
 func (p *Platform) SetMode(mode PlatformMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,14 +184,14 @@
 	p.changed.notify()
 }
 
-// SetDelay sets what the mode Slow adds to each answer.
+// SetDelay sets the delay that the mode Slow adds to each answer.
 func (p *Platform) SetDelay(delay clock.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = delay
 }
 
-// Calls returns how many reads and watches readers have made; a waiting watch
+// Calls returns the number of lists and watches that readers have requested; a waiting watch
 // counts once.
 func (p *Platform) Calls() uint64 {
 	p.mu.Lock()
@@ -196,7 +199,8 @@
 	return p.calls
 }
 
-// AwaitCalls waits until readers have made that many calls, or ctx ends.
+// AwaitCalls waits until readers have made at least the given number of calls. It returns an
+// error if ctx ends before.
 func (p *Platform) AwaitCalls(ctx context.Context, calls uint64) error {
 	return await(ctx, func() (bool, <-chan struct{}) {
 		p.mu.Lock()
@@ -212,9 +216,9 @@
 	p.callsChanged.notify()
 }
 
-// Close ends the platform and all its connections. A second call does nothing.
+// Close stops the platform and closes all its connections. A second call does nothing.
 func (p *Platform) Close() {
-	p.once.Do(func() {
+	p.closeOnce.Do(func() {
 		close(p.stop)
 		p.ln.closeAll()
 	})
--- a/standin/platformread.go
+++ b/standin/platformread.go
@@ -11,10 +11,10 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// pageSize is how many items one page of a list holds.
+// pageSize is the maximum number of items on one page of a list.
 const pageSize = 50
 
-// view is what a reader is shown at one moment.
+// view is the state from which one call is answered.
 type view struct {
 	mode     PlatformMode
 	delay    clock.Millis
@@ -22,19 +22,20 @@
 	changed  <-chan struct{}
 }
 
-// currentView returns what a reader is shown, for use under the lock.
+// currentView returns the mode, delay and values that apply to a call now. The caller must
+// hold p.mu.
 func (p *Platform) currentView() view {
-	held := &p.current
+	contents := &p.current
 	if p.mode == Stale {
-		held = &p.frozen
+		contents = &p.frozen
 	}
-	return view{mode: p.mode, delay: p.delay, contents: held, changed: p.changed.wait()}
+	return view{mode: p.mode, delay: p.delay, contents: contents, changed: p.changed.wait()}
 }
 
 func (p *Platform) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if strings.HasPrefix(path, adminPrefix) {
-		p.admin(ctx, path)
+		p.serveAdmin(ctx, path)
 		return
 	}
 	if !ctx.IsGet() {
@@ -48,15 +49,16 @@
 		return
 	}
 	gone, stop := conn.watch()
-	isAnswered := p.answer(ctx, path, gone)
+	isAnswered := p.serveRead(ctx, path, gone)
 	stop()
 	if !isAnswered {
 		conn.abort()
 	}
 }
 
-// answer answers a call, and returns false for one that gets no answer.
-func (p *Platform) answer(ctx *fasthttp.RequestCtx, path string, gone <-chan struct{}) bool {
+// serveRead serves a list or a watch. It returns false if the connection is to be closed
+// without an answer.
+func (p *Platform) serveRead(ctx *fasthttp.RequestCtx, path string, gone <-chan struct{}) bool {
 	args := ctx.QueryArgs()
 	prefix, after := string(args.Peek("prefix")), string(args.Peek("after"))
 	switch path {
@@ -70,40 +72,42 @@
 	}
 }
 
-// respond answers at once with what is held.
+// respond answers with the values of the current view, after the delay of the mode. It
+// returns false if the connection is to be closed without an answer.
 func (p *Platform) respond(ctx *fasthttp.RequestCtx, gone <-chan struct{}, body func(v view) any) bool {
 	p.mu.Lock()
-	seen := p.currentView()
-	text := body(seen)
+	now := p.currentView()
+	response := body(now)
 	p.mu.Unlock()
-	if !p.applyMode(ctx, seen, gone) {
+	if !p.applyMode(ctx, now, gone) {
 		return false
 	}
 	if ctx.Response.StatusCode() == fasthttp.StatusOK {
-		writeJSON(ctx, text)
+		writeJSON(ctx, response)
 	}
 	return true
 }
 
-// applyMode does what the mode does to an answer, and returns false where there is none.
-func (p *Platform) applyMode(ctx *fasthttp.RequestCtx, seen view, gone <-chan struct{}) bool {
-	span := clock.Millis(0)
-	switch seen.mode {
+// applyMode delays the answer or sets its status as the mode demands. It returns false if
+// the mode gives no answer, the reader is gone or the platform closes.
+func (p *Platform) applyMode(ctx *fasthttp.RequestCtx, now view, gone <-chan struct{}) bool {
+	delay := clock.Millis(0)
+	switch now.mode {
 	case Down:
 		return false
 	case Busy:
 		ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 		return true
 	case Silent:
-		span = clock.Hour
+		delay = clock.Hour
 	case Slow:
-		span = seen.delay
+		delay = now.delay
 	case Up, Stale:
 	}
-	if span == 0 {
+	if delay == 0 {
 		return true
 	}
-	timer := time.NewTimer(span.Duration())
+	timer := time.NewTimer(delay.Duration())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -115,52 +119,56 @@
 	}
 }
 
-// page is one page of a list.
+// page is the body of an answer to /kv-range.
 type page struct {
 	Items         []PlatformItem `json:"items"`
 	HasMore       bool           `json:"hasMore"`
 	StoreRevision uint64         `json:"storeRevision"`
 }
 
-func (c *snapshot) page(prefix, after string) page {
-	out := page{Items: []PlatformItem{}, StoreRevision: c.revision}
-	var found []string
-	for key := range c.items {
+// page returns the items whose keys have the prefix and sort after the given key, in the
+// order of their keys.
+func (s *snapshot) page(prefix, after string) page {
+	out := page{Items: []PlatformItem{}, StoreRevision: s.revision}
+	var keys []string
+	for key := range s.items {
 		if strings.HasPrefix(key, prefix) && key > after {
-			found = append(found, key)
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(found)
-	for i, key := range found {
+	slices.Sort(keys)
+	for i, key := range keys {
 		if i == pageSize {
 			out.HasMore = true
 			break
 		}
-		out.Items = append(out.Items, c.items[key])
+		out.Items = append(out.Items, s.items[key])
 	}
 	return out
 }
 
-// changes are what a watch tells.
+// changes is the body of an answer to /kv-watch.
 type changes struct {
 	Events        []PlatformItem `json:"events"`
 	StoreRevision uint64         `json:"storeRevision"`
 }
 
-// since returns the changes after a revision, and false if they are dropped.
-func (c *snapshot) since(prefix string, after uint64) (changes, bool) {
-	out := changes{Events: []PlatformItem{}, StoreRevision: c.revision}
-	for _, item := range c.history {
+// since returns the changes to keys with the prefix after a revision, and false if some of
+// these changes were compacted away.
+func (s *snapshot) since(prefix string, after uint64) (changes, bool) {
+	out := changes{Events: []PlatformItem{}, StoreRevision: s.revision}
+	for _, item := range s.history {
 		if item.Revision > after && strings.HasPrefix(item.Key, prefix) {
 			out.Events = append(out.Events, item)
 		}
 	}
-	return out, after >= c.compacted
+	return out, after >= s.compacted
 }
 
-// watch answers when there are changes, or when the wait is over.
-func (p *Platform) watch(ctx *fasthttp.RequestCtx, gone <-chan struct{}, prefix, from string) bool {
-	after, err := strconv.ParseUint(from, 10, 64)
+// watch answers once there are changes after a revision, or after waitMs. It returns false
+// if the connection is to be closed without an answer.
+func (p *Platform) watch(ctx *fasthttp.RequestCtx, gone <-chan struct{}, prefix, revision string) bool {
+	after, err := strconv.ParseUint(revision, 10, 64)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return true
@@ -174,13 +182,13 @@
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		seen := p.currentView()
-		found, isKept := seen.contents.since(prefix, after)
+		now := p.currentView()
+		found, isKept := now.contents.since(prefix, after)
 		p.mu.Unlock()
-		isWaiting := isKept && len(found.Events) == 0 && seen.holdsWatch()
+		isWaiting := isKept && len(found.Events) == 0 && now.holdsWatch()
 		if isWaiting {
 			select {
-			case <-seen.changed:
+			case <-now.changed:
 				continue
 			case <-timer.C:
 			case <-gone:
@@ -189,16 +197,18 @@
 				return false
 			}
 		}
-		return p.applyMode(ctx, seen, gone) && writeChanges(ctx, found, isKept)
+		return p.applyMode(ctx, now, gone) && writeChanges(ctx, found, isKept)
 	}
 }
 
-// holdsWatch reports whether a watch without changes waits for some in the mode.
+// holdsWatch reports whether a watch waits for changes in the mode. In the other modes
+// applyMode ends the watch.
 func (v *view) holdsWatch() bool {
 	return v.mode == Up || v.mode == Stale || v.mode == Slow
 }
 
-// writeChanges answers a watch. It returns true.
+// writeChanges writes the answer to a watch: the changes, or 410 if they are no longer
+// kept. A status that applyMode has set stays. It always returns true.
 func writeChanges(ctx *fasthttp.RequestCtx, found changes, isKept bool) bool {
 	switch {
 	case ctx.Response.StatusCode() != fasthttp.StatusOK:
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -8,23 +8,23 @@
 	"github.com/juju/errors"
 )
 
-// RelayMode is what a relay does to the connections that cross it.
+// RelayMode is what a relay does to its connections.
 type RelayMode string
 
 // Modes of a relay.
 const (
-	// Pass hands on all bytes.
+	// Pass forwards all bytes.
 	Pass RelayMode = "pass"
-	// DropToTarget loses what is sent to the target. A connection that has
-	// lost bytes never passes that way again, as after a gap TCP wouldn't.
+	// DropToTarget drops bytes that clients send to the target. A connection that has lost
+	// bytes forwards none in that direction again, as TCP delivers nothing after a gap.
 	DropToTarget RelayMode = "droptotarget"
-	// DropFromTarget loses what the target sends, likewise.
+	// DropFromTarget drops bytes that the target sends, in the same way.
 	DropFromTarget RelayMode = "dropfromtarget"
-	// Freeze hands on nothing and reads no more than one buffer each way; what
-	// was held back arrives late.
+	// Freeze forwards nothing and reads at most one buffer in each direction. The bytes
+	// held back are forwarded when the mode ends.
 	Freeze RelayMode = "freeze"
-	// BlackholeOpen loses, for good and both ways, what is sent on connections
-	// that were open when the mode was set. New ones pass.
+	// BlackholeOpen drops, for good and in both directions, all bytes on connections that
+	// were open when the mode was set. New connections pass.
 	BlackholeOpen RelayMode = "silentold"
 	// Refuse resets open and new connections.
 	Refuse RelayMode = "refuse"
@@ -38,40 +38,41 @@
 
 // RelayStats counts what a relay has done.
 type RelayStats struct {
-	// Opened connections that reached the target.
+	// Opened counts connections that reached the target.
 	Opened uint64 `json:"opened"`
-	// Passed and Lost are in bytes, both ways together.
+	// Passed and Lost count the bytes of both directions together.
 	Passed uint64 `json:"passed"`
 	Lost   uint64 `json:"lost"`
-	// Held counts reads whose bytes, or end, wait for the end of Freeze.
+	// Held counts reads whose bytes, or end of stream, were held back by Freeze.
 	Held uint64 `json:"held"`
 }
 
-// Relay passes TCP connections to its target and breaks them as told. It is
+// Relay forwards TCP connections to its target and injects the faults of its mode. It is
 // safe for concurrent use.
 type Relay struct {
 	ln     net.Listener
 	target string
 	dialer net.Dialer
-	cancel context.CancelFunc // ends dials that are under way
+	cancel context.CancelFunc // cancels dials in progress
 	wg     sync.WaitGroup
 
 	mu           sync.Mutex
 	mode         RelayMode
-	changed      broadcast // of the mode
+	changed      broadcast // notified when the mode changes or the relay closes
 	conns        map[*relayConn]struct{}
 	closed       bool
 	stats        RelayStats
 	statsChanged broadcast
 }
 
-// StartRelay listens and relays until Close.
+// StartRelay starts a relay that runs until Close. It returns an error if it can't listen on
+// the address.
 func StartRelay(ctx context.Context, config RelayConfig) (*Relay, error) {
 	ln, err := listen(ctx, config.Address)
 	if err != nil {
 		return nil, errors.Annotatef(err, "starting the relay on %s", config.Address)
 	}
-	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // it relays until Close
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the relay outlives ctx, until Close
 	r := &Relay{
 		ln:     ln.Listener,
 		cancel: cancel,
@@ -89,7 +90,8 @@
 	return r.ln.Addr().String()
 }
 
-// SetMode changes what happens to bytes that the relay reads from now on.
+// SetMode changes the mode for open and new connections. Bytes held back by Freeze are
+// treated by the new mode.
 func (r *Relay) SetMode(mode RelayMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +115,8 @@
 	return r.stats
 }
 
-// Await waits until the counts reach what is asked, or ctx ends.
+// Await waits until reached returns true for the counts. It returns an error if ctx ends
+// before.
 func (r *Relay) Await(ctx context.Context, reached func(RelayStats) bool) error {
 	return await(ctx, func() (bool, <-chan struct{}) {
 		r.mu.Lock()
@@ -122,7 +125,7 @@
 	})
 }
 
-// Close ends the relay and resets its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -139,11 +142,11 @@
 func (r *Relay) accept(ctx context.Context) {
 	defer r.wg.Done()
 	for {
-		near, err := r.ln.Accept()
+		client, err := r.ln.Accept()
 		if err != nil {
 			return
 		}
 		r.wg.Add(1)
-		go r.relay(ctx, near)
+		go r.relay(ctx, client)
 	}
 }
--- a/standin/relay_test.go
+++ b/standin/relay_test.go
@@ -8,7 +8,7 @@
 	"fuchsiapick.example/fuchsiapick/standin"
 )
 
-// startEcho accepts connections and sends back each line that it reads.
+// startEcho starts a server that sends back each line it reads, and returns its address.
 func startEcho(t *testing.T) string {
 	t.Helper()
 	var config net.ListenConfig
@@ -53,14 +53,14 @@
 	return r
 }
 
-// line is one connection through a relay to the echo.
-type line struct {
+// relayClient is a connection through a relay to the echo server.
+type relayClient struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func dial(t *testing.T, r *standin.Relay) *line {
+func dial(t *testing.T, r *standin.Relay) *relayClient {
 	t.Helper()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(t.Context(), "tcp", r.Address())
@@ -68,17 +68,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &line{t: t, conn: conn, r: bufio.NewReader(conn)}
+	return &relayClient{t: t, conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (l *line) send(text string) {
+func (l *relayClient) sendLine(text string) {
 	l.t.Helper()
 	if _, err := l.conn.Write([]byte(text + "\n")); err != nil {
 		l.t.Fatal(err)
 	}
 }
 
-func (l *line) hear(want string) {
+func (l *relayClient) expectLine(want string) {
 	l.t.Helper()
 	got, err := l.r.ReadString('\n')
 	if err != nil || got != want+"\n" {
@@ -93,59 +93,58 @@
 	}
 }
 
-// One direction of a link is cut, or what lies between forgets the connection,
-// and then all is well again. Bytes that were lost leave a gap, so that the old
-// connection must stay silent for good while new ones work: TCP hands on no
-// stream with a gap, and a test would chase a corruption that can't happen.
-func TestRelayLosesForGood(t *testing.T) {
+// The relay must not forward later bytes of a connection that has lost some, also after the
+// mode is Pass again. TCP never delivers a stream with a gap, so tests would see a corruption
+// that can't happen in a real network. New connections must work.
+func TestRelayNeverResumesAfterLoss(t *testing.T) {
 	for _, mode := range []standin.RelayMode{standin.DropToTarget, standin.DropFromTarget, standin.BlackholeOpen} {
 		t.Run(string(mode), func(t *testing.T) {
 			r := startRelay(t)
 			old := dial(t, r)
-			old.send("one")
-			old.hear("one")
+			old.sendLine("one")
+			old.expectLine("one")
 			r.SetMode(mode)
-			old.send("gone")
+			old.sendLine("gone")
 			awaitRelay(t, r, func(s standin.RelayStats) bool { return s.Lost == 5 })
 			if mode != standin.BlackholeOpen {
 				r.SetMode(standin.Pass)
 			}
 			fresh := dial(t, r)
-			fresh.send("two")
-			fresh.hear("two")
+			fresh.sendLine("two")
+			fresh.expectLine("two")
 			r.SetMode(standin.Pass)
-			old.send("gone")
+			old.sendLine("gone")
 			awaitRelay(t, r, func(s standin.RelayStats) bool { return s.Lost == 10 })
 		})
 	}
 }
 
-// A link freezes with a frame in it and thaws: the frame arrives late, whole,
-// and in order. This is what wakes stragglers.
+// Bytes in transit when the relay freezes must arrive once it passes again, complete and in
+// order. Tests of late messages depend on this.
 func TestRelayFreezeDeliversLate(t *testing.T) {
 	r := startRelay(t)
 	l := dial(t, r)
-	l.send("one")
-	l.hear("one")
+	l.sendLine("one")
+	l.expectLine("one")
 	awaitRelay(t, r, func(s standin.RelayStats) bool { return s.Passed == 8 })
 	r.SetMode(standin.Freeze)
-	l.send("late")
+	l.sendLine("late")
 	awaitRelay(t, r, func(s standin.RelayStats) bool { return s.Held == 1 })
 	waiting := dial(t, r)
-	waiting.send("held")
+	waiting.sendLine("held")
 	if got := r.Stats(); got.Passed != 8 || got.Lost != 0 || got.Opened != 1 {
 		t.Errorf("got %+v while frozen, want 8 bytes passed on one connection", got)
 	}
 	r.SetMode(standin.Pass)
-	l.hear("late")
-	waiting.hear("held")
+	l.expectLine("late")
+	waiting.expectLine("held")
 }
 
 func TestRelayRefuseResetsOldAndNew(t *testing.T) {
 	r := startRelay(t)
 	old := dial(t, r)
-	old.send("one")
-	old.hear("one")
+	old.sendLine("one")
+	old.expectLine("one")
 	r.SetMode(standin.Refuse)
 	if _, err := old.r.ReadByte(); err == nil {
 		t.Error("got a byte on the old connection, want an error")
@@ -158,18 +157,18 @@
 	}
 	r.SetMode(standin.Pass)
 	fresh := dial(t, r)
-	fresh.send("two")
-	fresh.hear("two")
+	fresh.sendLine("two")
+	fresh.expectLine("two")
 }
 
-func TestRelayHandsOnAClose(t *testing.T) {
+func TestRelayForwardsClose(t *testing.T) {
 	r := startRelay(t)
 	l := dial(t, r)
-	l.send("one")
+	l.sendLine("one")
 	if err := l.conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	l.hear("one")
+	l.expectLine("one")
 	if _, err := l.r.ReadByte(); err == nil {
 		t.Error("got a byte, want the end")
 	}
--- a/standin/relayadmin.go
+++ b/standin/relayadmin.go
@@ -7,14 +7,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// RelayAdmin serves a relay's admin paths at an address of its own, since the
-// relay's address belongs to its target.
+// RelayAdmin serves a relay's admin paths at a separate address, since connections to the
+// relay's own address are forwarded to its target.
 type RelayAdmin struct {
 	ln    *listener
 	relay *Relay
 }
 
-// StartRelayAdmin listens and serves until Close.
+// StartRelayAdmin starts an HTTP server for the admin paths that serves until Close. It
+// returns an error if it can't listen on the address.
 func StartRelayAdmin(ctx context.Context, address string, relay *Relay) (*RelayAdmin, error) {
 	ln, err := listen(ctx, address)
 	if err != nil {
@@ -30,7 +31,7 @@
 	return a.ln.Addr().String()
 }
 
-// Close ends the admin paths; the relay goes on.
+// Close stops serving the admin paths. The relay keeps running.
 func (a *RelayAdmin) Close() {
 	a.ln.closeAll()
 }
--- a/standin/request.go
+++ b/standin/request.go
@@ -13,11 +13,11 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// faultPlan is what the present fault does to one request.
+// faultPlan is the effect of the current fault on one request.
 type faultPlan struct {
 	fault    Fault
-	affected bool // the fault's share met this request
-	// failsFast says that it is failed at once.
+	affected bool // whether the request belongs to the fault's share
+	// failsFast means that the request is answered immediately with 500.
 	failsFast bool
 	duration  time.Duration
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// deadlineLeft reads how long the request may still take; without the header
-// it may take an hour.
+// deadlineLeft returns the time that is left for the request by its DeadlineHeader, and an
+// hour without the header. It returns an error if the header isn't a number.
 func deadlineLeft(ctx *fasthttp.RequestCtx) (time.Duration, error) {
 	text := ctx.Request.Header.Peek(DeadlineHeader)
 	if len(text) == 0 {
@@ -63,18 +63,18 @@
 	return clock.Millis(left).Duration(), nil
 }
 
-// admit gets the request a slot or refuses it, and tells whether there is an
-// answer to write.
+// admit runs the request in a slot, or refuses it. It returns false if the connection is to
+// be closed without an answer.
 func (b *Backend) admit(ctx *fasthttp.RequestCtx, conn *watchedConn, p faultPlan, left time.Duration) bool {
 	if p.fault.Kind == Drains {
 		ctx.SetConnectionClose()
 		b.refuse(ctx)
 		return true
 	}
-	// A sick backend server doesn't know that it is slow, so that it promises
-	// its usual time.
-	patience := left - b.config.Service.Duration()
-	if p.fault.Kind == Sheds && p.affected || patience < 0 {
+	// A slow backend server doesn't know that it is slow, so it refuses by its normal
+	// service time.
+	maxWait := left - b.config.Service.Duration()
+	if p.fault.Kind == Sheds && p.affected || maxWait < 0 {
 		b.refuse(ctx)
 		return true
 	}
@@ -85,20 +85,21 @@
 			b.refuse(ctx)
 			return true
 		}
-		if answered, got := b.queue(ctx, conn, patience); !got {
-			return answered
+		if hasAnswer, hasSlot := b.waitForSlot(ctx, conn, maxWait); !hasSlot {
+			return hasAnswer
 		}
 	}
 	defer func() { <-b.slots }()
 	return b.run(ctx, conn, p)
 }
 
-// queue waits for a slot for as long as the deadline can still be met.
-func (b *Backend) queue(ctx *fasthttp.RequestCtx, conn *watchedConn, patience time.Duration) (answered, got bool) {
+// waitForSlot waits for a slot for at most maxWait, and then refuses the request. Without a
+// slot, hasAnswer says whether there is an answer to write.
+func (b *Backend) waitForSlot(ctx *fasthttp.RequestCtx, conn *watchedConn, maxWait time.Duration) (hasAnswer, hasSlot bool) {
 	b.ledger.updateTotals(func(t *Totals) { t.Queued++ })
 	gone, release := conn.watch()
 	defer release()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case b.slots <- struct{}{}:
@@ -114,7 +115,7 @@
 	}
 }
 
-// refuse answers a request that did not run.
+// refuse answers 503 to a request that did not run.
 func (b *Backend) refuse(ctx *fasthttp.RequestCtx) {
 	b.ledger.updateTotals(func(t *Totals) { t.Refused++ })
 	ctx.Response.Header.Set(RefusalHeader, RefusalShed)
@@ -123,8 +124,8 @@
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 }
 
-// run enters the request into the ledger and serves it, and tells whether
-// there is an answer to write.
+// run adds the request to the ledger and serves it. It returns false if the connection is to
+// be closed without an answer.
 func (b *Backend) run(ctx *fasthttp.RequestCtx, conn *watchedConn, p faultPlan) bool {
 	number := b.ledger.begin(b.newEntry(ctx))
 	b.recordLoad(number)
@@ -133,10 +134,10 @@
 	}
 	if p.fault.crashes(ctx) {
 		p.duration = p.fault.CrashDelay.Duration()
-		isOver := b.simulateWork(conn, p)
+		isCompleted := b.simulateWork(conn, p)
 		b.ledger.end(number, Cancelled, b.clock.Now())
-		if isOver {
-			go b.CrashFor(p.fault.Downtime) // it waits for this handler
+		if isCompleted {
+			go b.CrashFor(p.fault.Downtime) // it waits until this handler returns
 		}
 		return false
 	}
@@ -152,7 +153,7 @@
 	return true
 }
 
-// fail answers a begun request with a failure.
+// fail answers 500 to a begun request. It always returns true.
 func (b *Backend) fail(ctx *fasthttp.RequestCtx, number uint64) bool {
 	b.ledger.end(number, Failed, b.clock.Now())
 	ctx.Response.Header.Set(BackendHeader, b.config.Name)
@@ -175,6 +176,7 @@
 	}
 }
 
+// recordLoad updates the answer to /load after every loadUpdateInterval requests.
 func (b *Backend) recordLoad(number uint64) {
 	if number%loadUpdateInterval != 0 {
 		return
@@ -184,7 +186,8 @@
 	b.load.Running = len(b.slots)
 }
 
-// simulateWork takes the request's time, and tells whether it came to its end.
+// simulateWork waits for the request's duration. It returns false if the connection or the
+// backend server closes before.
 func (b *Backend) simulateWork(conn *watchedConn, p faultPlan) bool {
 	hangs := p.fault.Kind == Hangs && p.affected
 	if p.duration <= 0 && !hangs {
@@ -192,14 +195,14 @@
 	}
 	gone, release := conn.watch()
 	defer release()
-	var over <-chan time.Time // never, if it hangs
+	var completed <-chan time.Time // nil if the request hangs
 	if !hangs {
 		timer := time.NewTimer(p.duration)
 		defer timer.Stop()
-		over = timer.C
+		completed = timer.C
 	}
 	select {
-	case <-over:
+	case <-completed:
 		return true
 	case <-gone:
 		return false
@@ -208,6 +211,8 @@
 	}
 }
 
+// writeAnswer writes a 200 with a body of as many bytes as the query argument size says, and
+// the request's id.
 func (b *Backend) writeAnswer(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(RequestHeader))
 	size, err := ctx.QueryArgs().GetUint("size")
@@ -220,8 +225,8 @@
 	ctx.SetBody(AnswerBody(id, min(size, maxRequestBody)))
 }
 
-// AnswerBody returns the body of the answer to a request: size bytes that
-// depend on the id only, and then the id.
+// AnswerBody returns the body of the answer to a request: size pseudo-random bytes that
+// depend only on the id, followed by the id.
 func AnswerBody(id string, size int) []byte {
 	sum := sha256.Sum256([]byte(id))
 	source := rand.NewChaCha8(sum)
--- a/standin/server.go
+++ b/standin/server.go
@@ -2,9 +2,11 @@
 
 import "github.com/valyala/fasthttp"
 
-// maxRequestBody bounds the bodies that stand-ins accept, in bytes.
+// maxRequestBody is the largest request body, in bytes, that a stand-in accepts. The size of
+// answers has the same bound.
 const maxRequestBody = 16 << 20
 
+// serve serves the listener until it is closed.
 func serve(ln *listener, handle fasthttp.RequestHandler) {
 	server := &fasthttp.Server{
 		Handler:               handle,
@@ -13,12 +15,11 @@
 		NoDefaultServerHeader: true,
 		Logger:                discardLogger{},
 	}
-	// Serve ends with an error of the closed listener, which is no fault.
+	// Serve always returns an error once the listener is closed.
 	_ = server.Serve(ln)
 }
 
-// discardLogger keeps the errors of connections that were broken on purpose from the
-// output of tests.
+// discardLogger keeps errors of connections that tests break on purpose out of the output.
 type discardLogger struct{}
 
 // Printf drops the message.
