--- a/standin/bench_test.go
+++ b/standin/bench_test.go
@@ -8,8 +8,8 @@
 	"fuchsiapick.example/fuchsiapick/standin"
 )
 
-// BenchmarkBackend measures a request that is sent to a backend server without a proxy. It is
-// the baseline for the cost that a proxy adds.
+// BenchmarkBackend measures a request that is sent to a backend server without a proxy: the
+// baseline for the cost that a proxy adds.
 func BenchmarkBackend(b *testing.B) {
 	backend, err := standin.StartBackend(b.Context(), standin.BackendConfig{Address: "127.0.0.1:0", Slots: 7})
 	if err != nil {
--- a/standin/command/backendcmd.go
+++ b/standin/command/backendcmd.go
@@ -15,7 +15,7 @@
 	Seed    uint64       `arg:"--seed" default:"1" help:"seed that draws which requests a fault meets"`
 }
 
-func (c *backendCmd) start(ctx context.Context) (ready, func(), error) {
+func (c *backendCmd) start(ctx context.Context) (readyLine, func(), error) {
 	b, err := standin.StartBackend(ctx, standin.BackendConfig{
 		Name:    c.Name,
 		Address: c.Address,
@@ -24,7 +24,7 @@
 		Seed:    c.Seed,
 	})
 	if err != nil {
-		return ready{}, nil, err
+		return readyLine{}, nil, err
 	}
-	return ready{Kind: "backend", Address: b.Address()}, b.Close, nil
+	return readyLine{Kind: "backend", Address: b.Address()}, b.Close, nil
 }
--- a/standin/command/command.go
+++ b/standin/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the stand-ins as processes.
+// Package command is the command line of the program that runs one stand-in.
 package command
 
 import (
@@ -16,9 +16,9 @@
 
 // Exit codes of the program.
 const (
-	exitOK    = 0
-	exitFault = 1
-	exitUsage = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 type arguments struct {
@@ -27,27 +27,29 @@
 	Relay    *relayCmd    `arg:"subcommand:relay" help:"run a TCP relay"`
 }
 
-// command starts a stand-in and says where it listens.
-type command interface {
-	start(ctx context.Context) (ready, func(), error)
+// subcommand runs one kind of stand-in. Its method start returns the line to print and the
+// function that stops the stand-in.
+type subcommand interface {
+	start(ctx context.Context) (readyLine, func(), error)
 }
 
-// ready is the line that the program prints once it listens.
-type ready struct {
+// readyLine is the JSON line that the program prints once the stand-in listens.
+type readyLine struct {
 	Kind    string `json:"kind"`
 	Address string `json:"address"`
-	// Admin is where the admin paths are, if not at Address.
+	// Admin is the address of the admin paths, if it differs from Address.
 	Admin string `json:"admin,omitempty"`
 }
 
-// Main runs one stand-in until a termination signal and returns the exit code.
+// Main runs one stand-in until SIGINT or SIGTERM and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return run(ctx, args, stdout, stderr)
 }
 
-// run starts what the arguments name and ends it when ctx ends.
+// run starts the stand-in of the subcommand, stops it when ctx ends, and returns the exit
+// code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "standin", Out: stderr}, &parsed)
@@ -58,27 +60,27 @@
 	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
 		if err := parser.WriteHelpForSubcommand(stdout, parser.SubcommandNames()...); err != nil {
-			return exitFault
+			return exitFailure
 		}
 		return exitOK
 	case err != nil:
 		fmt.Fprintf(stderr, "standin: %v\n", err)
 		return exitUsage
 	}
-	chosen, ok := parser.Subcommand().(command)
+	chosen, ok := parser.Subcommand().(subcommand)
 	if !ok {
 		parser.WriteHelp(stderr)
 		return exitUsage
 	}
-	where, end, err := chosen.start(ctx)
+	line, stop, err := chosen.start(ctx)
 	if err != nil {
 		fmt.Fprintf(stderr, "standin: %v\n", err)
-		return exitFault
+		return exitFailure
 	}
-	defer end()
-	if err := json.NewEncoder(stdout).Encode(where); err != nil {
+	defer stop()
+	if err := json.NewEncoder(stdout).Encode(line); err != nil {
 		fmt.Fprintf(stderr, "standin: %v\n", err)
-		return exitFault
+		return exitFailure
 	}
 	<-ctx.Done()
 	return exitOK
--- a/standin/command/relaycmd.go
+++ b/standin/command/relaycmd.go
@@ -12,19 +12,19 @@
 	Admin   string `arg:"--admin" default:"127.0.0.1:0" help:"IP number and port for the admin paths"`
 }
 
-func (c *relayCmd) start(ctx context.Context) (ready, func(), error) {
+func (c *relayCmd) start(ctx context.Context) (readyLine, func(), error) {
 	r, err := standin.StartRelay(ctx, standin.RelayConfig{Address: c.Address, Target: c.Target})
 	if err != nil {
-		return ready{}, nil, err
+		return readyLine{}, nil, err
 	}
 	admin, err := standin.StartRelayAdmin(ctx, c.Admin, r)
 	if err != nil {
 		r.Close()
-		return ready{}, nil, err
+		return readyLine{}, nil, err
 	}
-	end := func() {
+	stop := func() {
 		admin.Close()
 		r.Close()
 	}
-	return ready{Kind: "relay", Address: r.Address(), Admin: admin.Address()}, end, nil
+	return readyLine{Kind: "relay", Address: r.Address(), Admin: admin.Address()}, stop, nil
 }
--- a/standin/program/main.go
+++ b/standin/program/main.go
@@ -1,4 +1,4 @@
-// Command program runs one stand-in as a process of its own.
+// Command program runs one stand-in as a separate process.
 package main
 
 import (
--- a/standin/relay_test.go
+++ b/standin/relay_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// The relay must not forward later bytes of a connection that has lost some, also after the
-// mode is Pass again. TCP never delivers a stream with a gap, so tests would see a corruption
-// that can't happen in a real network. New connections must work.
+// A connection that has lost bytes must stay silent after the mode is Pass again, while new
+// connections work. TCP never delivers a stream with a gap: if the relay did, tests would
+// see a corruption that can't happen in a real network.
 func TestRelayNeverResumesAfterLoss(t *testing.T) {
 	for _, mode := range []standin.RelayMode{standin.DropToTarget, standin.DropFromTarget, standin.BlackholeOpen} {
 		t.Run(string(mode), func(t *testing.T) {
