--- a/demo/traffic.go
+++ b/demo/traffic.go
@@ -15,26 +15,28 @@
 )
 
 const (
-	// callerCount come at once, each on its own.
+	// callerCount is the number of concurrent callers.
 	callerCount = 12
-	// requestInterval between two requests of one caller.
+	// requestInterval is the pause between two requests of one caller.
 	requestInterval = 4 * time.Millisecond
-	// writeShare is the share of requests that may not be repeated.
-	writeShare    = 0.3
+	// writeShare is the share of POST requests; POST may not be repeated.
+	writeShare = 0.3
+	// callerTimeout is how long a caller waits for an answer.
 	callerTimeout = 5 * time.Second
 )
 
-// traffic is callers at work.
+// traffic runs the callers and counts the outcomes of their requests.
 type traffic struct {
 	cancel   context.CancelFunc
-	group    sync.WaitGroup
+	wg       sync.WaitGroup
 	stopOnce sync.Once
 
 	mu       sync.Mutex
-	outcomes map[string]int
-	nodes    []*fleet.Member // that callers use
+	outcomes map[string]int  // by the outcome header; "" counts requests without an answer
+	nodes    []*fleet.Member // nodes that callers send requests to
 }
 
+// startTraffic starts the callers. They run until stop is called or ctx ends.
 func startTraffic(ctx context.Context, f *fleet.Fleet) *traffic {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &traffic{cancel: cancel, outcomes: map[string]int{}, nodes: slices.Clone(f.Members)}
@@ -45,32 +47,33 @@
 			random: rand.New(rand.NewPCG(uint64(i), 1)),
 			client: &fasthttp.Client{},
 		}
-		t.group.Go(func() { c.run(ctx, t) })
+		t.wg.Go(func() { c.run(ctx, t) })
 	}
 	return t
 }
 
+// stop ends the callers and waits for them. A second call does nothing.
 func (t *traffic) stop() {
 	t.stopOnce.Do(func() {
 		t.cancel()
-		t.group.Wait()
+		t.wg.Wait()
 	})
 }
 
-func (t *traffic) count(outcome string) {
+func (t *traffic) recordOutcome(outcome string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outcomes[outcome]++
 }
 
-// randomNode draws one of the nodes that callers use.
+// randomNode returns a random node of those that callers use.
 func (t *traffic) randomNode(random *rand.Rand) *fleet.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.nodes[random.IntN(len(t.nodes))]
 }
 
-// removeNode takes a node out, as callers do that follow the instance list.
+// removeNode stops callers from using a node, as callers do that follow the instance list.
 func (t *traffic) removeNode(m *fleet.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +87,7 @@
 		t.outcomes["served"], t.outcomes["not-run"], t.outcomes["unknown"], t.outcomes[""])
 }
 
-// caller sends one request after another through nodes at random.
+// caller sends one request after another, each through a random node.
 type caller struct {
 	name   string
 	fleet  *fleet.Fleet
@@ -94,10 +97,12 @@
 
 func (c *caller) run(ctx context.Context, t *traffic) {
 	for sleep(ctx, requestInterval) == nil {
-		t.count(c.send(t.randomNode(c.random)))
+		t.recordOutcome(c.send(t.randomNode(c.random)))
 	}
 }
 
+// send sends a request on a random route through the node. It returns the outcome that the
+// answer's header carries, or "" without an answer.
 func (c *caller) send(m *fleet.Member) string {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
