--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the tables of both of today's deployments, on
-// addresses of one machine.
+// Package examples embeds the tables of the two existing deployments, with loopback
+// addresses so that they run on one machine.
 package examples
 
 import _ "embed"
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -7,7 +7,9 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-func TestExamplesAreTablesOfTheDeploymentsSizes(t *testing.T) {
+// The example tables must have the sizes of the two deployments. Otherwise whatever runs on
+// them, such as the demo, doesn't show these deployments.
+func TestExamplesMatchDeployments(t *testing.T) {
 	tests := map[string]struct {
 		text      []byte
 		caution   table.Caution
@@ -21,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := table.Parse(test.text)
 			if err != nil {
-				t.Fatalf("got %v, want a table", err)
+				t.Fatalf("got %v, want a valid table", err)
 			}
 			for service, want := range test.upstreams {
 				s, ok := got.Service(service)
--- a/examples/pages_test.go
+++ b/examples/pages_test.go
@@ -11,10 +11,10 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// An operator copies an example from a page, or looks for a key that a fault
-// has named, and the page knows neither. The cause: the page and the code were
-// not changed together.
-func TestPagesNameEveryKeyAndTheirExamplesPass(t *testing.T) {
+// The operators' pages must list every key, and their examples must be valid. If the code
+// changes and a page doesn't, an operator copies an invalid example or can't look up a key
+// that an error names.
+func TestOperatorPagesListEveryKeyAndValidExamples(t *testing.T) {
 	pages := map[string]struct {
 		parts    []any
 		accept   func(text []byte) error
@@ -38,7 +38,7 @@
 			for f := range reflect.TypeOf(part).Fields() {
 				key := f.Tag.Get("toml")
 				if key == "-" {
-					continue // no text fills it: check refuses it as a key, too
+					continue // not read from the file: the check command rejects it as a key
 				}
 				if f.IsExported() && !strings.Contains(string(text), "\n| `"+key+"` | ") {
 					t.Errorf("%s: got no row for key %s, want one", name, key)
@@ -48,7 +48,7 @@
 		found := regexp.MustCompile("(?s)```toml\n(.*?)```").FindAllSubmatch(text, -1)
 		for _, example := range found {
 			if err := page.accept(example[1]); err != nil {
-				t.Errorf("%s: got %v, want an example that is accepted", name, err)
+				t.Errorf("%s: got %v, want a valid example", name, err)
 			}
 		}
 		if len(found) != page.examples {
