--- a/caller/conn_test.go
+++ b/caller/conn_test.go
@@ -9,8 +9,9 @@
 	"fuchsiapick.example/fuchsiapick/caller"
 )
 
-// pair returns both ends of a connection over loopback, the accepted one watched.
-func pair(t *testing.T) (*caller.Conn, net.Conn) {
+// connPair returns both ends of a loopback connection: the accepted end, which is watched,
+// and the client's end.
+func connPair(t *testing.T) (*caller.Conn, net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,25 +36,25 @@
 	return conn, client
 }
 
-// A site manager closes the page while the roster is being made. Nobody waits
-// for it any more, and it holds one of three slots for another second.
-func TestWatchTellsOfACallerThatLeaves(t *testing.T) {
-	conn, client := pair(t)
+// A caller disconnects during its request. If the entry isn't notified, the request keeps
+// one of an upstream's three slots for another second although no caller waits for its
+// answer.
+func TestWatchReportsCallerDisconnect(t *testing.T) {
+	conn, client := connPair(t)
 	gone := make(chan struct{})
 	stop := conn.Watch(func() { close(gone) })
 	_ = client.Close()
 	<-gone
 	stop()
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("got no error of a read after the caller left, want one")
+		t.Error("got no error from a read after the caller disconnected, want one")
 	}
 }
 
-// A roster of a whole season takes longer to make than a caller may take to send a
-// request. The library's bound on that ended the watch, and the roster was made to the
-// end though the site manager had closed the page.
-func TestWatchOutlastsTheBoundOnReads(t *testing.T) {
-	conn, client := pair(t)
+// A request can run longer than the HTTP library's deadline for reading it. That deadline
+// once ended the watch, and the request ran to its end although the caller had disconnected.
+func TestWatchOutlastsReadDeadline(t *testing.T) {
+	conn, client := connPair(t)
 	if err := conn.SetReadDeadline(time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -64,13 +65,13 @@
 	<-gone
 }
 
-// A caller sends its next requests before the first is answered. What the watch
-// reads of them must reach the reader whole and in order, or one caller's
-// request is taken for the rest of another.
-func TestWatchKeepsWhatComesAhead(t *testing.T) {
-	conn, client := pair(t)
+// A caller sends its next requests before the first is answered. Read must return the bytes
+// that the watch has buffered completely and in order, or parts of different requests are
+// taken for one request.
+func TestWatchKeepsPipelinedRequests(t *testing.T) {
+	conn, client := connPair(t)
 	for round := range 3 {
-		stop := conn.Watch(func() { t.Error("got a caller that left, want none") })
+		stop := conn.Watch(func() { t.Error("got a disconnect reported, want none") })
 		if _, err := client.Write([]byte("GET /second")); err != nil {
 			t.Fatal(err)
 		}
@@ -85,9 +86,9 @@
 	}
 }
 
-// A watch that ends must leave the connection fit for the next request.
+// A stopped watch must clear its read deadline, or reading the next request fails.
 func TestStoppedWatchLeavesNoDeadline(t *testing.T) {
-	conn, client := pair(t)
+	conn, client := connPair(t)
 	conn.Watch(func() {})()
 	done := make(chan error, 1)
 	go func() {
@@ -102,11 +103,11 @@
 	}
 }
 
-// A caller sends two requests, and closes the connection while the first is handled.
-// The second is read from what came ahead; nobody waits for it either, and it must
-// not be sent to an upstream.
-func TestWatchTellsOfACallerThatLeftBefore(t *testing.T) {
-	conn, client := pair(t)
+// A caller sends two requests and closes the connection while the first is handled. The
+// second is read from the buffered bytes. A watch during it must report the disconnect
+// immediately, or the request is sent to an upstream although no caller waits for it.
+func TestWatchReportsEarlierDisconnect(t *testing.T) {
+	conn, client := connPair(t)
 	gone := make(chan struct{})
 	stop := conn.Watch(func() { close(gone) })
 	if _, err := client.Write([]byte("second")); err != nil {
@@ -118,9 +119,9 @@
 	if _, err := io.ReadFull(conn, make([]byte, len("second"))); err != nil {
 		t.Fatal(err)
 	}
-	again := false
-	conn.Watch(func() { again = true })()
-	if !again {
-		t.Error("got no word of a caller that had left, want it at once")
+	reported := false
+	conn.Watch(func() { reported = true })()
+	if !reported {
+		t.Error("got no report of an earlier disconnect, want it immediately")
 	}
 }
