--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -12,56 +12,56 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// fields are what the platform fills in for one node.
-var fields = map[string]string{
+// platformFields are example values of the placeholders that the platform fills in per node.
+var platformFields = map[string]string{
 	"node": "sidecar-palermo-1", "zone": "palermo", "service": "wuno96b",
 	"listen.outbound": "10.1.0.8:8304", "listen.inbound": "10.1.0.8:8300", "listen.ready": "10.1.0.8:8302",
 	"platform.address": "10.200.1.7:8309", "ip": "10.1.0.8",
 	"bounds.grace": "6s", "bounds.configApply": "2000ms", "bounds.retryBudgetRatio": "0.2", "bounds.budgetExtra": "62", "bounds.budgetWindow": "10s",
 }
 
-// A slip in the template shows at the start of every node at once, on the day of the
+// An error in the template would stop every node from starting, and would show only at the
 // roll-out.
-func TestTemplateMakesSettings(t *testing.T) {
-	s := filledWith(t, fields)
+func TestTemplateGivesValidSettings(t *testing.T) {
+	s := parseTemplate(t, platformFields)
 	if s.Platform.Form != settings.FormStore || s.Policy.Caution != table.ShortEpisodes || s.Policy.Extra != 62 || s.Service != "wuno96b" {
 		t.Errorf("got %+v, want the store, caution brief, 62 extra retries and the service", s)
 	}
 }
 
-// A platform scales its bounds with the size of a deployment, and a fleet whose extra
-// retries come out as no whole number did not start at all.
-func TestTemplateTakesFractionsOfRetries(t *testing.T) {
-	changed := maps.Clone(fields)
+// The platform scales its limits with the size of a deployment. A fleet once failed to start
+// because its number of extra retries wasn't an integer.
+func TestTemplateAcceptsFractionalRetries(t *testing.T) {
+	changed := maps.Clone(platformFields)
 	changed["bounds.budgetExtra"] = "28.395061728395063"
-	if got := filledWith(t, changed).Policy.Extra; got != 28.395061728395063 {
+	if got := parseTemplate(t, changed).Policy.Extra; got != 28.395061728395063 {
 		t.Errorf("got %v extra retries, want 28.395061728395063", got)
 	}
 }
 
-// filledWith returns the template's settings with the platform's fields.
-func filledWith(t *testing.T, fields map[string]string) *settings.Settings {
+// parseTemplate returns the settings of the template, filled in with the values of fields.
+func parseTemplate(t *testing.T, fields map[string]string) *settings.Settings {
 	t.Helper()
 	text, err := os.ReadFile("settings.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	filled := regexp.MustCompile(`\{\{([^}]*)\}\}`).ReplaceAllStringFunc(string(text), func(place string) string {
-		name := place[2 : len(place)-2]
+	filled := regexp.MustCompile(`\{\{([^}]*)\}\}`).ReplaceAllStringFunc(string(text), func(placeholder string) string {
+		name := placeholder[2 : len(placeholder)-2]
 		value, ok := fields[name]
 		if !ok {
-			t.Errorf("got placeholder %s, want one that the platform fills in", place)
+			t.Errorf("got placeholder %s, want one that the platform fills in", placeholder)
 		}
 		return value
 	})
 	s, err := settings.Parse([]byte(filled))
 	if err != nil {
-		t.Fatalf("got %v, want settings that are accepted\n%s", err, filled)
+		t.Fatalf("got %v, want valid settings\n%s", err, filled)
 	}
 	return s
 }
 
-func TestDeployFileNamesTheTemplate(t *testing.T) {
+func TestSystemFileNamesTemplate(t *testing.T) {
 	text, err := os.ReadFile("system.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -79,6 +79,6 @@
 	}
 	node, ok := file.Roles["node"]
 	if !ok || node.Template != "deploy/settings.toml" || node.On != "sidecar" || file.Build == "" {
-		t.Errorf("got %+v, want a role node with its template on each instance", file)
+		t.Errorf("got %+v, want a build command and a role node with deploy/settings.toml on sidecar", file)
 	}
 }
