--- a/purity_test.go
+++ b/purity_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// decisions are the packages that must stay free of goroutines and of global
-// randomness; the linter's depguard rule keeps I/O and clocks out of them.
-var decisions = []string{"burn", "choice", "difference", "document", "versionguard", "floor", "episode", "health", "lease", "limit", "path", "quarantine", "quota", "rendezvous", "resend", "retry", "table"}
+// decisionPackages must use no goroutines, no channel operations and no global random source.
+// The linter's depguard rule keeps I/O and clocks out of the same packages.
+var decisionPackages = []string{"burn", "choice", "difference", "document", "episode", "floor", "health", "lease", "limit", "path", "quarantine", "quota", "rendezvous", "resend", "retry", "table", "versionguard"}
 
-// A decision that starts a goroutine or draws from the global source gives
-// another figure on every run, so that a fault found once can't be replayed.
+// A decision package that starts a goroutine or uses the global random source gives different
+// results on every run, so a failure found once can't be reproduced.
 func TestDecisionPackagesArePure(t *testing.T) {
-	for _, dir := range decisions {
+	for _, dir := range decisionPackages {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
@@ -29,26 +29,30 @@
 	}
 }
 
+// checkPure reports goroutines, channel operations and uses of the global random source in a
+// file.
 func checkPure(t *testing.T, file string) {
 	t.Helper()
-	set := token.NewFileSet()
-	tree, err := parser.ParseFile(set, file, nil, 0)
+	fset := token.NewFileSet()
+	tree, err := parser.ParseFile(fset, file, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ast.Inspect(tree, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.GoStmt, *ast.SelectStmt, *ast.SendStmt:
-			t.Errorf("%s: got a goroutine or channel operation, want none", set.Position(n.Pos()))
+			t.Errorf("%s: got a goroutine or channel operation, want none", fset.Position(n.Pos()))
 		case *ast.CallExpr:
 			if isGlobalRandom(n) {
-				t.Errorf("%s: got a draw from the global source, want a seeded one", set.Position(n.Pos()))
+				t.Errorf("%s: got a use of the global random source, want a seeded one", fset.Position(n.Pos()))
 			}
 		}
 		return true
 	})
 }
 
+// isGlobalRandom reports whether the call uses the global source of math/rand: any function of
+// the package but the constructors New*.
 func isGlobalRandom(call *ast.CallExpr) bool {
 	sel, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
