--- a/fleet/account_test.go
+++ b/fleet/account_test.go
@@ -14,27 +14,28 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Keys of the accounts in the tests, and one that no account holds.
+// hotelKey and clinicKey belong to accounts of the tests; noKey belongs to none.
 const (
 	hotelKey  = "hotel-key"
 	clinicKey = "clinic-key"
 	noKey     = "nobody's-key"
 )
 
-func accountOf(name, key string) table.Account {
+func newAccount(name, key string) table.Account {
 	return table.Account{Name: name, Keys: table.KeyDigests{table.DigestOf([]byte(key))}, Priority: table.RoutePriority}
 }
 
-// withAccounts is a deployment with two client accounts and a public route.
-func withAccounts(upstreams int) *table.Table {
-	t := deployment(upstreams)
-	t.Accounts = []table.Account{accountOf("hotel", hotelKey), accountOf("clinic", clinicKey)}
+// tableWithAccounts returns a table with two client accounts and a public route.
+func tableWithAccounts(upstreams int) *table.Table {
+	t := newTable(upstreams)
+	t.Accounts = []table.Account{newAccount("hotel", hotelKey), newAccount("clinic", clinicKey)}
 	t.Routes = append(t.Routes, table.Route{Prefix: "/conferme/public/", Service: "conferme", Public: true})
 	return t
 }
 
-// sendWith sends a request with headers, given as names and values in turn.
-func sendWith(t *testing.T, address, path string, headers ...string) answer {
+// sendWithHeaders sends a GET request with additional headers, given as names and values
+// in turn.
+func sendWithHeaders(t *testing.T, address, path string, headers ...string) answer {
 	t.Helper()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -43,16 +44,17 @@
 	for i := 0; i < len(headers); i += 2 {
 		request.Header.Add(headers[i], headers[i+1])
 	}
-	if err := fasthttp.DoTimeout(request, response, patience); err != nil {
+	if err := fasthttp.DoTimeout(request, response, waitTimeout); err != nil {
 		t.Fatalf("%s: got error %v", path, err)
 	}
 	return answer{status: response.StatusCode(), reason: string(response.Header.Peek("Fuchsiapick-Reason"))}
 }
 
-// An upstream that trusts the account's name books work on whoever sent it, and one that is
-// shown a key can send requests in its account's name.
-func TestUpstreamsSeeAccountsAndNoKeys(t *testing.T) {
-	f := start(t, fleet.Config{Table: withAccounts(2)})
+// Upstreams trust the account header and must never see a key. The test guards against a
+// caller that sets the header itself to act for another account, and against keys that
+// are forwarded to upstreams, which could then send requests in the account's name.
+func TestUpstreamsReceiveAccountsButNoKeys(t *testing.T) {
+	f := startFleet(t, fleet.Config{Table: tableWithAccounts(2)})
 	tests := []struct {
 		name, path string
 		headers    []string
@@ -73,11 +75,11 @@
 	}
 	for i, test := range tests {
 		path := fmt.Sprintf("%s%d", test.path, i)
-		got := sendWith(t, f.Members[i%2].Caller, path, test.headers...)
+		got := sendWithHeaders(t, f.Members[i%2].Caller, path, test.headers...)
 		if got.status != test.status {
 			t.Errorf("%s: got status %d (%s), want %d", test.name, got.status, got.reason, test.status)
 		}
-		runs := begun(f, path)
+		runs := begunRequests(f, path)
 		if test.status != 200 {
 			if len(runs) > 0 {
 				t.Errorf("%s: got %d runs, want none", test.name, len(runs))
@@ -90,38 +92,39 @@
 	}
 }
 
-// Where the table knows no accounts, Authorization is a matter between callers and upstreams.
+// Without accounts in the table, the Authorization header belongs to callers and
+// upstreams: nodes must forward it unchanged.
 func TestAuthorizationIsForwardedWithoutAccounts(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(1)})
-	got := sendWith(t, f.Members[0].Caller, "/conferme/a", "Authorization", "Bearer x", "Fuchsiapick-Account", "hotel")
-	runs := begun(f, "/conferme/a")
+	f := startFleet(t, fleet.Config{Table: newTable(1)})
+	got := sendWithHeaders(t, f.Members[0].Caller, "/conferme/a", "Authorization", "Bearer x", "Fuchsiapick-Account", "hotel")
+	runs := begunRequests(f, "/conferme/a")
 	if got.status != 200 || len(runs) != 1 || runs[0].Authorization != "Bearer x" || runs[0].Account != "" {
 		t.Errorf("got %d and runs %+v, want 200 and the header as it was sent, without an account", got.status, runs)
 	}
 }
 
-// A key that an operator has removed, because it leaked, is refused by every node, and a new
-// one is taken.
+// An operator replaces a key, for example because it leaked. Every node must refuse the
+// removed key and accept the new one.
 func TestKeysChangeWithTheTable(t *testing.T) {
-	f := start(t, fleet.Config{Table: withAccounts(3)})
-	const fresh = "hotel-key-2"
-	err := f.Publish(func(tt *table.Table) { tt.Accounts[0] = accountOf("hotel", fresh) })
+	f := startFleet(t, fleet.Config{Table: tableWithAccounts(3)})
+	const newKey = "hotel-key-2"
+	err := f.Publish(func(tt *table.Table) { tt.Accounts[0] = newAccount("hotel", newKey) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	awaitVersion(t, f)
 	for _, m := range f.Members {
-		if got := sendWith(t, m.Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey); got.status != 401 {
+		if got := sendWithHeaders(t, m.Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey); got.status != 401 {
 			t.Errorf("removed key through %s: got %d, want 401", m.Name, got.status)
 		}
-		if got := sendWith(t, m.Caller, "/conferme/a", "Authorization", "Bearer "+fresh); got.status != 200 {
+		if got := sendWithHeaders(t, m.Caller, "/conferme/a", "Authorization", "Bearer "+newKey); got.status != 200 {
 			t.Errorf("new key through %s: got %d, want 200", m.Name, got.status)
 		}
 	}
 }
 
-// begun returns what the backend servers have begun of a path.
-func begun(f *fleet.Fleet, path string) []standin.Entry {
+// begunRequests returns the requests to a path that the backend servers have begun.
+func begunRequests(f *fleet.Fleet, path string) []standin.Entry {
 	var all []standin.Entry
 	for _, b := range f.Backends {
 		for _, run := range b.Ledger() {
@@ -133,15 +136,16 @@
 	return all
 }
 
-// An account that sends through every node would get its quota at each of them.
+// Guards against an account that sends through every node and gets its whole quota at
+// each of them.
 func TestQuotaHoldsOverAllNodes(t *testing.T) {
 	const burst = 6
-	deployed := withAccounts(4)
+	deployed := tableWithAccounts(4)
 	deployed.Accounts[0].Rate, deployed.Accounts[0].Burst = 0.001, burst
-	f := start(t, fleet.Config{Table: deployed})
+	f := startFleet(t, fleet.Config{Table: deployed})
 	served := 0
 	for i := range 40 {
-		got := sendWith(t, f.Members[i%4].Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey)
+		got := sendWithHeaders(t, f.Members[i%4].Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey)
 		switch {
 		case got.status == 200:
 			served++
@@ -153,19 +157,19 @@
 		t.Errorf("got %d requests served, want one at least and %d at most", served, burst)
 	}
 	for i := range 8 {
-		if got := sendWith(t, f.Members[i%4].Caller, "/conferme/a", "Authorization", "Bearer "+clinicKey); got.status != 200 {
+		if got := sendWithHeaders(t, f.Members[i%4].Caller, "/conferme/a", "Authorization", "Bearer "+clinicKey); got.status != 200 {
 			t.Errorf("another account: got %d %q, want 200", got.status, got.reason)
 		}
 	}
 }
 
-// The node that grants an account's requests is killed: another one takes its place, which must
-// neither hold up callers nor grant a burst anew.
-func TestQuotaOutlivesItsHome(t *testing.T) {
+// The home node of an account, which grants its quota, is killed. Another node takes
+// over. It must neither delay callers nor grant the burst again.
+func TestQuotaSurvivesFailureOfItsHome(t *testing.T) {
 	const burst = 20
-	deployed := withAccounts(4)
+	deployed := tableWithAccounts(4)
 	deployed.Accounts[0].Rate, deployed.Accounts[0].Burst = 0.001, burst
-	f := start(t, fleet.Config{Table: deployed})
+	f := startFleet(t, fleet.Config{Table: deployed})
 	nodes := make([]string, 0, len(f.Members))
 	for _, m := range f.Members {
 		nodes = append(nodes, m.Link)
@@ -173,19 +177,19 @@
 	home := quota.Homes("hotel", nodes)[0]
 	others := slices.DeleteFunc(slices.Clone(f.Members), func(m *fleet.Member) bool { return m.Link == home })
 	served := 0
-	ask := func(count int) {
+	sendMany := func(count int) {
 		for i := range count {
-			if sendWith(t, others[i%len(others)].Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey).status == 200 {
+			if sendWithHeaders(t, others[i%len(others)].Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey).status == 200 {
 				served++
 			}
 		}
 	}
-	ask(6)
+	sendMany(6)
 	if served != 6 {
 		t.Fatalf("got %d of 6 requests served, want all", served)
 	}
 	f.Members[slices.IndexFunc(f.Members, func(m *fleet.Member) bool { return m.Link == home })].Stop()
-	ask(30)
+	sendMany(30)
 	if served < 7 || served > burst {
 		t.Errorf("got %d requests served, want more than 6 and %d at most", served, burst)
 	}
--- a/fleet/allocation_test.go
+++ b/fleet/allocation_test.go
@@ -7,26 +7,26 @@
 	"testing"
 )
 
-// TestPathAllocations bounds what a request allocates beyond the direct way,
-// for memory is the part of its cost that doesn't depend on the machine.
+// TestPathAllocations limits the allocations per request that a node adds to a direct
+// connection. Memory is the part of a request's cost that doesn't depend on the machine.
 func TestPathAllocations(t *testing.T) {
 	const requests = 2000
-	all := ways(t)
-	count := func(w way) float64 {
-		load(t, w.address, 300)
+	paths := requestPaths(t)
+	allocations := func(p requestPath) float64 {
+		measureLatencies(t, p.address, 300)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		load(t, w.address, requests)
+		measureLatencies(t, p.address, requests)
 		runtime.ReadMemStats(&after)
 		return float64(after.Mallocs-before.Mallocs) / requests
 	}
-	direct := count(all[0])
+	direct := allocations(paths[0])
 	for _, tt := range []struct {
-		way  way
+		path requestPath
 		want float64
-	}{{all[1], 45}, {all[2], 70}} {
-		if got := count(tt.way) - direct; got > tt.want {
-			t.Errorf("%s: got %.0f allocations beyond the direct way, want at most %.0f", tt.way.name, got, tt.want)
+	}{{paths[1], 45}, {paths[2], 70}} {
+		if got := allocations(tt.path) - direct; got > tt.want {
+			t.Errorf("%s: got %.0f allocations more than a direct connection, want at most %.0f", tt.path.name, got, tt.want)
 		}
 	}
 }
--- a/fleet/answer_test.go
+++ b/fleet/answer_test.go
@@ -16,16 +16,16 @@
 	"fuchsiapick.example/fuchsiapick/standin"
 )
 
-// Many callers share one link, and answers of all sizes cross it in frames.
-// A site manager must never see the roster of another hotel, nor half of one.
+// Many callers share one link, on which answers of all sizes are sent in frames. Guards
+// against a caller that receives another caller's answer, or only a part of its own.
 func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
-	f, far, _, _ := two(t, 1)
+	f, entryNode, _, _ := startTwoNodes(t, 1)
 	var group errorGroup
 	for caller := range 8 {
 		group.Go(func() error {
 			for i := range 12 {
 				size := []int{0, 10, 65_536, 65_537, 300_000, 1_000_000}[(caller+i)%6]
-				got := send(t, "GET", far.Caller, fmt.Sprintf("/conferme/turno?size=%d", size), "")
+				got := send(t, "GET", entryNode.Caller, fmt.Sprintf("/conferme/turno?size=%d", size), "")
 				if want := string(standin.AnswerBody(got.id, size)); got.outcome != "served" || got.body != want {
 					return fmt.Errorf("request %s: got %s, %d bytes; want served, its own %d", got.id, got.outcome, len(got.body), len(want))
 				}
@@ -34,37 +34,38 @@
 		})
 	}
 	group.Wait(t)
-	if got := totals(f); got.Received != got.Closed {
+	if got := requestTotals(f); got.Received != got.Closed {
 		t.Errorf("got %d received and %d closed, want them equal", got.Received, got.Closed)
 	}
 }
 
-// The link breaks while a large answer crosses it. The caller must get all of
-// it from another try, or a clear failure, never a torn page with status 200.
-func TestTornLinkNeverTearsAnAnswer(t *testing.T) {
-	_, far, beside, _ := two(t, 1)
+// The link breaks while a large answer is sent over it. The caller must get the whole
+// answer from another attempt or a clear failure, never a truncated body with status 200.
+func TestBrokenLinkNeverTruncatesAnAnswer(t *testing.T) {
+	_, entryNode, gateNode, _ := startTwoNodes(t, 1)
 	const size = 4_000_000
 	for i := range 6 {
-		for send(t, "GET", far.Caller, "/conferme/turno", "").outcome != "served" {
-			continue // until the path is back
+		for send(t, "GET", entryNode.Caller, "/conferme/turno", "").outcome != "served" {
+			continue // until the path works again
 		}
-		passed := beside.LinkRelay.Stats().Passed
+		passed := gateNode.LinkRelay.Stats().Passed
 		done := make(chan answer, 1)
-		go func() { done <- send(t, "GET", far.Caller, fmt.Sprintf("/conferme/turno?size=%d", size), "") }()
-		until(t, "part of the answer", func() bool { return beside.LinkRelay.Stats().Passed > passed+200_000 })
-		beside.LinkRelay.SetMode(standin.Refuse)
-		beside.LinkRelay.SetMode(standin.Pass)
+		go func() { done <- send(t, "GET", entryNode.Caller, fmt.Sprintf("/conferme/turno?size=%d", size), "") }()
+		waitUntil(t, "part of the answer", func() bool { return gateNode.LinkRelay.Stats().Passed > passed+200_000 })
+		gateNode.LinkRelay.SetMode(standin.Refuse)
+		gateNode.LinkRelay.SetMode(standin.Pass)
 		got := <-done
 		if got.status == http.StatusOK && got.body != string(standin.AnswerBody(got.id, size)) {
-			t.Errorf("try %d: got 200 with %d bytes, want the whole answer or a failure", i, len(got.body))
+			t.Errorf("round %d: got 200 with %d bytes, want the whole answer or a failure", i, len(got.body))
 		}
 	}
 }
 
-// A caller hangs up while its confirmation runs, and another reads a byte at a
-// time. Neither may hold up others, and each request keeps its one account.
+// One caller closes its connection while its request runs, and another reads its answer
+// slowly. Neither may delay other callers, and the node must record each request exactly
+// once.
 func TestCallersThatHangUpOrReadSlowly(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(1), ServiceTime: 50})
+	f := startFleet(t, fleet.Config{Table: newTable(1), ServiceTime: 50})
 	m := f.Members[0]
 	conn, err := net.Dial("tcp", m.Caller)
 	if err != nil {
@@ -73,7 +74,7 @@
 	if _, err := conn.Write([]byte("POST /conferme/turno HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, f.Backends["conferme-1"], ran(1))
+	awaitTotals(t, f.Backends["conferme-1"], begunAtLeast(1))
 	_ = conn.Close()
 	slow, err := net.Dial("tcp", m.Caller)
 	if err != nil {
@@ -83,7 +84,7 @@
 	if _, err := slow.Write([]byte("GET /conferme/turno?size=3000000 HTTP/1.1\r\nHost: a\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, f.Backends["conferme-1"], ran(2))
+	awaitTotals(t, f.Backends["conferme-1"], begunAtLeast(2))
 	if got := send(t, "POST", m.Caller, "/conferme/turno", "x"); got.outcome != "served" {
 		t.Errorf("got %s %s beside a slow reader, want served", got.outcome, got.reason)
 	}
@@ -96,23 +97,23 @@
 	if want := string(standin.AnswerBody(response.Header.Get(entry.HeaderRequest), 3000000)); err != nil || string(body) != want {
 		t.Errorf("got %d bytes and error %v, want the whole answer", len(body), err)
 	}
-	until(t, "all accounts closed", func() bool { s := totals(f); return s.Received == 3 && s.Closed == 3 })
+	waitUntil(t, "records of all requests closed", func() bool { s := requestTotals(f); return s.Received == 3 && s.Closed == 3 })
 }
 
-// A HEAD request learns the length of what a GET would bring.
-func TestHeadKeepsLength(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(1)})
-	status, header := raw(t, f.Members[0].Caller, "HEAD /conferme/turno?size=500 HTTP/1.1\r\nHost: hotel.example\r\n\r\n")
+// A HEAD request must return the Content-Length that a GET request would return.
+func TestHeadReturnsContentLength(t *testing.T) {
+	f := startFleet(t, fleet.Config{Table: newTable(1)})
+	status, header := sendRaw(t, f.Members[0].Caller, "HEAD /conferme/turno?size=500 HTTP/1.1\r\nHost: hotel.example\r\n\r\n")
 	if status != http.StatusOK || header.Get("Content-Length") == "0" || header.Get("Content-Length") == "" {
 		t.Errorf("got %d and length %q, want 200 and the length", status, header.Get("Content-Length"))
 	}
 }
 
-// A service that is slow by nature is served: the entry must not cut a try off
-// to leave time for another.
+// A slow service must be served: the entry must not cancel an attempt to save time for
+// another one.
 func TestSlowServiceIsServed(t *testing.T) {
-	c := deployment(3)
-	f := start(t, fleet.Config{Table: c, ServiceTime: 700, Adjust: func(s *settings.Settings) { s.Limits.Requests = 10 }})
+	c := newTable(3)
+	f := startFleet(t, fleet.Config{Table: c, ServiceTime: 700, Adjust: func(s *settings.Settings) { s.Limits.Requests = 10 }})
 	for i := range 6 {
 		if got := send(t, "GET", f.Members[i%3].Caller, "/conferme/turno", ""); got.outcome != string(access.Served) {
 			t.Errorf("request %d: got %s %s, want served", i, got.outcome, got.reason)
@@ -125,7 +126,7 @@
 	}
 }
 
-func totals(f *fleet.Fleet) access.Snapshot {
+func requestTotals(f *fleet.Fleet) access.Snapshot {
 	var sum access.Snapshot
 	for _, m := range f.Members {
 		s := m.Node.Snapshot(access.Filter{Limit: 1})
@@ -135,7 +136,7 @@
 	return sum
 }
 
-// errorGroup runs functions at once and reports the errors of all.
+// errorGroup runs functions concurrently and reports all their errors.
 type errorGroup struct {
 	errs  chan error
 	count int
@@ -157,8 +158,8 @@
 			if err != nil {
 				t.Error(err)
 			}
-		case <-time.After(patience):
-			t.Fatal("got no end of all callers")
+		case <-time.After(waitTimeout):
+			t.Fatal("got callers that still run, want all ended")
 		}
 	}
 }
--- a/fleet/badinput_test.go
+++ b/fleet/badinput_test.go
@@ -15,15 +15,16 @@
 	"fuchsiapick.example/fuchsiapick/settings"
 )
 
-// raw sends bytes as they are and reads one answer.
-func raw(t *testing.T, address, text string) (status int, header http.Header) {
+// sendRaw writes the text to a new connection unchanged and reads one answer, whose
+// status and headers it returns.
+func sendRaw(t *testing.T, address, text string) (status int, header http.Header) {
 	t.Helper()
-	conn, err := net.DialTimeout("tcp", address, patience)
+	conn, err := net.DialTimeout("tcp", address, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Write([]byte(text)); err != nil {
@@ -38,10 +39,10 @@
 	return response.StatusCode, response.Header
 }
 
-// Whatever a caller sends, it gets a clear answer that nothing was run, the
-// node goes on serving, and the request has its account.
+// Malformed and oversized requests must get a clear answer with the right outcome. The
+// node must continue to serve, and must record each of these requests.
 func TestBadInputIsRefusedAndAccounted(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(1), Adjust: func(s *settings.Settings) {
+	f := startFleet(t, fleet.Config{Table: newTable(1), Adjust: func(s *settings.Settings) {
 		s.Limits.Body = 1000
 		s.Limits.Answer = 5000
 	}})
@@ -66,7 +67,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			status, header := raw(t, node.Caller, tt.text)
+			status, header := sendRaw(t, node.Caller, tt.text)
 			got := fmt.Sprint(status, header.Get(entry.HeaderOutcome), header.Get(entry.HeaderReason))
 			if want := fmt.Sprint(tt.status, tt.outcome, tt.reason); got != want {
 				t.Errorf("got %s, want %s", got, want)
--- a/fleet/crash_bench_test.go
+++ b/fleet/crash_bench_test.go
@@ -17,21 +17,23 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// BenchmarkCrashes sends one request to one node after the other, every 0.3 s, beside 350
-// harmless ones a second, half of them the same: one that crashes its backend servers for
-// 2 s, the same while some of these fail most requests at once by turns, and a harmless one
-// beside backend servers that end by themselves twice a second. `later` is how often the
-// deadly one reached a server later than 3 s after the third had ended. By hand: -bench
-// Crashes -benchtime 84x.
+// BenchmarkCrashes sends one request to each node in turn, every 0.3 s, besides 350
+// harmless requests per second, half of which are identical. In "deadly", the request
+// crashes each backend server that runs it, for 2 s. In "episodes", some of the backend
+// servers also fail most requests immediately, in turn. In "themselves", there are only
+// harmless requests, and backend servers crash on their own twice per second. The metric
+// "later" counts how often the crashing request reached a backend server later than 3 s
+// after the third crash; "held" counts harmless requests refused as quarantined. Run it
+// by hand: -bench Crashes -benchtime 84x.
 func BenchmarkCrashes(b *testing.B) {
 	for _, name := range []string{"deadly", "episodes", "themselves"} {
-		b.Run(name, func(b *testing.B) { playCrashes(b, name) })
+		b.Run(name, func(b *testing.B) { runCrashes(b, name) })
 	}
 }
 
-func playCrashes(b *testing.B, name string) {
+func runCrashes(b *testing.B, name string) {
 	const upstreams = 12
-	c := deployment(upstreams)
+	c := newTable(upstreams)
 	s := &c.Services[0]
 	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow = table.ShortEpisodes, 0.7, 62, 10*clock.Second
 	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
@@ -41,16 +43,16 @@
 	}
 	defer f.Close()
 	backend := func(i int) *standin.Backend { return f.Backends[fmt.Sprintf("conferme-%d", i%upstreams+1)] }
-	fault := standin.Fault{Kind: standin.Crashes, Path: deadly, Downtime: 2 * clock.Second, CrashDelay: 40}
+	fault := standin.Fault{Kind: standin.Crashes, Path: crashingPath, Downtime: 2 * clock.Second, CrashDelay: 40}
 	for i := range upstreams {
 		backend(i).SetFault(fault)
 	}
-	h := startHarmless(callers(f))
-	third, settled, isSettled := time.Time{}, 0, false
+	harmless := startHarmlessLoad(callerAddresses(f))
+	thirdCrash, arrivalsBefore, isCounted := time.Time{}, 0, false
 	b.ResetTimer()
 	for i := range b.N {
 		if name != "themselves" {
-			go func() { _, _ = outcomeOf(&fasthttp.Client{}, f.Members[i%upstreams].Caller, deadly) }()
+			go func() { _, _ = sendForOutcome(&fasthttp.Client{}, f.Members[i%upstreams].Caller, crashingPath) }()
 		}
 		if name == "episodes" {
 			failing := fault
@@ -59,30 +61,31 @@
 				backend(i*5 + j).SetFault(failing)
 			}
 		}
-		if name == "themselves" && i%5 < 3 { // two a second
+		if name == "themselves" && i%5 < 3 { // two per second
 			go backend(i * 7).CrashFor(2 * clock.Second)
 		}
 		<-time.After(300 * time.Millisecond)
 		switch {
-		case third.IsZero() && crashes(f) >= 3:
-			third = time.Now()
-		case !third.IsZero() && !isSettled && time.Since(third) > 3*time.Second:
-			settled, isSettled = arrivals(f), true
+		case thirdCrash.IsZero() && crashCount(f) >= 3:
+			thirdCrash = time.Now()
+		case !thirdCrash.IsZero() && !isCounted && time.Since(thirdCrash) > 3*time.Second:
+			arrivalsBefore, isCounted = crashingArrivals(f), true
 		}
 	}
-	h.end()
-	b.ReportMetric(float64(crashes(f)), "crashes")
-	b.ReportMetric(float64(arrivals(f)-settled), "later")
-	b.ReportMetric(float64(h.served.Load())/float64(max(h.sent.Load(), 1)), "served")
-	b.ReportMetric(float64(h.held.Load()), "held")
+	harmless.stopAndWait()
+	b.ReportMetric(float64(crashCount(f)), "crashes")
+	b.ReportMetric(float64(crashingArrivals(f)-arrivalsBefore), "later")
+	b.ReportMetric(float64(harmless.served.Load())/float64(max(harmless.sent.Load(), 1)), "served")
+	b.ReportMetric(float64(harmless.quarantined.Load()), "held")
 }
 
-// arrivals is how often deadly requests reached a backend server.
-func arrivals(f *fleet.Fleet) int {
+// crashingArrivals returns how many requests to crashingPath the backend servers have
+// begun.
+func crashingArrivals(f *fleet.Fleet) int {
 	sum := 0
 	for _, b := range f.Backends {
 		for _, e := range b.Ledger() {
-			if strings.HasPrefix(e.Path, deadly) {
+			if strings.HasPrefix(e.Path, crashingPath) {
 				sum++
 			}
 		}
@@ -90,15 +93,15 @@
 	return sum
 }
 
-// harmless is a load of requests that crash nothing.
-type harmless struct {
-	stop               chan struct{}
-	group              sync.WaitGroup
-	sent, served, held atomic.Int64
+// harmlessLoad sends requests that crash no backend server, and counts their outcomes.
+type harmlessLoad struct {
+	stop                      chan struct{}
+	group                     sync.WaitGroup
+	sent, served, quarantined atomic.Int64
 }
 
-func startHarmless(nodes []string) *harmless {
-	h := &harmless{stop: make(chan struct{})}
+func startHarmlessLoad(nodes []string) *harmlessLoad {
+	h := &harmlessLoad{stop: make(chan struct{})}
 	for caller := range 35 {
 		h.group.Go(func() {
 			client := &fasthttp.Client{}
@@ -114,13 +117,13 @@
 				if i%2 == 0 {
 					path = fmt.Sprintf("/conferme/%d-%d", caller, i)
 				}
-				outcome, reason := outcomeOf(client, nodes[(caller+i)%len(nodes)], path)
+				outcome, reason := sendForOutcome(client, nodes[(caller+i)%len(nodes)], path)
 				h.sent.Add(1)
 				if outcome == "served" {
 					h.served.Add(1)
 				}
 				if reason == "quarantined" {
-					h.held.Add(1)
+					h.quarantined.Add(1)
 				}
 			}
 		})
@@ -128,17 +131,19 @@
 	return h
 }
 
-func (h *harmless) end() {
+func (h *harmlessLoad) stopAndWait() {
 	close(h.stop)
 	h.group.Wait()
 }
 
-func outcomeOf(client *fasthttp.Client, address, path string) (outcome, reason string) {
+// sendForOutcome sends one GET request and returns its outcome and reason, or the text of
+// the error as the outcome.
+func sendForOutcome(client *fasthttp.Client, address, path string) (outcome, reason string) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + address + path)
-	if err := client.DoTimeout(request, response, patience); err != nil {
+	if err := client.DoTimeout(request, response, waitTimeout); err != nil {
 		return err.Error(), ""
 	}
 	return string(response.Header.Peek(entry.HeaderOutcome)), string(response.Header.Peek(entry.HeaderReason))
--- a/fleet/crash_test.go
+++ b/fleet/crash_test.go
@@ -11,25 +11,27 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// deadly begins the paths of requests that crash each backend server that runs them.
-const deadly = "/conferme/veleno"
+// crashingPath is the path prefix of requests that crash each backend server that runs
+// them.
+const crashingPath = "/conferme/veleno"
 
-// crashing starts a deployment with a budget of retries for the whole service, whose
-// backend servers crash at deadly requests and come back a moment later.
-func crashing(t *testing.T, upstreams int, caution table.Caution) *fleet.Fleet {
+// startCrashing starts a deployment whose service has a retry budget. Its backend servers
+// crash on requests to crashingPath and restart a moment later.
+func startCrashing(t *testing.T, upstreams int, caution table.Caution) *fleet.Fleet {
 	t.Helper()
-	c := deployment(upstreams)
+	c := newTable(upstreams)
 	s := &c.Services[0]
 	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow = caution, 0.7, 62, 10*clock.Second
 	c.Routes[0].MaxAttempts, c.Routes[0].Repeatable = 3, []string{"GET"}
-	f := start(t, fleet.Config{Table: c, ServiceTime: 2})
+	f := startFleet(t, fleet.Config{Table: c, ServiceTime: 2})
 	for _, b := range f.Backends {
-		b.SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly})
+		b.SetFault(standin.Fault{Kind: standin.Crashes, Path: crashingPath})
 	}
 	return f
 }
 
-func crashes(f *fleet.Fleet) int {
+// crashCount returns how often backend servers have crashed.
+func crashCount(f *fleet.Fleet) int {
 	sum := 0
 	for _, b := range f.Backends {
 		sum += b.Crashes()
@@ -37,10 +39,10 @@
 	return sum
 }
 
-// allUp waits until every backend server is there.
-func allUp(t *testing.T, f *fleet.Fleet) {
+// awaitAllUp waits until every backend server is running.
+func awaitAllUp(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
-	until(t, "backend servers that are all up", func() bool {
+	waitUntil(t, "all backend servers running", func() bool {
 		for _, b := range f.Backends {
 			if b.IsDown() {
 				return false
@@ -50,85 +52,87 @@
 	})
 }
 
-// Guards against a request that crashes the backend servers which run it being sent to
-// one after the other, as it comes again under new ids through all nodes.
-func TestARequestThatCrashesItsBackendsIsStopped(t *testing.T) {
+// Guards against a request that crashes every backend server that runs it being sent to
+// one server after the other, because it arrives again under new ids through all nodes.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, caution := range []table.Caution{table.ShortEpisodes, table.Fast} {
 		t.Run(string(caution), func(t *testing.T) {
-			f := crashing(t, 6, caution)
+			f := startCrashing(t, 6, caution)
 			for i := range 30 {
-				send(t, "GET", f.Members[i%6].Caller, deadly+"?n=7", "")
-				allUp(t, f)
+				send(t, "GET", f.Members[i%6].Caller, crashingPath+"?n=7", "")
+				awaitAllUp(t, f)
 			}
-			if got := crashes(f); got > 6 {
-				t.Errorf("got %d crashes under one request, want at most 3 and 3 retries", got)
+			if got := crashCount(f); got > 6 {
+				t.Errorf("got %d crashes by one request, want at most 3 and 3 retries", got)
 			}
 		})
 	}
 }
 
-// Guards against a deadly request being cleared by backend servers that fail all they get
-// at once, and being sent on and on to these.
-func TestADeadlyRequestIsStoppedAmongFailingServers(t *testing.T) {
-	f := crashing(t, 6, table.ShortEpisodes)
+// Backend servers that fail most requests immediately also fail the crashing request
+// without a crash. Guards against these failures being taken as proof that the request is
+// harmless, so that nodes send it again and again.
+func TestCrashingRequestIsQuarantinedAmongFailingServers(t *testing.T) {
+	f := startCrashing(t, 6, table.ShortEpisodes)
 	for _, name := range []string{"conferme-1", "conferme-2", "conferme-3", "conferme-5"} {
-		f.Backends[name].SetFault(standin.Fault{Kind: standin.Crashes, Path: deadly, FailFastShare: 0.9})
+		f.Backends[name].SetFault(standin.Fault{Kind: standin.Crashes, Path: crashingPath, FailFastShare: 0.9})
 	}
-	third := -1
+	arrivalsAtThird := -1
 	for i := range 60 {
-		send(t, "GET", f.Members[i%6].Caller, deadly, "")
-		allUp(t, f)
-		if third < 0 && crashes(f) >= 3 {
-			third = arrivals(f)
+		send(t, "GET", f.Members[i%6].Caller, crashingPath, "")
+		awaitAllUp(t, f)
+		if arrivalsAtThird < 0 && crashCount(f) >= 3 {
+			arrivalsAtThird = crashingArrivals(f)
 		}
 	}
-	if got := arrivals(f) - third; third < 0 || got > 3 {
-		t.Errorf("got %d sends that reached servers after those under which the third ended (%d crashes), want 3 at most", got, crashes(f))
+	if got := crashingArrivals(f) - arrivalsAtThird; arrivalsAtThird < 0 || got > 3 {
+		t.Errorf("got %d sends that reached servers after the third crash (%d crashes), want 3 at most", got, crashCount(f))
 	}
 }
 
-// Guards against harmless requests being refused, or failing for more than a moment, since
-// they ran beside a deadly one: a popular one, and others that are sent once.
-func TestHarmlessRequestsOutliveADeadlyOne(t *testing.T) {
-	f := crashing(t, 6, table.ShortEpisodes)
-	s := startSteady(6, callers(f))
+// Guards against harmless requests being quarantined, or failing for more than a moment,
+// because they ran at the same time as a crashing request. One of them is sent often,
+// others once.
+func TestHarmlessRequestsAreServedBesideACrashingOne(t *testing.T) {
+	f := startCrashing(t, 6, table.ShortEpisodes)
+	s := startSteadyLoad(6, callerAddresses(f))
 	for i := range 20 {
-		send(t, "GET", f.Members[i%6].Caller, deadly, "")
+		send(t, "GET", f.Members[i%6].Caller, crashingPath, "")
 		for j := range 6 {
 			got := send(t, "GET", f.Members[j].Caller, fmt.Sprintf("/conferme/turno?n=%d", i*6+j), "")
 			if got.outcome != "served" {
 				t.Errorf("send %d through %s: got %q %q, want served", i, f.Members[j].Name, got.outcome, got.reason)
 			}
 		}
-		allUp(t, f)
+		awaitAllUp(t, f)
 	}
 	close(s.stop)
 	s.group.Wait()
-	if got := send(t, "GET", f.Members[0].Caller, deadly, ""); got.reason != "quarantined" || got.outcome != "unknown" || got.status != 502 {
-		t.Errorf("got %d %q %q for the deadly one, want 502 unknown quarantined", got.status, got.outcome, got.reason)
+	if got := send(t, "GET", f.Members[0].Caller, crashingPath, ""); got.reason != "quarantined" || got.outcome != "unknown" || got.status != 502 {
+		t.Errorf("got %d %q %q for the crashing request, want 502 unknown quarantined", got.status, got.outcome, got.reason)
 	}
 	for _, m := range f.Members {
 		for _, c := range m.Node.Quarantine() {
 			if c.Verdict == access.VerdictQuarantined && len(c.Upstreams) < 3 {
-				t.Errorf("%s: got %+v held, want three ends under it", m.Name, c)
+				t.Errorf("%s: got %+v quarantined, want three crashes by it", m.Name, c)
 			}
 		}
 	}
 }
 
-// Guards against a popular request being blamed for backend servers that end by themselves,
-// at nearly all of which it runs.
-func TestAPopularRequestOutlivesEndsByThemselves(t *testing.T) {
-	f := crashing(t, 6, table.ShortEpisodes)
-	s := startSteady(6, callers(f))
+// Backend servers crash on their own, and a popular request runs on almost all of them at
+// the time. Guards against the request being quarantined for these crashes.
+func TestPopularRequestIsNotBlamedForUnrelatedCrashes(t *testing.T) {
+	f := startCrashing(t, 6, table.ShortEpisodes)
+	s := startSteadyLoad(6, callerAddresses(f))
 	for i := range 40 {
 		b := f.Backends[fmt.Sprintf("conferme-%d", i%6+1)]
-		await(t, b, ran(b.Totals().Begun+5))
+		awaitTotals(t, b, begunAtLeast(b.Totals().Begun+5))
 		b.CrashFor(0)
-		allUp(t, f)
+		awaitAllUp(t, f)
 		got := send(t, "GET", f.Members[i%6].Caller, "/conferme/turno", "")
 		if got.reason == "quarantined" {
-			t.Fatalf("crash %d: got %q %q, want it not held", i, got.outcome, got.reason)
+			t.Fatalf("crash %d: got %q %q, want it not quarantined", i, got.outcome, got.reason)
 		}
 	}
 	close(s.stop)
@@ -136,42 +140,42 @@
 	for _, m := range f.Members {
 		for _, c := range m.Node.Quarantine() {
 			if c.Verdict == access.VerdictQuarantined {
-				t.Errorf("%s: got %+v held, want none", m.Name, c)
+				t.Errorf("%s: got %+v quarantined, want none", m.Name, c)
 			}
 		}
 	}
 }
 
-// Guards against a crashed upstream being held for gray though the request was to blame,
-// and against a request being held for good: an operator's word frees it.
-func TestAnOperatorLiftsAQuarantine(t *testing.T) {
-	f := crashing(t, 4, table.ShortEpisodes)
+// Guards against a request that stays quarantined after an operator lifts it, and against
+// upstreams that stay ejected for crashes that a request caused.
+func TestOperatorLiftsAQuarantine(t *testing.T) {
+	f := startCrashing(t, 4, table.ShortEpisodes)
 	for i := range 6 {
-		send(t, "GET", f.Members[i%4].Caller, deadly, "")
-		allUp(t, f)
+		send(t, "GET", f.Members[i%4].Caller, crashingPath, "")
+		awaitAllUp(t, f)
 	}
 	cases := f.Members[0].Node.Quarantine()
 	if len(cases) != 1 || cases[0].Verdict != access.VerdictQuarantined {
-		t.Fatalf("got %+v, want one request held", cases)
+		t.Fatalf("got %+v, want one request quarantined", cases)
 	}
 	for _, b := range f.Backends {
-		b.SetFault(standin.Fault{Kind: standin.Healthy}) // a mended version
+		b.SetFault(standin.Fault{Kind: standin.Healthy}) // a fixed release is deployed
 	}
-	if got := send(t, "GET", f.Members[1].Caller, deadly, ""); got.reason != "quarantined" {
-		t.Errorf("got %q %q before it is lifted, want it held", got.outcome, got.reason)
+	if got := send(t, "GET", f.Members[1].Caller, crashingPath, ""); got.reason != "quarantined" {
+		t.Errorf("got %q %q before it is lifted, want it quarantined", got.outcome, got.reason)
 	}
 	if err := f.Publish(func(c *table.Table) { c.Services[0].LiftedFingerprints = []string{cases[0].Fingerprint} }); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "request served at all nodes", func() bool {
+	waitUntil(t, "request served by all nodes", func() bool {
 		for _, m := range f.Members {
-			if send(t, "GET", m.Caller, deadly, "").outcome != "served" {
+			if send(t, "GET", m.Caller, crashingPath, "").outcome != "served" {
 				return false
 			}
 		}
 		return true
 	})
-	until(t, "upstreams that are all in use", func() bool {
+	waitUntil(t, "all upstreams in use", func() bool {
 		for _, b := range f.Backends {
 			before := b.Totals().Begun
 			for range 12 {
--- a/fleet/episodes_bench_test.go
+++ b/fleet/episodes_bench_test.go
@@ -15,17 +15,18 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// BenchmarkDeadlyInEpisodes sends a deadly request up to three times at once, every 0.1 to
-// 1.5 s, to any of 15 nodes for 40 s, while nine slow servers have episodes in which they
-// fail what they get at once. By hand: -bench DeadlyInEpisodes -benchtime 1x.
+// BenchmarkDeadlyInEpisodes sends a crashing request, up to three times at once, every
+// 0.1 to 1.5 s, to random nodes of 15, for 40 s. Meanwhile nine slow backend servers go
+// through episodes in which they fail most requests immediately. The metrics are those of
+// BenchmarkCrashes. Run it by hand: -bench DeadlyInEpisodes -benchtime 1x.
 func BenchmarkDeadlyInEpisodes(b *testing.B) {
 	for seed := range uint64(4) {
-		b.Run(fmt.Sprint("seed=", seed+1), func(b *testing.B) { playEpisodes(b, rand.New(rand.NewPCG(seed+1, 3))) })
+		b.Run(fmt.Sprint("seed=", seed+1), func(b *testing.B) { runEpisodes(b, rand.New(rand.NewPCG(seed+1, 3))) })
 	}
 }
 
-func playEpisodes(b *testing.B, r *rand.Rand) {
-	c := deployment(9)
+func runEpisodes(b *testing.B, r *rand.Rand) {
+	c := newTable(9)
 	s := &c.Services[0]
 	s.Caution, s.Floor, s.ExtraRetries, s.RetryWindow, s.Drain = table.ShortEpisodes, 0.3, 62, 10*clock.Second, 0
 	s.Deadline = 12 * clock.Second
@@ -46,10 +47,10 @@
 		}
 		<-m.Node.InForce()
 	}
-	nodes := callers(f)
+	nodes := callerAddresses(f)
 	name := func(i int) string { return fmt.Sprintf("conferme-%d", i%9+1) }
-	fault := func(episode float64) standin.Fault {
-		return standin.Fault{Kind: standin.Crashes, Path: deadly, Downtime: clock.Millis(2000 + r.IntN(3000)), CrashDelay: clock.Millis(20 + r.IntN(100)), FailFastShare: episode}
+	fault := func(failShare float64) standin.Fault {
+		return standin.Fault{Kind: standin.Crashes, Path: crashingPath, Downtime: clock.Millis(2000 + r.IntN(3000)), CrashDelay: clock.Millis(20 + r.IntN(100)), FailFastShare: failShare}
 	}
 	for i := range 9 {
 		f.Backends[name(i)].SetFault(fault(0))
@@ -67,50 +68,50 @@
 					return
 				default:
 				}
-				o, _ := outcomeOf(client, nodes[(k+i)%len(nodes)], fmt.Sprintf("/conferme/%d-%d", k, i))
+				outcome, _ := sendForOutcome(client, nodes[(k+i)%len(nodes)], fmt.Sprintf("/conferme/%d-%d", k, i))
 				mu.Lock()
 				sent++
-				if o == "served" {
+				if outcome == "served" {
 					served++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	third, settled := time.Time{}, -1
+	thirdCrash, arrivalsBefore := time.Time{}, -1
 	begin := time.Now()
 	nextSend, nextEpisode := begin, begin
-	gray := map[int]bool{}
+	isFailing := map[int]bool{}
 	for time.Since(begin) < 40*time.Second {
 		now := time.Now()
 		if now.After(nextSend) {
 			for range 1 + r.IntN(3) {
 				n := nodes[r.IntN(len(nodes))]
-				go func() { _, _ = outcomeOf(&fasthttp.Client{}, n, deadly) }()
+				go func() { _, _ = sendForOutcome(&fasthttp.Client{}, n, crashingPath) }()
 			}
 			nextSend = now.Add(time.Duration(100+r.IntN(1400)) * time.Millisecond)
 		}
 		if now.After(nextEpisode) {
 			i := r.IntN(9)
-			gray[i] = !gray[i]
+			isFailing[i] = !isFailing[i]
 			share := 0.0
-			if gray[i] {
+			if isFailing[i] {
 				share = 0.95
 			}
 			f.Backends[name(i)].SetFault(fault(share))
 			nextEpisode = now.Add(time.Duration(300+r.IntN(1200)) * time.Millisecond)
 		}
-		if third.IsZero() && crashes(f) >= 3 {
-			third = now
+		if thirdCrash.IsZero() && crashCount(f) >= 3 {
+			thirdCrash = now
 		}
-		if !third.IsZero() && settled < 0 && now.Sub(third) > 3*time.Second {
-			settled = arrivals(f)
+		if !thirdCrash.IsZero() && arrivalsBefore < 0 && now.Sub(thirdCrash) > 3*time.Second {
+			arrivalsBefore = crashingArrivals(f)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 	close(stop)
 	group.Wait()
-	b.ReportMetric(float64(crashes(f)), "crashes")
-	b.ReportMetric(float64(arrivals(f)-settled), "later")
+	b.ReportMetric(float64(crashCount(f)), "crashes")
+	b.ReportMetric(float64(crashingArrivals(f)-arrivalsBefore), "later")
 	b.ReportMetric(float64(served)/float64(max(sent, 1)), "served")
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole deployment on loopback in one process: a stand-in
-// platform, stand-in backend servers and real nodes that reach each other over
-// real links. The demo, the sessions and the benchmarks run on it.
+// Package fleet runs a whole deployment on loopback in one process: a stand-in platform,
+// stand-in backend servers, and real nodes that connect to each other over real links.
+// The demo, the tests and the benchmarks use it.
 package fleet
 
 import (
@@ -23,20 +23,20 @@
 
 // Config configures a Fleet.
 type Config struct {
-	// Table is the deployment. Its addresses are replaced by open ports of
-	// this machine; upstreams that name one node get one node.
+	// Table is the deployment. Start works on a copy and replaces its addresses by free
+	// ports of this machine. Upstreams that name the same node address share one node.
 	Table *table.Table
-	// ServiceTime is the time that a backend server takes for a request.
+	// ServiceTime is how long a backend server takes for one request.
 	ServiceTime clock.Millis
-	// PlatformRelays puts a relay between each node and the platform, to cut it.
+	// PlatformRelays puts a relay between each node and the platform, to break the connection.
 	PlatformRelays bool
-	// LinkRelays puts a relay before each node's link address, to cut it.
+	// LinkRelays puts a relay in front of each node's link address, to break its links.
 	LinkRelays bool
-	// Adjust may change a node's settings before it starts.
+	// Adjust changes a node's settings before the node starts; nil changes nothing.
 	Adjust func(s *settings.Settings)
-	// KeyMargin is that of the nodes; 0 means the usual one.
+	// KeyMargin is passed to the nodes, see node.Config; 0 means the default.
 	KeyMargin clock.Millis
-	// Log takes the nodes' logs; nil drops them.
+	// Log receives the nodes' log lines; nil discards them.
 	Log io.Writer
 }
 
@@ -47,14 +47,14 @@
 	Caller    string
 	Admin     string
 	Link      string
-	LinkRelay *standin.Relay // nil without relays
-	// PlatformRelay is the way to the platform; nil without gateways.
+	LinkRelay *standin.Relay // nil without Config.LinkRelays
+	// PlatformRelay forwards to the platform; nil without Config.PlatformRelays.
 	PlatformRelay *standin.Relay
 
-	domain string
-	ports  settings.Listen
-	cancel context.CancelFunc
-	done   chan struct{}
+	domain          string
+	listenAddresses settings.Listen
+	cancel          context.CancelFunc
+	done            chan struct{}
 }
 
 // Fleet is a running deployment.
@@ -71,7 +71,8 @@
 
 const secret = "a secret of the loopback fleet"
 
-// Start starts everything and returns when every node has the table in force.
+// Start starts the deployment and returns when every node has the table in force. If a part
+// fails to start, it stops the others and returns an error.
 func Start(ctx context.Context, c Config) (*Fleet, error) {
 	f := &Fleet{Backends: map[string]*standin.Backend{}, config: c, log: logrus.New()}
 	f.log.SetFormatter(&logrus.JSONFormatter{})
@@ -88,7 +89,7 @@
 
 func (f *Fleet) start(ctx context.Context) error {
 	var err error
-	f.Platform, err = standin.StartPlatform(ctx, standin.PlatformConfig{Address: loopback})
+	f.Platform, err = standin.StartPlatform(ctx, standin.PlatformConfig{Address: loopbackAddress})
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -103,14 +104,14 @@
 		return errors.Trace(err)
 	}
 	for _, m := range f.Members {
-		if err := m.wait(ctx); err != nil {
+		if err := m.awaitTable(ctx); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	return nil
 }
 
-const loopback = "127.0.0.1:0"
+const loopbackAddress = "127.0.0.1:0"
 
 func (f *Fleet) startBackends(ctx context.Context) error {
 	for i := range f.Table.Services {
@@ -119,7 +120,7 @@
 			u := &s.Upstreams[j]
 			b, err := standin.StartBackend(ctx, standin.BackendConfig{
 				Name:    u.Name,
-				Address: loopback,
+				Address: loopbackAddress,
 				Slots:   u.Slots,
 				Service: f.config.ServiceTime,
 				Seed:    uint64(i*len(s.Upstreams) + j),
@@ -134,22 +135,22 @@
 	return nil
 }
 
-// addMembers opens the ports of one node for each node address in the table
-// and puts its address there.
+// addMembers starts one node for each node address in the table and writes the node's
+// real link address into the table.
 func (f *Fleet) addMembers(ctx context.Context) error {
-	known := map[string]*Member{}
+	byAddress := map[string]*Member{}
 	for i := range f.Table.Services {
 		s := &f.Table.Services[i]
 		for j := range s.Upstreams {
 			u := &s.Upstreams[j]
-			m, ok := known[u.Node]
+			m, ok := byAddress[u.Node]
 			if !ok {
 				var err error
 				m, err = f.AddMember(ctx, u.Name, u.Domain)
 				if err != nil {
 					return errors.Trace(err)
 				}
-				known[u.Node] = m
+				byAddress[u.Node] = m
 			}
 			u.Node = m.Link
 		}
@@ -157,9 +158,10 @@
 	return nil
 }
 
-// AddMember starts one more node, which reads the table from the platform.
+// AddMember starts one more node, which reads the table from the platform. It doesn't wait
+// until the table is in force.
 func (f *Fleet) AddMember(ctx context.Context, name, domain string) (*Member, error) {
-	listeners, err := node.Listen(ctx, settings.Listen{Caller: loopback, Link: loopback, Admin: loopback})
+	listeners, err := node.Listen(ctx, settings.Listen{Caller: loopbackAddress, Link: loopbackAddress, Admin: loopbackAddress})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -171,9 +173,9 @@
 		domain: domain,
 		done:   make(chan struct{}),
 	}
-	m.ports = settings.Listen{Caller: m.Caller, Link: m.Link, Admin: m.Admin}
+	m.listenAddresses = settings.Listen{Caller: m.Caller, Link: m.Link, Admin: m.Admin}
 	if f.config.LinkRelays {
-		m.LinkRelay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopback, Target: m.Link})
+		m.LinkRelay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopbackAddress, Target: m.Link})
 		if err != nil {
 			listeners.Close()
 			return nil, errors.Trace(err)
@@ -196,7 +198,7 @@
 	s.Node, s.Domain, s.Listen.Announce = m.Name, domain, m.Link
 	s.Platform.Address = f.Platform.Address()
 	if f.config.PlatformRelays {
-		m.PlatformRelay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopback, Target: f.Platform.Address()})
+		m.PlatformRelay, err = standin.StartRelay(ctx, standin.RelayConfig{Address: loopbackAddress, Target: f.Platform.Address()})
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -222,7 +224,8 @@
 	return nil
 }
 
-// baseSettings is filled in for each node; its ports are already open.
+// baseSettings are the settings that startNode completes for each node. Its addresses are
+// placeholders: the listeners are already open.
 const baseSettings = `
 node = "loopback"
 domain = "loopback"
@@ -236,7 +239,7 @@
 address = "127.0.0.1:4"
 `
 
-// Publish edits the table, raises its version and publishes it.
+// Publish raises the table's version, applies the edit and publishes the table to the platform.
 func (f *Fleet) Publish(edit func(t *table.Table)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,7 +257,7 @@
 	return nil
 }
 
-func (m *Member) wait(ctx context.Context) error {
+func (m *Member) awaitTable(ctx context.Context) error {
 	select {
 	case <-m.Node.InForce():
 		return nil
@@ -265,18 +268,18 @@
 	}
 }
 
-// Done is closed when the node has stopped.
+// Done returns a channel that is closed when the node has stopped.
 func (m *Member) Done() <-chan struct{} {
 	return m.done
 }
 
-// Stop ends the node at once, requests in flight included.
+// Stop ends the node immediately, without waiting for requests in flight.
 func (m *Member) Stop() {
 	m.cancel()
 	<-m.done
 }
 
-// Close stops everything.
+// Close stops all nodes, relays and backend servers and the platform.
 func (f *Fleet) Close() {
 	for _, m := range f.Members {
 		m.cancel()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,10 +15,11 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// patience bounds a test that waits for an event that never comes.
-const patience = 30 * time.Second
+// waitTimeout is how long a test waits for an event before it fails.
+const waitTimeout = 30 * time.Second
 
-func deployment(upstreams int) *table.Table {
+// newTable returns a table with one service that has the given number of upstreams.
+func newTable(upstreams int) *table.Table {
 	s := table.Service{
 		Name:       "conferme",
 		Caution:    table.Fast,
@@ -45,9 +46,10 @@
 	}
 }
 
-func start(t *testing.T, c fleet.Config) *fleet.Fleet {
+// startFleet starts a deployment that is closed when the test ends.
+func startFleet(t *testing.T, c fleet.Config) *fleet.Fleet {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	f, err := fleet.Start(ctx, c)
 	if err != nil {
@@ -57,6 +59,7 @@
 	return f
 }
 
+// answer is what a caller receives.
 type answer struct {
 	status  int
 	outcome string
@@ -74,7 +77,7 @@
 	request.Header.SetMethod(method)
 	request.SetRequestURI("http://" + address + path)
 	request.SetBodyString(body)
-	if err := fasthttp.DoTimeout(request, response, patience); err != nil {
+	if err := fasthttp.DoTimeout(request, response, waitTimeout); err != nil {
 		t.Fatalf("%s %s: got error %v", method, path, err)
 	}
 	return answer{
@@ -88,7 +91,7 @@
 }
 
 func TestServesThroughEveryNode(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(3)})
+	f := startFleet(t, fleet.Config{Table: newTable(3)})
 	for _, m := range f.Members {
 		for _, method := range []string{"GET", "POST"} {
 			got := send(t, method, m.Caller, "/conferme/turno?size=200000", "x")
@@ -96,16 +99,17 @@
 				t.Errorf("%s through %s: got %d %q %q, want 200 served", method, m.Name, got.status, got.outcome, got.reason)
 			}
 			if want := string(standin.AnswerBody(got.id, 200000)); got.body != want {
-				t.Errorf("%s through %s: got a body of %d bytes that isn't the answer to its request", method, m.Name, len(got.body))
+				t.Errorf("%s through %s: got %d bytes that aren't the answer to its request", method, m.Name, len(got.body))
 			}
 		}
 	}
 }
 
-// A confirmation is sent while its upstream hangs: nobody can tell whether it
-// ran. The caller must hear unknown, in time, and no other upstream may get it.
+// An upstream accepts a write and never answers, so that nobody can tell whether the
+// write ran. The caller must receive the outcome "unknown" by its deadline, and no other
+// upstream may get the request.
 func TestHangEndsAsUnknown(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(3)})
+	f := startFleet(t, fleet.Config{Table: newTable(3)})
 	for _, b := range f.Backends {
 		b.SetFault(standin.Fault{Kind: standin.Hangs, Share: 1})
 	}
@@ -122,10 +126,10 @@
 	}
 }
 
-// One upstream's backend server is gone: connections are refused. Nothing ran
-// there, so that confirmations go to the others and all are served once.
+// One backend server refuses connections, so that nothing runs there. Writes must be
+// retried at other upstreams, and all must be served.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(3)})
+	f := startFleet(t, fleet.Config{Table: newTable(3)})
 	f.Backends["conferme-2"].Close()
 	for i := range 30 {
 		got := send(t, "POST", f.Members[i%3].Caller, "/conferme/turno", "x")
@@ -135,15 +139,15 @@
 	}
 }
 
-// until waits for a condition that some event brings about.
-func until(t *testing.T, what string, reached func() bool) {
+// waitUntil polls until the condition holds, and fails the test after waitTimeout.
+func waitUntil(t *testing.T, what string, isReached func() bool) {
 	t.Helper()
-	deadline := time.NewTimer(patience)
+	deadline := time.NewTimer(waitTimeout)
 	defer deadline.Stop()
-	for !reached() {
+	for !isReached() {
 		select {
 		case <-deadline.C:
-			t.Fatalf("got no %s within %s", what, patience)
+			t.Fatalf("got no %s within %s", what, waitTimeout)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
--- a/fleet/leave_test.go
+++ b/fleet/leave_test.go
@@ -19,9 +19,9 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// steady sends requests one after another, each on a connection of its own,
-// until told to stop. It uses the nodes that the test has not taken out.
-type steady struct {
+// steadyLoad has callers that send one request after another, each on a new connection,
+// until it is stopped. setNodes changes the nodes that they use.
+type steadyLoad struct {
 	mu     sync.Mutex
 	nodes  []string
 	stop   chan struct{}
@@ -30,15 +30,15 @@
 	served int
 }
 
-func startSteady(callers int, nodes []string) *steady {
-	s := &steady{nodes: nodes, stop: make(chan struct{})}
+func startSteadyLoad(callers int, nodes []string) *steadyLoad {
+	s := &steadyLoad{nodes: nodes, stop: make(chan struct{})}
 	for i := range callers {
 		s.group.Go(func() { s.run(i) })
 	}
 	return s
 }
 
-func (s *steady) run(seed int) {
+func (s *steadyLoad) run(seed int) {
 	client := &fasthttp.Client{}
 	for i := seed; ; i++ {
 		select {
@@ -49,7 +49,7 @@
 		s.mu.Lock()
 		address := s.nodes[i%len(s.nodes)]
 		s.mu.Unlock()
-		outcome, err := once(client, address, i%2 == 0)
+		outcome, err := sendOnce(client, address, i%2 == 0)
 		s.mu.Lock()
 		if err == nil && outcome == string(access.Served) {
 			s.served++
@@ -60,7 +60,9 @@
 	}
 }
 
-func once(client *fasthttp.Client, address string, write bool) (outcome string, err error) {
+// sendOnce sends one request on a connection of its own, a POST if write is set, and
+// returns its outcome.
+func sendOnce(client *fasthttp.Client, address string, write bool) (outcome string, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -69,17 +71,18 @@
 	if write {
 		request.Header.SetMethod(fasthttp.MethodPost)
 	}
-	err = client.DoTimeout(request, response, patience)
+	err = client.DoTimeout(request, response, waitTimeout)
 	return string(response.Header.Peek(entry.HeaderOutcome)), err
 }
 
-func (s *steady) use(nodes []string) {
+func (s *steadyLoad) setNodes(nodes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes = nodes
 }
 
-func (s *steady) end(t *testing.T) {
+// stopAndCheck stops the callers and fails the test if a request was not served.
+func (s *steadyLoad) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(s.stop)
 	s.group.Wait()
@@ -91,26 +94,26 @@
 	}
 }
 
-// A release replaces all nodes one by one under load. A request cut in flight
-// would be a lost confirmation, found at dawn.
+// A rolling release replaces all nodes under load. Guards against requests in flight that
+// are cut off.
 func TestRollingReplacementCutsNothing(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(3), ServiceTime: 600})
-	s := startSteady(5, callers(f))
+	f := startFleet(t, fleet.Config{Table: newTable(3), ServiceTime: 600})
+	s := startSteadyLoad(5, callerAddresses(f))
 	for i := range 3 {
 		old := f.Members[0]
-		fresh, err := f.AddMember(t.Context(), fmt.Sprintf("fresh-%d", i), "palermo")
+		replacement, err := f.AddMember(t.Context(), fmt.Sprintf("fresh-%d", i), "palermo")
 		if err != nil {
 			t.Fatal(err)
 		}
-		<-fresh.Node.InForce()
+		<-replacement.Node.InForce()
 		f.Members = f.Members[1:]
-		s.use(callers(f))
+		s.setNodes(callerAddresses(f))
 		old.Node.Leave()
 		<-old.Done()
 		if err := f.Publish(func(tt *table.Table) {
 			for j := range tt.Services[0].Upstreams {
 				if tt.Services[0].Upstreams[j].Node == old.Link {
-					tt.Services[0].Upstreams[j].Node = fresh.Link
+					tt.Services[0].Upstreams[j].Node = replacement.Link
 				}
 			}
 		}); err != nil {
@@ -118,11 +121,11 @@
 		}
 		awaitVersion(t, f)
 	}
-	s.end(t)
+	s.stopAndCheck(t)
 }
 
-// callers returns the addresses that callers use.
-func callers(f *fleet.Fleet) []string {
+// callerAddresses returns the addresses at which the nodes accept callers.
+func callerAddresses(f *fleet.Fleet) []string {
 	all := make([]string, 0, len(f.Members))
 	for _, m := range f.Members {
 		all = append(all, m.Caller)
@@ -130,17 +133,19 @@
 	return all
 }
 
+// awaitVersion waits until every node has the table that was published last.
 func awaitVersion(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	for _, m := range f.Members {
-		until(t, fmt.Sprintf("table at %s", m.Name), func() bool { return m.Node.Version() == f.Table.Version })
+		waitUntil(t, fmt.Sprintf("table at %s", m.Name), func() bool { return m.Node.Version() == f.Table.Version })
 	}
 }
 
-// An operator sets a weight to zero, or the instance list says leaving: the
-// upstream gets no new work, and what it has begun is finished.
+// An operator sets an upstream's weight to zero, or the instance list says that its node
+// is leaving. The upstream must get no new requests, and those it has begun must be
+// finished.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	ways := []struct {
+	tests := []struct {
 		name  string
 		state string
 		leave func(f *fleet.Fleet) error
@@ -154,39 +159,41 @@
 			return nil
 		}},
 	}
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
-			// A busy machine may get an upstream set aside as slow. It is back soon where its
-			// trial gets requests that may be repeated, and else after half a minute.
-			d := deployment(3)
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			// On a busy machine an upstream may be ejected as slow. With repeatable requests its
+			// trial is over soon; without them it would stay out for half a minute.
+			d := newTable(3)
 			d.Routes[0].Repeatable = []string{"GET"}
-			f := start(t, fleet.Config{Table: d, ServiceTime: 10})
-			s := startSteady(4, callers(f))
+			f := startFleet(t, fleet.Config{Table: d, ServiceTime: 10})
+			s := startSteadyLoad(4, callerAddresses(f))
 			leaving := f.Backends["conferme-1"]
-			await(t, leaving, ran(5))
-			if err := way.leave(f); err != nil {
+			awaitTotals(t, leaving, begunAtLeast(5))
+			if err := test.leave(f); err != nil {
 				t.Fatal(err)
 			}
 			for _, m := range f.Members {
-				until(t, "leaving at "+m.Name, func() bool { return stateOf(m, "conferme-1") == way.state })
+				waitUntil(t, "leaving at "+m.Name, func() bool { return upstreamState(m, "conferme-1") == test.state })
 			}
-			// What entries sent before they knew may still be on its way to the gate, which
-			// takes it, or from there to the backend server: no caller waits for it any more
-			// once these have ended.
-			s.end(t)
+			// Requests that entries sent before they learned of the change may still be on their
+			// way to the gate, which accepts them, or to the backend server. Once all callers
+			// have ended, none is left.
+			s.stopAndCheck(t)
 			before := leaving.Totals().Begun
-			s = startSteady(4, callers(f))
-			others := f.Backends["conferme-2"]
-			await(t, others, ran(others.Totals().Begun+100))
+			s = startSteadyLoad(4, callerAddresses(f))
+			other := f.Backends["conferme-2"]
+			awaitTotals(t, other, begunAtLeast(other.Totals().Begun+100))
 			if got := leaving.Totals().Begun; got != before {
 				t.Errorf("got %d new requests at the leaving upstream, want 0", got-before)
 			}
-			s.end(t)
+			s.stopAndCheck(t)
 		})
 	}
 }
 
-func stateOf(m *fleet.Member, upstream string) string {
+// upstreamState returns the state of an upstream in a node's view, or "" if the node
+// doesn't know it.
+func upstreamState(m *fleet.Member, upstream string) string {
 	for _, u := range m.Node.States() {
 		if u.Name == upstream {
 			return u.State
@@ -195,53 +202,53 @@
 	return ""
 }
 
-// A node without callers of its own leaves while its gate runs a confirmation
-// for another entry. It must not end before the answer is out.
-func TestLeavingGateFinishesForOthers(t *testing.T) {
-	f, far, beside, backend := two(t, 900)
-	w := newWitness()
+// A node that has no callers of its own leaves while its gate runs a request for another
+// entry. It must not end before the answer is sent.
+func TestLeavingGateFinishesRequestsOfOtherEntries(t *testing.T) {
+	f, entryNode, gateNode, backend := startTwoNodes(t, 900)
+	w := newOutcomeRecorder()
 	done := make(chan answer)
-	go func() { done <- w.post(t, far.Caller) }()
-	await(t, backend, ran(1))
-	beside.Node.Leave()
+	go func() { done <- w.post(t, entryNode.Caller) }()
+	awaitTotals(t, backend, begunAtLeast(1))
+	gateNode.Node.Leave()
 	if got := <-done; got.outcome != "served" {
 		t.Errorf("got %d %s %s, want served", got.status, got.outcome, got.reason)
 	}
-	<-beside.Done()
-	w.check(t, f)
+	<-gateNode.Done()
+	w.checkAgainstLedgers(t, f)
 }
 
-// A node leaves while the way to it is slow: a confirmation that an entry sent it
-// just before is still on the way, and the node sees nothing in flight. Were it
-// to end then, the confirmation would meet a closed link and its caller hear that
-// its outcome is unknown, though it never ran.
-func TestLeavingWaitsForWhatIsOnTheWay(t *testing.T) {
-	_, far, beside, _ := two(t, 1)
-	if got := send(t, "POST", far.Caller, "/conferme/turno", ""); got.outcome != "served" {
+// A node leaves while a request that an entry has sent to it is delayed on the link, so
+// that the node sees nothing in flight. Guards against the node ending at that moment:
+// the request would meet a closed link, and its caller would receive the outcome
+// "unknown" for a request that never ran.
+func TestLeavingNodeWaitsForRequestsInTransit(t *testing.T) {
+	_, entryNode, gateNode, _ := startTwoNodes(t, 1)
+	if got := send(t, "POST", entryNode.Caller, "/conferme/turno", ""); got.outcome != "served" {
 		t.Fatalf("got %s, want a request served first", got.outcome)
 	}
-	beside.LinkRelay.SetMode(standin.Freeze)
+	gateNode.LinkRelay.SetMode(standin.Freeze)
 	done := make(chan answer, 1)
-	go func() { done <- send(t, "POST", far.Caller, "/conferme/turno", "") }()
-	until(t, "the request on its way", func() bool { return beside.LinkRelay.Stats().Held > 0 })
-	beside.Node.Leave()
+	go func() { done <- send(t, "POST", entryNode.Caller, "/conferme/turno", "") }()
+	waitUntil(t, "request held by the relay", func() bool { return gateNode.LinkRelay.Stats().Held > 0 })
+	gateNode.Node.Leave()
 	select {
-	case <-beside.Done():
-		t.Error("got a node that ended, want it to wait for what was sent to it")
+	case <-gateNode.Done():
+		t.Error("got a node that ended, want it to wait for requests in transit")
 	case <-time.After(time.Second):
 	}
-	beside.LinkRelay.SetMode(standin.Pass)
+	gateNode.LinkRelay.SetMode(standin.Pass)
 	if got := <-done; got.outcome != string(access.NotRun) {
 		t.Errorf("got outcome %q (%s), want it not run", got.outcome, got.reason)
 	}
 }
 
-// Callers go on sending to a node that was told to end, as their list of nodes is
-// seconds old. What it takes in the second half of its grace it could not finish:
-// the process would end with confirmations in flight.
-func TestLeavingTakesNothingThatItCouldNotFinish(t *testing.T) {
-	var log lines
-	f := start(t, fleet.Config{Table: deployment(2), ServiceTime: 300, Log: &log, Adjust: func(s *settings.Settings) {
+// Callers continue to send to a leaving node, as their list of nodes is seconds old.
+// Guards against the node accepting requests in the second half of its grace period,
+// which it can't finish: the process would end with requests in flight.
+func TestLeavingNodeRefusesRequestsItCannotFinish(t *testing.T) {
+	var log logBuffer
+	f := startFleet(t, fleet.Config{Table: newTable(2), ServiceTime: 300, Log: &log, Adjust: func(s *settings.Settings) {
 		s.Grace, s.Linger = 4*clock.Second, 500
 	}})
 	leaving := f.Members[0]
@@ -254,12 +261,12 @@
 				case <-stop:
 					return
 				default:
-					_, _ = once(&fasthttp.Client{}, leaving.Caller, false) // refused once the port is closed
+					_, _ = sendOnce(&fasthttp.Client{}, leaving.Caller, false) // fails once the port is closed
 				}
 			}
 		})
 	}
-	until(t, "requests in flight", func() bool { return leaving.Node.InFlight() > 0 })
+	waitUntil(t, "requests in flight", func() bool { return leaving.Node.InFlight() > 0 })
 	leaving.Node.Leave()
 	<-leaving.Done()
 	close(stop)
@@ -269,21 +276,21 @@
 	}
 }
 
-// lines collects what nodes log.
-type lines struct {
+// logBuffer collects the log lines of nodes.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// Write takes in one line.
-func (l *lines) Write(p []byte) (int, error) {
+// Write appends p.
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// String returns all lines so far.
-func (l *lines) String() string {
+// String returns what has been written.
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/fleet/operation_test.go
+++ b/fleet/operation_test.go
@@ -12,58 +12,60 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// lead is by how much a fleet is older than the first key: nodes vouch for keys
-// only that are younger than they, with a margin for slow clocks of callers.
-const lead = 100 * time.Millisecond
+// minNodeAge is how much older nodes are than the first key of a test. A node confirms
+// that a key is new only if the key is younger than the node, with a margin for callers
+// with slow clocks.
+const minNodeAge = 100 * time.Millisecond
 
-// operation is what a caller wants to happen once, under one key.
+// operation is a request that a caller wants to run once, under one idempotency key.
 type operation struct {
-	key    string
-	body   string
-	began  time.Time
-	number int
+	key         string
+	body        string
+	createdAt   time.Time
+	resendCount int
 }
 
 func newOperation(key string) *operation {
-	return &operation{key: key, body: "palermo-7", began: time.Now()}
+	return &operation{key: key, body: "palermo-7", createdAt: time.Now()}
 }
 
-// outcome is what one send of an operation came to.
-type outcome struct {
+// sendResult is the answer to one send of an operation.
+type sendResult struct {
 	answer
-	replay string
-	after  string
+	replay     string
+	retryAfter string
 }
 
-func (o outcome) String() string {
+func (o sendResult) String() string {
 	return fmt.Sprintf("%d %s %s", o.status, o.outcome, o.reason)
 }
 
-// send posts the operation without a mark.
-func (o *operation) send(t *testing.T, address string) outcome {
+// send posts the operation without a resend header.
+func (o *operation) send(t *testing.T, address string) sendResult {
 	return o.post(t, address, "")
 }
 
-// resend posts it again with a truthful mark.
-func (o *operation) resend(t *testing.T, address string) outcome {
-	o.number++
-	age := time.Since(o.began).Milliseconds() + 1
-	return o.post(t, address, fmt.Sprintf("%d; age=%d.%03d", o.number, age/1000, age%1000))
+// resend posts the operation again, with a resend header that states its true age.
+func (o *operation) resend(t *testing.T, address string) sendResult {
+	o.resendCount++
+	age := time.Since(o.createdAt).Milliseconds() + 1
+	return o.post(t, address, fmt.Sprintf("%d; age=%d.%03d", o.resendCount, age/1000, age%1000))
 }
 
-// settle resends until the operation is served.
-func (o *operation) settle(t *testing.T, address string) (got outcome) {
+// resendUntilServed resends the operation until it is served, or fails the test after
+// waitTimeout.
+func (o *operation) resendUntilServed(t *testing.T, address string) (got sendResult) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		if got = o.resend(t, address); got.outcome == "served" {
 			return got
 		}
 	}
-	t.Errorf("resending %s: got %v for %s, want served", o.key, got, patience)
+	t.Errorf("resending %s: got %v for %s, want served", o.key, got, waitTimeout)
 	return got
 }
 
-func (o *operation) post(t *testing.T, address, mark string) outcome {
+func (o *operation) post(t *testing.T, address, resendHeader string) sendResult {
 	t.Helper()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -72,14 +74,14 @@
 	request.SetRequestURI("http://" + address + "/conferme/turno")
 	request.Header.Set(entry.HeaderCaller, "squadra-palermo")
 	request.Header.Set(entry.HeaderKey, o.key)
-	if mark != "" {
-		request.Header.Set(entry.HeaderResend, mark)
+	if resendHeader != "" {
+		request.Header.Set(entry.HeaderResend, resendHeader)
 	}
 	request.SetBodyString(o.body)
-	if err := fasthttp.DoTimeout(request, response, patience); err != nil {
+	if err := fasthttp.DoTimeout(request, response, waitTimeout); err != nil {
 		t.Errorf("sending %s: got error %v", o.key, err)
 	}
-	return outcome{
+	return sendResult{
 		answer: answer{
 			status:  response.StatusCode(),
 			outcome: string(response.Header.Peek(entry.HeaderOutcome)),
@@ -88,41 +90,41 @@
 			id:      string(response.Header.Peek(entry.HeaderRequest)),
 			body:    string(response.Body()),
 		},
-		replay: string(response.Header.Peek(entry.HeaderReplay)),
-		after:  string(response.Header.Peek(fasthttp.HeaderRetryAfter)),
+		replay:     string(response.Header.Peek(entry.HeaderReplay)),
+		retryAfter: string(response.Header.Peek(fasthttp.HeaderRetryAfter)),
 	}
 }
 
-// keyed starts nodes with an upstream beside each, and one without, that have
-// links to each other and are older than any key of the test.
-func keyed(t *testing.T, upstreams int) (f *fleet.Fleet, far *fleet.Member) {
+// startKeyed starts one node per upstream and an entry node without an upstream. It
+// returns when all nodes are older by minNodeAge than any key of the test.
+func startKeyed(t *testing.T, upstreams int) (f *fleet.Fleet, entryNode *fleet.Member) {
 	t.Helper()
-	return keyedTable(t, deployment(upstreams))
+	return startKeyedTable(t, newTable(upstreams))
 }
 
-func keyedTable(t *testing.T, c *table.Table) (f *fleet.Fleet, far *fleet.Member) {
+func startKeyedTable(t *testing.T, c *table.Table) (f *fleet.Fleet, entryNode *fleet.Member) {
 	t.Helper()
-	f = start(t, fleet.Config{Table: c, ServiceTime: 5, LinkRelays: true, KeyMargin: 1})
-	far, err := f.AddMember(t.Context(), "far", "catania")
+	f = startFleet(t, fleet.Config{Table: c, ServiceTime: 5, LinkRelays: true, KeyMargin: 1})
+	entryNode, err := f.AddMember(t.Context(), "far", "catania")
 	if err != nil {
 		t.Fatal(err)
 	}
-	<-far.Node.InForce()
+	<-entryNode.Node.InForce()
 	began := time.Now()
-	until(t, "age", func() bool { return time.Since(began) > lead })
-	return f, far
+	waitUntil(t, "node age", func() bool { return time.Since(began) > minNodeAge })
+	return f, entryNode
 }
 
-// runsOf counts the runs of the caller's operations at all backend servers, and
-// names the last one that ran any.
-func runsOf(f *fleet.Fleet) (runs int, last string) {
+// runsOf returns the number of runs at all backend servers, and the name of one that ran
+// any; with several, which one is random.
+func runsOf(f *fleet.Fleet) (runs int, backend string) {
 	for name, b := range f.Backends {
 		if n := len(b.Ledger()); n > 0 {
 			runs += n
-			last = name
+			backend = name
 		}
 	}
-	return runs, last
+	return runs, backend
 }
 
 func wantRuns(t *testing.T, f *fleet.Fleet, want int) {
@@ -132,6 +134,7 @@
 	}
 }
 
+// memberOf returns the node of an upstream.
 func memberOf(t *testing.T, f *fleet.Fleet, upstream string) *fleet.Member {
 	t.Helper()
 	for _, m := range f.Members {
@@ -139,6 +142,6 @@
 			return m
 		}
 	}
-	t.Fatalf("got no node beside %s", upstream)
+	t.Fatalf("got no node of upstream %s", upstream)
 	return nil
 }
--- a/fleet/replace.go
+++ b/fleet/replace.go
@@ -8,11 +8,11 @@
 	"fuchsiapick.example/fuchsiapick/node"
 )
 
-// Replace ends a member's node at once and starts another process in its place,
-// on the same addresses. It returns when that has the table in force.
+// Replace stops a member's node immediately and starts a new node on the same addresses. It
+// returns when the new node has the table in force.
 func (f *Fleet) Replace(ctx context.Context, m *Member) error {
 	m.Stop()
-	listeners, err := node.Listen(ctx, m.ports)
+	listeners, err := node.Listen(ctx, m.listenAddresses)
 	if err != nil {
 		return errors.Annotatef(err, "replacing node %s", m.Name)
 	}
@@ -21,5 +21,5 @@
 		listeners.Close()
 		return errors.Trace(err)
 	}
-	return m.wait(ctx)
+	return m.awaitTable(ctx)
 }
--- a/fleet/resend_test.go
+++ b/fleet/resend_test.go
@@ -14,35 +14,35 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// A dispatcher confirms a shift and the answer is lost on its way: unknown. The
-// resend must get the answer of the run that was, through any node.
+// A request runs and its answer is lost, so that the outcome is unknown. A resend must
+// return the answer of that run, through any node.
 func TestResendReplaysLostAnswer(t *testing.T) {
-	f, far := keyed(t, 2)
+	f, entryNode := startKeyed(t, 2)
 	o := newOperation("turno-7")
 	for _, m := range f.Members[:2] {
 		m.LinkRelay.SetMode(standin.DropFromTarget)
 	}
-	if got := o.send(t, far.Caller); got.outcome == "served" {
+	if got := o.send(t, entryNode.Caller); got.outcome == "served" {
 		t.Fatalf("got %v over paths that lose answers", got)
 	}
 	for _, m := range f.Members[:2] {
 		m.LinkRelay.SetMode(standin.Pass)
 	}
-	first := o.settle(t, far.Caller)
+	first := o.resendUntilServed(t, entryNode.Caller)
 	for _, m := range f.Members {
-		if got := o.settle(t, m.Caller); got.replay != "true" || got.body != first.body {
+		if got := o.resendUntilServed(t, m.Caller); got.replay != "true" || got.body != first.body {
 			t.Errorf("through %s: got %v, replay %q, body %q; want the replay of %q", m.Name, got, got.replay, got.body, first.body)
 		}
 	}
 	wantRuns(t, f, 1)
 }
 
-// A caller's library sends a payroll entry again on its own, without a mark.
-// The gate that ran it remembers it.
-func TestUnmarkedSecondSendIsNotRunAtTheSameGate(t *testing.T) {
-	f, far := keyed(t, 1)
+// A caller's HTTP library repeats a request on its own, without a resend header. The gate
+// that ran the request has its key on record and must replay the answer.
+func TestSecondSendWithoutResendHeaderIsNotRunAgain(t *testing.T) {
+	f, entryNode := startKeyed(t, 1)
 	o := newOperation("busta-3")
-	first := o.send(t, far.Caller)
+	first := o.send(t, entryNode.Caller)
 	for _, m := range f.Members {
 		got := o.send(t, m.Caller)
 		if got.outcome != "served" || got.replay != "true" || got.body != first.body {
@@ -52,13 +52,13 @@
 	wantRuns(t, f, 1)
 }
 
-// A proxy before the nodes writes field names in lower case. Read with regard to
-// case, the key and the caller would be lost, and the confirmation run again.
+// A proxy in front of the nodes sends header names in lower case. Guards against nodes
+// that miss the key and the caller for that reason and run the request again.
 func TestKeyIsReadWithoutRegardToCase(t *testing.T) {
-	f, far := keyed(t, 1)
+	f, entryNode := startKeyed(t, 1)
 	o := newOperation("turno-6")
-	o.send(t, far.Caller)
-	_, header := raw(t, far.Caller, "POST /conferme/turno HTTP/1.1\r\nhost: a\r\nfuchsiapick-caller: squadra-palermo\r\n"+
+	o.send(t, entryNode.Caller)
+	_, header := sendRaw(t, entryNode.Caller, "POST /conferme/turno HTTP/1.1\r\nhost: a\r\nfuchsiapick-caller: squadra-palermo\r\n"+
 		"idempotency-key: turno-6\r\ncontent-length: 9\r\n\r\npalermo-7")
 	if got := header.Get(entry.HeaderReplay); got != "true" {
 		t.Errorf("got replay %q, want true", got)
@@ -66,57 +66,60 @@
 	wantRuns(t, f, 1)
 }
 
-// A second confirmation is sent while the first one still runs.
-func TestSendWhileItRuns(t *testing.T) {
-	f, far := keyed(t, 1)
+// A request is sent again while the first send still runs. The second send must be
+// refused as "key-running" and must not run.
+func TestSecondSendWhileFirstRuns(t *testing.T) {
+	f, entryNode := startKeyed(t, 1)
 	backend := f.Backends["conferme-1"]
 	backend.SetFault(standin.Fault{Kind: standin.Hangs})
 	o := newOperation("turno-8")
-	done := make(chan outcome)
-	go func() { done <- o.send(t, far.Caller) }()
-	await(t, backend, ran(1))
-	for _, got := range []outcome{o.send(t, far.Caller), o.resend(t, f.Members[0].Caller)} {
-		if got.status != 409 || got.outcome != "unknown" || got.reason != "key-running" || got.after == "" {
-			t.Errorf("got %v, Retry-After %q; want 409 unknown key-running with one", got, got.after)
+	done := make(chan sendResult)
+	go func() { done <- o.send(t, entryNode.Caller) }()
+	awaitTotals(t, backend, begunAtLeast(1))
+	for _, got := range []sendResult{o.send(t, entryNode.Caller), o.resend(t, f.Members[0].Caller)} {
+		if got.status != 409 || got.outcome != "unknown" || got.reason != "key-running" || got.retryAfter == "" {
+			t.Errorf("got %v, Retry-After %q; want 409 unknown key-running with one", got, got.retryAfter)
 		}
 	}
 	<-done
-	if got := o.resend(t, far.Caller); got.status != 502 || got.reason != "answer-not-kept" {
+	if got := o.resend(t, entryNode.Caller); got.status != 502 || got.reason != "answer-not-kept" {
 		t.Errorf("got %v, want 502 answer-not-kept", got)
 	}
 	wantRuns(t, f, 1)
 }
 
-// The node that ran a confirmation dies before the resend. Nobody can tell any
-// more; the other upstream, which knows nothing of it, must not run it.
+// The node whose gate ran a request is killed before the resend. Nobody knows the outcome
+// any more, and the other upstream, which has no record of the request, must not run it.
 func TestResendAfterItsGateWasKilled(t *testing.T) {
-	f, far := keyed(t, 2)
+	f, entryNode := startKeyed(t, 2)
 	o := newOperation("turno-9")
-	o.send(t, far.Caller)
+	o.send(t, entryNode.Caller)
 	_, ranAt := runsOf(f)
 	killed := memberOf(t, f, ranAt)
 	killed.Stop()
-	if got := o.resend(t, far.Caller); got.outcome != "unknown" || got.reason != "key-node-unreachable" {
+	if got := o.resend(t, entryNode.Caller); got.outcome != "unknown" || got.reason != "key-node-unreachable" {
 		t.Errorf("got %v, want unknown", got)
 	}
-	// The table names a fresh node in its place.
-	fresh, err := f.AddMember(t.Context(), "fresh", "palermo")
+	// The table names a new node in its place.
+	replacement, err := f.AddMember(t.Context(), "fresh", "palermo")
 	if err != nil {
 		t.Fatal(err)
 	}
-	replaceNode(t, f, killed, fresh)
-	if got := o.resend(t, far.Caller); got.outcome != "unknown" {
+	replaceNode(t, f, killed, replacement)
+	if got := o.resend(t, entryNode.Caller); got.outcome != "unknown" {
 		t.Errorf("after the table edit: got %v, want unknown", got)
 	}
 	wantRuns(t, f, 1)
 }
 
-func replaceNode(t *testing.T, f *fleet.Fleet, old, fresh *fleet.Member) {
+// replaceNode publishes a table in which another node takes over a node's upstreams, and
+// waits until the remaining nodes have it.
+func replaceNode(t *testing.T, f *fleet.Fleet, old, replacement *fleet.Member) {
 	t.Helper()
 	err := f.Publish(func(tt *table.Table) {
 		for i := range tt.Services[0].Upstreams {
 			if u := &tt.Services[0].Upstreams[i]; u.Node == old.Link {
-				u.Node = fresh.Link
+				u.Node = replacement.Link
 			}
 		}
 	})
@@ -125,84 +128,84 @@
 	}
 	for _, m := range f.Members {
 		if m != old {
-			until(t, "table at "+m.Name, func() bool { return m.Node.Version() == f.Table.Version })
+			waitUntil(t, "table at "+m.Name, func() bool { return m.Node.Version() == f.Table.Version })
 		}
 	}
 }
 
-// An operator takes the upstream that ran a price revision out of the table,
-// then the owner sends it again. Its node is still there and has the answer.
+// An operator removes the upstream that ran a request from the table, and the caller then
+// resends the request. The upstream's node still runs and must replay the answer.
 func TestResendAfterItsUpstreamLeftTheTable(t *testing.T) {
-	f, far := keyed(t, 2)
+	f, entryNode := startKeyed(t, 2)
 	o := newOperation("prezzo-1")
-	first := o.send(t, far.Caller)
+	first := o.send(t, entryNode.Caller)
 	_, ranAt := runsOf(f)
 	err := f.Publish(func(tt *table.Table) {
-		kept := tt.Services[0].Upstreams[:0]
+		remaining := tt.Services[0].Upstreams[:0]
 		for _, u := range tt.Services[0].Upstreams {
 			if u.Name != ranAt {
-				kept = append(kept, u)
+				remaining = append(remaining, u)
 			}
 		}
-		tt.Services[0].Upstreams = kept
+		tt.Services[0].Upstreams = remaining
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	awaitVersion(t, f)
-	if got := o.resend(t, far.Caller); got.replay != "true" || got.body != first.body {
+	if got := o.resend(t, entryNode.Caller); got.replay != "true" || got.body != first.body {
 		t.Errorf("got %v, replay %q; want the first answer", got, got.replay)
 	}
 	wantRuns(t, f, 1)
 }
 
-// A node is replaced on the same addresses after it ran a confirmation. The new
-// process knows nothing of it and could be taken for one that never had it: it
-// must not vouch for the key, and nobody runs it. Keys sent since are served.
+// The node that ran a request is replaced on the same addresses. The new process has no
+// record of the request. Guards against it confirming that the key never ran, upon which
+// the request would run again. Keys that are younger than the new process must be served.
 func TestResendAfterItsNodeWasReplaced(t *testing.T) {
-	f, far := keyed(t, 2)
+	f, entryNode := startKeyed(t, 2)
 	o := newOperation("turno-10")
-	o.send(t, far.Caller)
+	o.send(t, entryNode.Caller)
 	_, ranAt := runsOf(f)
 	replaced := memberOf(t, f, ranAt)
 	if err := f.Replace(t.Context(), replaced); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "path to the new process", func() bool {
-		return o.resend(t, far.Caller).reason != "key-node-unreachable"
+	waitUntil(t, "path to the new process", func() bool {
+		return o.resend(t, entryNode.Caller).reason != "key-node-unreachable"
 	})
-	for _, m := range []*fleet.Member{far, replaced} {
+	for _, m := range []*fleet.Member{entryNode, replaced} {
 		if got := o.resend(t, m.Caller); got.outcome != "unknown" || got.reason != "key-older-than-node" {
 			t.Errorf("through %s: got %v, want unknown key-older-than-node", m.Name, got)
 		}
 	}
 	wantRuns(t, f, 1)
 	began := time.Now()
-	until(t, "age", func() bool { return time.Since(began) > lead })
-	if got := newOperation("turno-11").settle(t, far.Caller); got.replay != "" {
+	waitUntil(t, "node age", func() bool { return time.Since(began) > minNodeAge })
+	if got := newOperation("turno-11").resendUntilServed(t, entryNode.Caller); got.replay != "" {
 		t.Errorf("a younger key: got %v, replay %q; want a run", got, got.replay)
 	}
 	wantRuns(t, f, 2)
 }
 
-// One gate can't be reached from the entry that takes the resend: it may have
-// run the key, and it has. The caller hears unknown at once and nothing runs;
-// when the path is back it gets the answer.
+// The entry that takes a resend can't reach the gate that ran the key. The caller must
+// immediately receive the outcome "unknown", and nothing may run. When the path works
+// again, the caller must get the answer.
 func TestResendAcrossPartition(t *testing.T) {
 	for _, mode := range []standin.RelayMode{standin.Refuse, standin.Freeze, standin.DropToTarget} {
 		t.Run(string(mode), func(t *testing.T) {
-			f, far := keyed(t, 2)
+			f, entryNode := startKeyed(t, 2)
 			o := newOperation("turno-12")
-			first := o.send(t, far.Caller)
+			first := o.send(t, entryNode.Caller)
 			_, ranAt := runsOf(f)
 			cut := memberOf(t, f, ranAt).LinkRelay
 			cut.SetMode(mode)
-			got := o.resend(t, far.Caller)
-			if got.status != 502 || got.outcome != "unknown" || got.reason != "key-node-unreachable" || got.after == "" {
-				t.Errorf("got %v, Retry-After %q; want 502 unknown with one", got, got.after)
+			got := o.resend(t, entryNode.Caller)
+			if got.status != 502 || got.outcome != "unknown" || got.reason != "key-node-unreachable" || got.retryAfter == "" {
+				t.Errorf("got %v, Retry-After %q; want 502 unknown with one", got, got.retryAfter)
 			}
 			cut.SetMode(standin.Pass)
-			if got := o.settle(t, far.Caller); got.replay != "true" || got.body != first.body {
+			if got := o.resendUntilServed(t, entryNode.Caller); got.replay != "true" || got.body != first.body {
 				t.Errorf("got %v, replay %q; want the first answer", got, got.replay)
 			}
 			wantRuns(t, f, 1)
@@ -210,34 +213,35 @@
 	}
 }
 
-// The link goes silent for good after a confirmation ran. The question of the
-// resend is lost on it; a new link works, and the question must go out there in
-// time for the caller to get its answer with this very resend.
+// The link falls silent for good after a request ran, and the key lookup of the resend is
+// lost on it. The entry must repeat the lookup on a new link early enough that this same
+// resend returns the answer.
 func TestResendOverSilentLink(t *testing.T) {
-	c := deployment(1)
+	c := newTable(1)
 	c.Services[0].Deadline = 10 * clock.Second
-	f, far := keyedTable(t, c)
+	f, entryNode := startKeyedTable(t, c)
 	o := newOperation("turno-14")
-	first := o.send(t, far.Caller)
+	first := o.send(t, entryNode.Caller)
 	f.Members[0].LinkRelay.SetMode(standin.BlackholeOpen)
-	if got := o.resend(t, far.Caller); got.replay != "true" || got.body != first.body {
+	if got := o.resend(t, entryNode.Caller); got.replay != "true" || got.body != first.body {
 		t.Errorf("got %v, replay %q; want the first answer", got, got.replay)
 	}
 	wantRuns(t, f, 1)
 }
 
-// A caller lost its first send before it reached any node, and resends through
-// two nodes at once. One of them runs; both get its answer in the end.
-func TestTwoResendsAtOnceRunOnce(t *testing.T) {
+// The first send of a request reaches no node, and its caller resends it through two
+// nodes at the same time. The request must run once, and both resends must get its answer
+// in the end.
+func TestConcurrentResendsRunOnce(t *testing.T) {
 	const rounds = 30
-	f, far := keyed(t, 2)
+	f, entryNode := startKeyed(t, 2)
 	for i := range rounds {
 		o := newOperation(fmt.Sprintf("turno-%d", i))
 		var group sync.WaitGroup
 		bodies := make([]string, 2)
-		for j, m := range []*fleet.Member{f.Members[0], far} {
-			own := *o
-			group.Go(func() { bodies[j] = own.settle(t, m.Caller).body })
+		for j, m := range []*fleet.Member{f.Members[0], entryNode} {
+			copied := *o
+			group.Go(func() { bodies[j] = copied.resendUntilServed(t, m.Caller).body })
 		}
 		group.Wait()
 		if bodies[0] != bodies[1] || t.Failed() {
@@ -247,14 +251,14 @@
 	wantRuns(t, f, rounds)
 }
 
-// A caller's counter starts anew and gives an old key to another confirmation.
-// Neither the other one's answer nor a run under that key would be right.
+// A caller's counter starts again and reuses an old key for another request. The caller
+// must get neither the answer of the old request nor a run under that key.
 func TestKeyWithAnotherBodyIsRefused(t *testing.T) {
-	f, far := keyed(t, 1)
+	f, entryNode := startKeyed(t, 1)
 	o := newOperation("turno-13")
-	o.send(t, far.Caller)
+	o.send(t, entryNode.Caller)
 	o.body = "messina-2"
-	for _, got := range []outcome{o.send(t, far.Caller), o.resend(t, far.Caller)} {
+	for _, got := range []sendResult{o.send(t, entryNode.Caller), o.resend(t, entryNode.Caller)} {
 		if got.status != 422 || got.outcome != "not-run" || got.reason != "key-reused" {
 			t.Errorf("got %v, want 422 not-run key-reused", got)
 		}
@@ -262,10 +266,10 @@
 	wantRuns(t, f, 1)
 }
 
-// A mark that can't be read, passed over as if it weren't there, would run the
-// request a second time in silence.
-func TestMalformedMarksAreRefused(t *testing.T) {
-	f, far := keyed(t, 1)
+// Guards against a malformed resend header being ignored, so that the request silently
+// runs a second time.
+func TestMalformedResendHeadersAreRefused(t *testing.T) {
+	f, entryNode := startKeyed(t, 1)
 	tests := []struct{ name, fields string }{
 		{"mark without a key", "Fuchsiapick-Resend: 1; age=1\r\n"},
 		{"no age", "Idempotency-Key: k\r\nFuchsiapick-Resend: 1\r\n"},
@@ -276,7 +280,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			status, header := raw(t, far.Caller, "POST /conferme/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n"+tt.fields+"\r\n")
+			status, header := sendRaw(t, entryNode.Caller, "POST /conferme/x HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n"+tt.fields+"\r\n")
 			if got := header.Get(entry.HeaderOutcome); status != http.StatusBadRequest || got != "not-run" {
 				t.Errorf("got %d %s, want 400 not-run", status, got)
 			}
--- a/fleet/secret_test.go
+++ b/fleet/secret_test.go
@@ -11,26 +11,27 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Whoever reads logs, metrics or reports could send requests in a client account's name.
-func TestKeysStandInNoOutput(t *testing.T) {
+// Guards against keys in logs, metrics or reports: whoever reads them could send requests
+// in a client account's name.
+func TestKeysAppearInNoOutput(t *testing.T) {
 	logs := &standin.Output{}
-	f := start(t, fleet.Config{Table: withAccounts(2), Log: logs})
+	f := startFleet(t, fleet.Config{Table: tableWithAccounts(2), Log: logs})
 	for _, b := range f.Backends {
 		b.SetFault(standin.Fault{Kind: standin.Fails})
 	}
 	for _, key := range []string{hotelKey, clinicKey, noKey} {
 		for _, path := range []string{"/conferme/a", "/conferme/public/a", "/nowhere"} {
-			sendWith(t, f.Members[0].Caller, path, "Authorization", "Bearer "+key)
+			sendWithHeaders(t, f.Members[0].Caller, path, "Authorization", "Bearer "+key)
 		}
 	}
-	sendWith(t, f.Members[0].Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey, "Authorization", "Bearer "+clinicKey)
-	sendWith(t, f.Members[0].Caller, "/conferme/a", "Authorization", "Basic "+hotelKey)
-	// A key in place of its digest: the edit is refused, and its fault is logged.
+	sendWithHeaders(t, f.Members[0].Caller, "/conferme/a", "Authorization", "Bearer "+hotelKey, "Authorization", "Bearer "+clinicKey)
+	sendWithHeaders(t, f.Members[0].Caller, "/conferme/a", "Authorization", "Basic "+hotelKey)
+	// The table has a key instead of its digest: nodes reject the table and log the fault.
 	err := f.Publish(func(tt *table.Table) { tt.Accounts[0].Keys = table.KeyDigests{noKey} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the fault is logged", func() bool { return strings.Contains(logs.String(), "SHA-256") })
+	waitUntil(t, "log line of the rejected table", func() bool { return strings.Contains(logs.String(), "SHA-256") })
 
 	outputs := map[string]string{"log": logs.String()}
 	for _, path := range []string{"/metrics", "/report", "/quarantine", "/readyz"} {
@@ -48,6 +49,6 @@
 		}
 	}
 	if !strings.Contains(outputs["log"], `"account":"hotel"`) {
-		t.Errorf("got no line of account hotel, want its failures logged")
+		t.Errorf("got no line of account hotel, want its failed requests logged")
 	}
 }
--- a/fleet/config_test.go
+++ b/fleet/tableupdate_test.go
@@ -8,11 +8,11 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// The platform is out of reach for one node, which no caller uses, so that no
-// link of it is open. An operator's edit must be in force there as well, by way
-// of its neighbours.
+// One node can't reach the platform, and as no caller uses the node, it has no open link
+// either. A table that an operator publishes must come into force there too, through its
+// peers.
 func TestEditReachesNodeCutFromThePlatform(t *testing.T) {
-	f := start(t, fleet.Config{Table: deployment(4), PlatformRelays: true})
+	f := startFleet(t, fleet.Config{Table: newTable(4), PlatformRelays: true})
 	cut := f.Members[2]
 	cut.PlatformRelay.SetMode(standin.Refuse)
 	if err := f.Publish(func(tt *table.Table) { tt.Services[0].Queue++ }); err != nil {
