--- a/cmd/accountcmd.go
+++ b/cmd/accountcmd.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// keyBytes is how much randomness a new key holds.
+	// keyBytes is the number of random bytes in a new key.
 	keyBytes = 32
-	// maxKeyBytes is longer than any key that fits into a request's header.
+	// maxKeyBytes limits the length of a key; no longer key fits into a request's headers.
 	maxKeyBytes = 8 << 10
 )
 
@@ -23,7 +23,7 @@
 	Digest *accountDigestCmd `arg:"subcommand:digest" help:"print the digest of a key read from standard input"`
 }
 
-// run is reached where neither subcommand is named.
+// run reports that the subcommand is missing; it is called only without one.
 func (*accountCmd) run(_, stderr io.Writer) int {
 	fmt.Fprintln(stderr, "fuchsiapick: account: name a subcommand: key, digest")
 	return ExitUsage
@@ -31,10 +31,11 @@
 
 type accountKeyCmd struct{}
 
-// run prints the key once: nothing of it is kept.
+// run prints a new key with its digest. The key is not stored, so this is the only time
+// that it is shown.
 func (*accountKeyCmd) run(stdout, _ io.Writer) int {
 	random := make([]byte, keyBytes)
-	_, _ = rand.Read(random) // it never fails: the program would end
+	_, _ = rand.Read(random) // never returns an error: it crashes the program instead
 	key := base64.RawURLEncoding.EncodeToString(random)
 	fmt.Fprintf(stdout, "key     %s\ndigest  %s\n", key, table.DigestOf([]byte(key)))
 	return ExitOK
@@ -46,7 +47,8 @@
 	return printDigest(os.Stdin, stdout, stderr)
 }
 
-// printDigest leaves out the end of the line: an editor or echo adds it.
+// printDigest reads a key and prints its digest. It ignores line breaks at the end of the
+// input, which editors and echo add.
 func printDigest(in io.Reader, stdout, stderr io.Writer) int {
 	key, err := io.ReadAll(io.LimitReader(in, maxKeyBytes+1))
 	key = bytes.TrimRight(key, "\r\n")
--- a/cmd/checkcmd.go
+++ b/cmd/checkcmd.go
@@ -13,7 +13,7 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Kinds of text that the check command tells apart.
+// Kinds of files that the check command accepts.
 const (
 	kindTable    = "table"
 	kindSettings = "settings"
@@ -25,10 +25,10 @@
 	Against string   `arg:"--against" placeholder:"OLD" help:"the table in force: list what the one FILE changes of it"`
 }
 
-// run checks each file and writes a line for each fault, or one that says what
-// the file holds. It goes on after a file with faults.
+// run checks all files and writes one line for each fault, or a summary of a file without
+// faults. It returns ExitFailure if any file has faults or can't be read.
 func (c *checkCmd) run(stdout, stderr io.Writer) int {
-	if problem := c.usage(); problem != "" {
+	if problem := c.usageProblem(); problem != "" {
 		fmt.Fprintf(stderr, "fuchsiapick: check: %s\n", problem)
 		return ExitUsage
 	}
@@ -44,7 +44,8 @@
 	return code
 }
 
-func (c *checkCmd) usage() string {
+// usageProblem describes what is wrong with the combination of arguments, or returns "".
+func (c *checkCmd) usageProblem() string {
 	switch {
 	case !slices.Contains([]string{"", kindTable, kindSettings}, c.Kind):
 		return fmt.Sprintf("--kind %s: allowed: %s, %s", c.Kind, kindTable, kindSettings)
@@ -57,6 +58,7 @@
 	}
 }
 
+// check checks one file, writes the result, and reports whether the file is valid.
 func (c *checkCmd) check(file string, stdout, stderr io.Writer) bool {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -67,24 +69,25 @@
 	if kind == "" {
 		kind, err = detectKind(text)
 	}
-	var found string
+	var summary string
 	switch {
 	case err != nil:
 	case kind == kindTable:
-		found, err = checkTable(text)
+		summary, err = checkTable(text)
 	default:
-		found, err = checkSettings(text)
+		summary, err = checkSettings(text)
 	}
 	if err != nil {
 		writeFaults(stdout, file, err)
 		return false
 	}
-	fmt.Fprintf(stdout, "%s: %s\n", file, found)
+	fmt.Fprintf(stdout, "%s: %s\n", file, summary)
 	return true
 }
 
-// detectKind tells a table from settings by the first key that only one of
-// them has.
+// detectKind returns kindTable or kindSettings, by a top-level key that only this kind of
+// file has. A file with keys of both counts as a table; for one with neither it returns
+// document.Faults.
 func detectKind(text []byte) (string, error) {
 	doc, err := document.Parse(text, table.MaxBytes)
 	if err != nil {
@@ -108,6 +111,7 @@
 	}}
 }
 
+// checkTable parses a table and returns a one-line summary of it.
 func checkTable(text []byte) (string, error) {
 	t, err := table.Parse(text)
 	if err != nil {
@@ -117,14 +121,15 @@
 	for i := range t.Services {
 		upstreams += len(t.Services[i].Upstreams)
 	}
-	found := fmt.Sprintf("table, version %d, services %d, upstreams %d, routes %d",
+	summary := fmt.Sprintf("table, version %d, services %d, upstreams %d, routes %d",
 		t.Version, len(t.Services), upstreams, len(t.Routes))
 	if t.HasKeys() {
-		found += fmt.Sprintf(", accounts %d", len(t.Accounts))
+		summary += fmt.Sprintf(", accounts %d", len(t.Accounts))
 	}
-	return found, nil
+	return summary, nil
 }
 
+// checkSettings parses settings and returns a one-line summary of them.
 func checkSettings(text []byte) (string, error) {
 	s, err := settings.Parse(text)
 	if err != nil {
@@ -133,7 +138,8 @@
 	return fmt.Sprintf("settings, node %s, domain %s", s.Node, s.Domain), nil
 }
 
-// writeFaults writes faults as compilers do, so that editors find the line.
+// writeFaults writes one line for each fault in the form "file:line: message" that
+// compilers use, so that editors can jump to the line.
 func writeFaults(w io.Writer, file string, err error) {
 	var faults document.Faults
 	if !errors.As(err, &faults) {
@@ -149,25 +155,27 @@
 	}
 }
 
-// compare lists what a new table changes of the one in force.
+// compare writes the differences between the table in force and a new table. It returns
+// ExitFailure if the new table's version is not above that of the table in force.
 func (c *checkCmd) compare(stdout, stderr io.Writer) int {
-	older, newer := readTable(c.Against, stdout, stderr), readTable(c.Files[0], stdout, stderr)
-	if older == nil || newer == nil {
+	current, next := readTable(c.Against, stdout, stderr), readTable(c.Files[0], stdout, stderr)
+	if current == nil || next == nil {
 		return ExitFailure
 	}
-	for _, change := range table.Diff(older, newer) {
+	for _, change := range table.Diff(current, next) {
 		fmt.Fprintln(stdout, change)
 	}
-	if newer.Version <= older.Version {
-		// Nodes pass over a version that is not above the one in force, and
-		// the operator sees no more of it than a line in their logs.
+	if next.Version <= current.Version {
+		// Nodes ignore a table whose version is not above the one in force, and only
+		// write a line to their logs.
 		fmt.Fprintf(stdout, "%s: version: %d is not above that in force; allowed: %d or more\n",
-			c.Files[0], newer.Version, older.Version+1)
+			c.Files[0], next.Version, current.Version+1)
 		return ExitFailure
 	}
 	return ExitOK
 }
 
+// readTable reads and parses a table. It reports faults itself and then returns nil.
 func readTable(file string, stdout, stderr io.Writer) *table.Table {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/checkcmd_test.go
+++ b/cmd/checkcmd_test.go
@@ -9,8 +9,8 @@
 	"fuchsiapick.example/fuchsiapick/cmd"
 )
 
-// Scripts that publish tables go by the exit code: a table with faults must
-// not look like a slip in the command, nor the other way round.
+// Scripts that publish tables rely on the exit code. A table with faults must be
+// distinguishable from wrong usage of the command.
 func TestCheckExitCodes(t *testing.T) {
 	good := filepath.Join("..", "examples", "sicily.toml")
 	bad := filepath.Join("..", "table", "testdata", "faults.toml")
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -1,5 +1,4 @@
-// Package cmd is the command line: one file per subcommand, each with its
-// arguments beside its run.
+// Package cmd implements the command line, with one file for each subcommand.
 package cmd
 
 import (
@@ -17,7 +16,8 @@
 	ExitUsage   = 2
 )
 
-// command is a subcommand with its arguments filled in.
+// command is a subcommand whose arguments have been parsed. Its run method returns the
+// exit code.
 type command interface {
 	run(stdout, stderr io.Writer) int
 }
@@ -31,34 +31,35 @@
 	Version *versionCmd `arg:"subcommand:version" help:"print the release and the formats it reads"`
 }
 
-// Description is what help begins with.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "fuchsiapick is a proxy fleet for backend servers with gray failures."
 }
 
-// Epilogue is what help ends with.
+// Epilogue returns the last lines of the help text.
 func (arguments) Epilogue() string {
 	return "Exit codes: 0 done, 1 failed, 2 wrong usage, 3 a report that lacks nodes."
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command line, without the program name in args, and returns the exit
+// code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	parser, chosen, err := parse(args, stderr)
 	switch {
 	case errors.Is(err, arg.ErrHelp):
-		return help(parser, stdout)
+		return writeHelp(parser, stdout)
 	case err != nil:
 		fmt.Fprintf(stderr, "fuchsiapick: %v; see fuchsiapick --help\n", err)
 		return ExitUsage
 	case chosen == nil:
-		_ = help(parser, stderr)
+		_ = writeHelp(parser, stderr)
 		return ExitUsage
 	default:
 		return chosen.run(stdout, stderr)
 	}
 }
 
-// parse reads a command line. The command is nil if none is named.
+// parse parses a command line. The returned command is nil if the arguments name none.
 func parse(args []string, out io.Writer) (*arg.Parser, command, error) {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "fuchsiapick", Out: out}, &parsed)
@@ -72,8 +73,9 @@
 	return parser, chosen, nil
 }
 
-// help writes the help of the subcommand that was named, or of the program.
-func help(parser *arg.Parser, out io.Writer) int {
+// writeHelp writes the help text of the subcommand that was named, or of the program, and
+// returns the exit code.
+func writeHelp(parser *arg.Parser, out io.Writer) int {
 	if err := parser.WriteHelpForSubcommand(out, parser.SubcommandNames()...); err != nil {
 		return ExitFailure
 	}
--- a/cmd/democmd.go
+++ b/cmd/democmd.go
@@ -13,7 +13,7 @@
 	Log        bool   `arg:"--log" help:"write the nodes' logs to standard error"`
 }
 
-// run ends by itself in under 30 seconds.
+// run runs the demo, which ends on its own in less than 30 seconds.
 func (c *demoCmd) run(stdout, stderr io.Writer) int {
 	config := demo.Config{Deployment: c.Deployment, Out: stdout}
 	if c.Log {
--- a/cmd/docs_test.go
+++ b/cmd/docs_test.go
@@ -29,7 +29,7 @@
 	tree ast.Node
 }
 
-// readPages returns the README and all pages under docs.
+// readPages returns README.md, CHANGELOG.md and all pages in docs.
 func readPages(t *testing.T) []page {
 	t.Helper()
 	files := []string{filepath.Join(root, "README.md"), filepath.Join(root, "CHANGELOG.md")}
@@ -53,8 +53,8 @@
 	return pages
 }
 
-// each calls visit for each node of a page.
-func (p *page) each(visit func(n ast.Node)) {
+// walk calls visit for each node of the page, parents first.
+func (p *page) walk(visit func(n ast.Node)) {
 	_ = ast.Walk(p.tree, func(n ast.Node, entering bool) (ast.WalkStatus, error) {
 		if entering {
 			visit(n)
@@ -63,10 +63,10 @@
 	})
 }
 
-// commands returns the command lines in a page's code blocks, and those that
-// its sentences quote.
-func (p *page) commands() (lines, quoted []string) {
-	p.each(func(n ast.Node) {
+// commandLines returns the lines of the page's code blocks, and the code spans in its
+// text.
+func (p *page) commandLines() (lines, spans []string) {
+	p.walk(func(n ast.Node) {
 		switch n := n.(type) {
 		case *ast.FencedCodeBlock:
 			block := strings.ReplaceAll(string(n.Lines().Value(p.text)), "\\\n", " ")
@@ -78,16 +78,18 @@
 					span = append(span, part.Segment.Value(p.text)...)
 				}
 			}
-			quoted = append(quoted, strings.ReplaceAll(string(span), "\n", " "))
+			spans = append(spans, strings.ReplaceAll(string(span), "\n", " "))
 		}
 	})
-	return lines, quoted
+	return lines, spans
 }
 
-// invocation is how a page calls the program: installed, built, or from source.
+// invocation matches a call of the program: installed, built locally, or run from source.
 var invocation = regexp.MustCompile(`^(?:\$ )?(?:(?:\./|bin/)?fuchsiapick|go run \.)(?: (.*))?$`)
 
-func arguments(line string) ([]string, bool) {
+// programArguments returns the arguments of a line that calls the program, and false for
+// any other line.
+func programArguments(line string) ([]string, bool) {
 	found := invocation.FindStringSubmatch(strings.TrimSpace(line))
 	if found == nil {
 		return nil, false
@@ -95,33 +97,33 @@
 	return strings.Fields(found[1]), true
 }
 
-// An operator copies a command from a page at night and gets a usage error: an
-// argument was renamed, and the page wasn't.
-func TestPagesCommandsParse(t *testing.T) {
+// Guards against a documented command line that fails with a usage error because an
+// argument was renamed and the page was not changed.
+func TestDocumentedCommandsParse(t *testing.T) {
 	parsed := 0
 	for _, p := range readPages(t) {
-		lines, quoted := p.commands()
-		for _, line := range slices.Concat(lines, quoted) {
-			args, ok := arguments(line)
+		lines, spans := p.commandLines()
+		for _, line := range slices.Concat(lines, spans) {
+			args, ok := programArguments(line)
 			if !ok || len(args) == 0 {
 				continue
 			}
 			err := cmd.Parse(args)
-			// A sentence may name a command without its arguments.
-			named := len(args) == 1 && slices.Contains(quoted, line) && err != nil &&
+			// Text may name a command without its required arguments.
+			isNameOnly := len(args) == 1 && slices.Contains(spans, line) && err != nil &&
 				!strings.Contains(err.Error(), "invalid subcommand")
-			if err != nil && !named && !errors.Is(err, arg.ErrHelp) {
+			if err != nil && !isNameOnly && !errors.Is(err, arg.ErrHelp) {
 				t.Errorf("%s: %s: got %v, want a command line that parses", p.file, line, err)
 			}
 			parsed++
 		}
 	}
 	if parsed < 20 {
-		t.Errorf("got %d command lines, want 20 or more: are they still found?", parsed)
+		t.Errorf("got %d command lines, want 20 or more: does the expression still match them?", parsed)
 	}
 }
 
-// A newcomer opens a package in the documentation and finds no word on it.
+// Guards against packages without a package comment in the documentation.
 func TestPackagesHaveDocComments(t *testing.T) {
 	documented := map[string]bool{}
 	err := filepath.WalkDir(root, func(file string, d fs.DirEntry, err error) error {
@@ -136,11 +138,11 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		dir, begin := filepath.Dir(file), "Package "+tree.Name.Name+" "
+		dir, prefix := filepath.Dir(file), "Package "+tree.Name.Name+" "
 		if tree.Name.Name == "main" {
-			begin = "Command "
+			prefix = "Command "
 		}
-		documented[dir] = documented[dir] || strings.HasPrefix(tree.Doc.Text(), begin)
+		documented[dir] = documented[dir] || strings.HasPrefix(tree.Doc.Text(), prefix)
 		return nil
 	})
 	if err != nil {
@@ -148,10 +150,10 @@
 	}
 	for dir, ok := range documented {
 		if !ok {
-			t.Errorf("%s: got no comment on the package that begins with its name, want one", dir)
+			t.Errorf("%s: got no package comment that begins with the name of the package, want one", dir)
 		}
 	}
 	if len(documented) < 25 {
-		t.Errorf("got %d packages, want 25 or more: are they still found?", len(documented))
+		t.Errorf("got %d packages, want 25 or more: does the search still find them?", len(documented))
 	}
 }
--- a/cmd/links_test.go
+++ b/cmd/links_test.go
@@ -11,10 +11,10 @@
 	"github.com/yuin/goldmark/ast"
 )
 
-// links returns the targets of a page's links and pictures.
+// links returns the targets of the page's links and images.
 func (p *page) links() []string {
 	var all []string
-	p.each(func(n ast.Node) {
+	p.walk(func(n ast.Node) {
 		switch n := n.(type) {
 		case *ast.Link:
 			all = append(all, string(n.Destination))
@@ -27,10 +27,10 @@
 
 var notInAnchor = regexp.MustCompile(`[^a-z0-9 _-]`)
 
-// anchors returns the names under which a page's headings can be linked to.
+// anchors returns the fragment names of the page's headings.
 func (p *page) anchors() map[string]bool {
 	all := map[string]bool{}
-	p.each(func(n ast.Node) {
+	p.walk(func(n ast.Node) {
 		heading, ok := n.(*ast.Heading)
 		if !ok {
 			return
@@ -41,9 +41,9 @@
 	return all
 }
 
-// A link on a page leads nowhere: the page it names was moved, or was never
-// written, or its heading has another name now.
-func TestPagesLinksLeadSomewhere(t *testing.T) {
+// Guards against links in the documentation to a page that was moved or never written, or
+// to a heading that was renamed.
+func TestDocumentedLinksResolve(t *testing.T) {
 	pages := readPages(t)
 	byFile := map[string]*page{}
 	for i := range pages {
@@ -54,7 +54,7 @@
 		for _, link := range p.links() {
 			target, err := url.Parse(link)
 			if err != nil {
-				t.Errorf("%s: got link %s, %v; want one that can be read", p.file, link, err)
+				t.Errorf("%s: got link %s, %v; want a valid URL", p.file, link, err)
 				continue
 			}
 			if target.IsAbs() {
@@ -75,6 +75,6 @@
 		}
 	}
 	if checked < 50 {
-		t.Errorf("got %d links, want 50 or more: are they still found?", checked)
+		t.Errorf("got %d links, want 50 or more: does the search still find them?", checked)
 	}
 }
--- a/cmd/nodecmd.go
+++ b/cmd/nodecmd.go
@@ -21,30 +21,30 @@
 	Settings string `arg:"--settings,required,env:FUCHSIAPICK_CONFIG" placeholder:"FILE" help:"the node's settings, TOML"`
 }
 
-// run serves until a termination signal. The first one starts a graceful
-// shutdown, a second one ends it at once. A node that cut requests in flight
-// ends with ExitFault, so that a release that does it shows.
+// run serves until a termination signal. The first signal starts a graceful shutdown; a
+// second one ends the process immediately. If the node cut requests in flight, run
+// returns ExitFailure, so that a release procedure notices.
 func (c *nodeCmd) run(stdout, stderr io.Writer) int {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick: %v\n", err)
 		return ExitFailure
 	}
-	log, losses, closeLog, err := newLog(stdout, s.Log)
+	log, drops, closeLog, err := newLogger(stdout, s.Log)
 	if err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick: %v\n", err)
 		return ExitFailure
 	}
 	defer closeLog()
-	config, tables, err := nodeConfig(s, log)
+	config, builder, err := nodeConfig(s, log)
 	if err != nil {
-		log.WithError(err).Error("node not built")
+		log.WithError(err).Error("node not created; the process ends")
 		return ExitFailure
 	}
-	config.LogDrops = losses
+	config.LogDrops = drops
 	n, err := node.New(config)
 	if err != nil {
-		log.WithError(err).Error("node not built")
+		log.WithError(err).Error("node not created; the process ends")
 		return ExitFailure
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -52,7 +52,7 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	r := &reloader{path: c.Settings, inForce: s, log: log, tableBuilder: tables}
+	r := &reloader{path: c.Settings, inForce: s, log: log, tableBuilder: builder}
 	go r.run(ctx)
 	go func() {
 		<-signals
@@ -68,12 +68,12 @@
 	return ExitOK
 }
 
-// logCloseTimeout bounds how long the end of the process waits for the log's output.
+// logCloseTimeout is how long the process waits at its end for the log to be written out.
 const logCloseTimeout = time.Second
 
-// newLog returns a log in JSON lines that never blocks, what it leaves out, and what
-// ends it.
-func newLog(out io.Writer, level string) (*logrus.Logger, logging.DropCounts, func(), error) {
+// newLogger returns a logger that writes JSON lines and never blocks, the counters of
+// lines that it drops, and a function that closes the logger.
+func newLogger(out io.Writer, level string) (*logrus.Logger, logging.DropCounts, func(), error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
 		return nil, logging.DropCounts{}, nil, err
@@ -92,7 +92,7 @@
 	return log, logging.DropCounts{Writer: writer, Limiter: limiter}, func() {
 		close(done)
 		group.Wait()
-		log.SetOutput(io.Discard) // what still logs comes too late
+		log.SetOutput(io.Discard) // lines that are logged later are lost
 		writer.Close(logCloseTimeout)
 	}, nil
 }
--- a/cmd/sourcecmd.go
+++ b/cmd/nodeconfig.go
@@ -12,8 +12,9 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// nodeConfig is what a node is made from, with the platform's adapter. The fleet is
-// nil unless the settings say that the platform publishes in its own form.
+// nodeConfig returns the configuration of a node, with the adapter of the platform. The
+// table builder is nil unless the settings say that the platform publishes in its own
+// form.
 func nodeConfig(s *settings.Settings, log *logrus.Logger) (node.Config, *platform.TableBuilder, error) {
 	c := node.Config{Settings: s, Log: log}
 	if s.Platform.Address != "" {
@@ -26,19 +27,20 @@
 	if err != nil {
 		return c, nil, errors.Annotate(err, "reading the link address")
 	}
-	fleet := platform.NewTableBuilder(platform.TableBuilderConfig{
-		Policy:   policyOf(&s.Policy),
+	builder := platform.NewTableBuilder(platform.TableBuilderConfig{
+		Policy:   policyDefaults(&s.Policy),
 		LinkPort: link.Port(),
 		Log:      log,
 	})
 	c.CallerHeaders = platform.CallerHeaders()
 	c.UpstreamHeaders = platform.UpstreamHeaders()
-	c.TableBuilder = fleet
-	return c, fleet, nil
+	c.TableBuilder = builder
+	return c, builder, nil
 }
 
-// policyOf is the service that the platform's own stand on.
-func policyOf(p *settings.Policy) table.Service {
+// policyDefaults returns the service settings that the platform's configuration leaves
+// open.
+func policyDefaults(p *settings.Policy) table.Service {
 	return table.Service{
 		Caution:            p.Caution,
 		Floor:              p.Floor,
--- a/cmd/parse.go
+++ b/cmd/parse.go
@@ -2,7 +2,7 @@
 
 import "github.com/juju/errors"
 
-// Parse reads a command line as Main does, without running it.
+// Parse checks a command line as Main does, without running the command.
 func Parse(args []string) error {
 	_, chosen, err := parse(args, nil)
 	if err != nil {
@@ -14,7 +14,7 @@
 	case *reportCmd:
 		return c.check()
 	case *checkCmd:
-		if problem := c.usage(); problem != "" {
+		if problem := c.usageProblem(); problem != "" {
 			return errors.New(problem)
 		}
 	}
--- a/cmd/process_test.go
+++ b/cmd/process_test.go
@@ -14,7 +14,8 @@
 	"fuchsiapick.example/fuchsiapick/standin"
 )
 
-// process is a program that a session started and signals by its own id.
+// process is a program that a script has started. Scripts signal it by the name they gave
+// it.
 type process struct {
 	cmd    *exec.Cmd
 	stdout standin.Output
@@ -22,10 +23,11 @@
 	done   chan struct{}
 }
 
-// start NAME PROGRAM ARG... runs a program until the session ends it.
-func start(ts *testscript.TestScript, _ bool, args []string) {
+// startProcess implements "start NAME PROGRAM ARG...": it starts a program that runs at
+// most until the script ends.
+func startProcess(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
-	if old, ok := s.processes[args[0]]; ok && !old.ended() {
+	if old, ok := s.processes[args[0]]; ok && !old.hasEnded() {
 		ts.Fatalf("process %s still runs", args[0])
 	}
 	path, err := exec.LookPath(args[1])
@@ -37,22 +39,22 @@
 	s.processes[args[0]] = p
 	go func() {
 		defer close(p.done)
-		_ = p.cmd.Wait() // the session looks at the exit code
+		_ = p.cmd.Wait() // scripts check the exit code
 	}()
-	ts.Defer(func() { p.clear(ts, args[0]) })
+	ts.Defer(func() { p.killAndLog(ts, args[0]) })
 }
 
-// clear ends a process that the session left running, a stopped one too, and
-// shows what it wrote if the session failed.
-func (p *process) clear(ts *testscript.TestScript, name string) {
-	if !p.ended() {
-		_ = p.cmd.Process.Kill() // it may end on its own meanwhile
+// killAndLog kills the process if it still runs, even if it is stopped, and adds its
+// output to the script's log, which is shown if the script fails.
+func (p *process) killAndLog(ts *testscript.TestScript, name string) {
+	if !p.hasEnded() {
+		_ = p.cmd.Process.Kill() // fails if the process has ended meanwhile
 	}
 	<-p.done
 	ts.Logf("[%s]\n%s%s", name, p.stdout.String(), p.stderr.String())
 }
 
-func (p *process) ended() bool {
+func (p *process) hasEnded() bool {
 	select {
 	case <-p.done:
 		return true
@@ -64,13 +66,14 @@
 func processOf(ts *testscript.TestScript, name string) *process {
 	p, ok := sessionOf(ts).processes[name]
 	if !ok {
-		ts.Fatalf("no process %s was started", name)
+		ts.Fatalf("no process is named %s", name)
 	}
 	return p
 }
 
-// signals sends one signal to each named process: sigterm NAME...
-func signals(signal os.Signal) func(*testscript.TestScript, bool, []string) {
+// sendSignals returns a command that sends a signal to each named process, such as
+// "sigterm NAME...".
+func sendSignals(signal os.Signal) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
 			p := processOf(ts, name)
@@ -82,8 +85,8 @@
 	}
 }
 
-// awaitStopped waits until the kernel has stopped the process: the signal is
-// sent before it takes effect.
+// awaitStopped waits until the kernel has stopped the process, as a stop signal takes
+// effect some time after it is sent.
 func (p *process) awaitStopped(ts *testscript.TestScript, name string) {
 	poll(ts, "stopped process "+name, func() (string, bool) {
 		stat, err := os.ReadFile("/proc/" + strconv.Itoa(p.cmd.Process.Pid) + "/stat")
@@ -93,14 +96,15 @@
 	})
 }
 
-// ended NAME CODE waits for the end of a process and checks its exit code, or
-// "killed". What it wrote is there for stdout and stderr.
-func ended(ts *testscript.TestScript, _ bool, args []string) {
+// awaitExit implements "ended NAME CODE": it waits until a process ends, and checks its
+// exit code or the name of the signal that ended it, such as "killed". The output of the
+// process is then available to stdout and stderr.
+func awaitExit(ts *testscript.TestScript, _ bool, args []string) {
 	p := processOf(ts, args[0])
 	select {
 	case <-p.done:
-	case <-time.After(patience):
-		ts.Fatalf("process %s: got no end, want %s", args[0], args[1])
+	case <-time.After(waitTimeout):
+		ts.Fatalf("process %s: still running, want exit %s", args[0], args[1])
 	}
 	code := strconv.Itoa(p.cmd.ProcessState.ExitCode())
 	if status, ok := p.cmd.ProcessState.Sys().(syscall.WaitStatus); ok && status.Signaled() {
@@ -113,9 +117,9 @@
 	fmt.Fprint(ts.Stderr(), p.stderr.String())
 }
 
-// logged NAME[,NAME...] TEXT... waits for one log line with all the texts, of
-// any of the processes.
-func logged(ts *testscript.TestScript, _ bool, args []string) {
+// awaitLogLine implements "logged NAME[,NAME...] TEXT...": it waits for a log line of any
+// of the processes that contains all the texts.
+func awaitLogLine(ts *testscript.TestScript, _ bool, args []string) {
 	poll(ts, "log line of "+args[0]+" with "+strings.Join(args[1:], " and "), func() (string, bool) {
 		text := ""
 		for _, name := range strings.Split(args[0], ",") {
@@ -140,11 +144,12 @@
 	return true
 }
 
-// poll looks again and again until what is awaited has come.
-func poll(ts *testscript.TestScript, want string, look func() (got string, ok bool)) {
+// poll calls check every 10 ms until it returns true, and fails the script after
+// waitTimeout with the last value that check returned.
+func poll(ts *testscript.TestScript, want string, check func() (got string, ok bool)) {
 	last := ""
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
-		got, ok := look()
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); {
+		got, ok := check()
 		if ok {
 			return
 		}
--- a/cmd/reload.go
+++ b/cmd/reload.go
@@ -14,24 +14,24 @@
 	"fuchsiapick.example/fuchsiapick/settings"
 )
 
-// settingsPollInterval is how often the settings file is looked at: it may change
-// without a signal, and an edit is to be in force within seconds.
+// settingsPollInterval is how often the modification time of the settings file is checked. The
+// file may change without a signal, and an edit must take effect within seconds.
 const settingsPollInterval = time.Second
 
-// reloader puts edits of the settings file in force while the node runs: the log
-// level and the policy. Other edits need a restart, and it says so. A file that
-// is not accepted changes nothing.
+// reloader applies edits of the settings file while the node runs. It applies the log
+// level and the policy, and logs that other edits need a restart. A file with faults
+// changes nothing.
 type reloader struct {
 	path         string
 	inForce      *settings.Settings
 	log          *logrus.Logger
-	tableBuilder *platform.TableBuilder // nil without one
-	// modTime is the file's time of change when it was read last.
+	tableBuilder *platform.TableBuilder // nil if the node has none
+	// modTime is the file's modification time at the last check.
 	modTime time.Time
 }
 
-// run watches signals and the file until the context ends. Without a handler of
-// its own, the signal would end the process and cut every request in flight.
+// run reloads the settings on SIGHUP and when the file changes, until the context ends.
+// Without this handler, SIGHUP would end the process and cut every request in flight.
 func (r *reloader) run(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -54,16 +54,17 @@
 	}
 }
 
-// fileChanged reports whether the file was written since it was looked at last.
+// fileChanged reports whether the file's modification time differs from that of the last
+// check.
 func (r *reloader) fileChanged() bool {
 	info, err := os.Stat(r.path)
 	if err != nil {
-		r.log.WithError(err).Debug("settings not looked at")
+		r.log.WithError(err).Debug("settings file not checked; the next check is at the next poll")
 		return false
 	}
-	before := r.modTime
+	previous := r.modTime
 	r.modTime = info.ModTime()
-	return !before.Equal(r.modTime)
+	return !previous.Equal(r.modTime)
 }
 
 func (r *reloader) reload(cause string) {
@@ -73,7 +74,7 @@
 		log.WithError(err).Error("settings rejected; those in force stay")
 		return
 	}
-	r.adopt(next)
+	r.apply(next)
 	fixed := *next
 	fixed.Log, fixed.Policy = r.inForce.Log, r.inForce.Policy
 	if !reflect.DeepEqual(fixed, *r.inForce) {
@@ -83,12 +84,12 @@
 	log.Info("settings reloaded")
 }
 
-// adopt puts in force what can be changed while the node runs.
-func (r *reloader) adopt(next *settings.Settings) {
-	if level, err := logrus.ParseLevel(next.Log); err == nil { // the check allows known levels only
+// apply puts into force the settings that can change while the node runs.
+func (r *reloader) apply(next *settings.Settings) {
+	if level, err := logrus.ParseLevel(next.Log); err == nil { // settings.Load accepts known levels only
 		r.log.SetLevel(level)
 	}
 	if r.tableBuilder != nil {
-		r.tableBuilder.SetPolicy(policyOf(&next.Policy))
+		r.tableBuilder.SetPolicy(policyDefaults(&next.Policy))
 	}
 }
--- a/cmd/reportcmd.go
+++ b/cmd/reportcmd.go
@@ -14,7 +14,7 @@
 	"fuchsiapick.example/fuchsiapick/report"
 )
 
-// ExitPartial is report's exit code if some nodes answered and some did not.
+// ExitPartial is the exit code of report if some nodes answered and some did not.
 const ExitPartial = 3
 
 type reportCmd struct {
@@ -29,8 +29,9 @@
 	Output   string       `arg:"--output" placeholder:"FILE" help:"write here and not to standard output"`
 }
 
-// run returns ExitOK for a whole report, ExitPartial if a node did not answer,
-// ExitFault if none did or the report can't be written.
+// run returns ExitOK for a complete report, ExitPartial if some nodes did not answer,
+// ExitFailure if none did or the report can't be written, and ExitUsage for wrong
+// arguments.
 func (c *reportCmd) run(stdout, stderr io.Writer) int {
 	if err := c.check(); err != nil {
 		fmt.Fprintf(stderr, "fuchsiapick report: %v\n", err)
@@ -62,7 +63,7 @@
 	}
 }
 
-// check returns an error for arguments that parse and make no sense.
+// check returns an error for arguments whose values are not allowed.
 func (c *reportCmd) check() error {
 	switch {
 	case len(c.Node)+len(c.More) == 0:
@@ -87,8 +88,8 @@
 		return errors.Annotate(err, "creating the report's file")
 	}
 	err = c.format(r, file)
-	if closing := file.Close(); err == nil {
-		err = errors.Annotate(closing, "closing the report's file")
+	if closeErr := file.Close(); err == nil {
+		err = errors.Annotate(closeErr, "closing the report's file")
 	}
 	return err
 }
--- a/cmd/reportcmd_test.go
+++ b/cmd/reportcmd_test.go
@@ -15,7 +15,8 @@
 	"fuchsiapick.example/fuchsiapick/cmd"
 )
 
-// Scripts act on exit codes: a report that lacks a node must not look whole.
+// Scripts rely on exit codes. Guards against a report that lacks a node and ends like a
+// complete one.
 func TestReportExitCodes(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,18 +53,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var out, fault bytes.Buffer
-			code := cmd.Main(append([]string{"report"}, tt.args...), &out, &fault)
-			if code != tt.code || !strings.Contains(out.String(), tt.out) || !strings.Contains(fault.String(), tt.err) {
-				t.Errorf("got %d, %q, %q; want %d, %q, %q", code, out.String(), fault.String(), tt.code, tt.out, tt.err)
+			var stdout, stderr bytes.Buffer
+			code := cmd.Main(append([]string{"report"}, tt.args...), &stdout, &stderr)
+			if code != tt.code || !strings.Contains(stdout.String(), tt.out) || !strings.Contains(stderr.String(), tt.err) {
+				t.Errorf("got %d, %q, %q; want %d, %q, %q", code, stdout.String(), stderr.String(), tt.code, tt.out, tt.err)
 			}
-			if got := strings.Count(fault.String(), "\n"); tt.err != "" && got != 1 {
-				t.Errorf("got %d lines %q, want one", got, fault.String())
+			if got := strings.Count(stderr.String(), "\n"); tt.err != "" && got != 1 {
+				t.Errorf("got %d lines %q, want one", got, stderr.String())
 			}
 		})
 	}
 	page, err := os.ReadFile(file)
 	if err != nil || !bytes.HasPrefix(page, []byte("<!DOCTYPE html>")) {
-		t.Errorf("got %d bytes, %v; want a page", len(page), err)
+		t.Errorf("got %d bytes, %v; want an HTML page", len(page), err)
 	}
 }
--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -16,10 +16,10 @@
 	"fuchsiapick.example/fuchsiapick/standin/command"
 )
 
-// patience bounds a wait for an event that never comes.
-const patience = 30 * time.Second
+// waitTimeout is how long a script waits for an event before it fails.
+const waitTimeout = 30 * time.Second
 
-// TestMain lets the sessions under testdata run the programs as processes.
+// TestMain lets the scripts in testdata run the programs as processes of their own.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"fuchsiapick": func() { os.Exit(cmd.Main(os.Args[1:], os.Stdout, os.Stderr)) },
@@ -28,13 +28,13 @@
 }
 
 func TestScript(t *testing.T) {
-	p := params()
+	p := scriptParams()
 	p.Dir = "testdata/script"
 	testscript.Run(t, p)
 }
 
-// params are the commands of sessions.
-func params() testscript.Params {
+// scriptParams returns the setup and the commands of the scripts.
+func scriptParams() testscript.Params {
 	return testscript.Params{
 		Setup: func(env *testscript.Env) error {
 			root, err := os.Getwd()
@@ -43,94 +43,96 @@
 			return err
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"ports":   ports,
-			"publish": publish,
-			"restore": restore,
-			"fill":    fill,
-			"await":   await,
-			"send":    send,
+			"ports":   setFreePorts,
+			"publish": publishValue,
+			"restore": restoreValue,
+			"fill":    expandFiles,
+			"await":   awaitStatus,
+			"send":    sendRequest,
 
-			"configure": configure,
-			"start":     start,
-			"sigstop":   signals(syscall.SIGSTOP),
-			"sigcont":   signals(syscall.SIGCONT),
-			"sigkill":   signals(syscall.SIGKILL),
-			"sigterm":   signals(syscall.SIGTERM),
-			"sighup":    signals(syscall.SIGHUP),
-			"ended":     ended,
-			"logged":    logged,
-			"relay":     relay,
-			"mode":      relay,
-			"fault":     fault,
-			"ledger":    ledger,
-			"next":      next,
-			"calls":     calls,
-			"same":      same,
-			"atmost":    atmost,
-			"zero":      zero,
+			"configure": writeSettings,
+			"start":     startProcess,
+			"sigstop":   sendSignals(syscall.SIGSTOP),
+			"sigcont":   sendSignals(syscall.SIGCONT),
+			"sigkill":   sendSignals(syscall.SIGKILL),
+			"sigterm":   sendSignals(syscall.SIGTERM),
+			"sighup":    sendSignals(syscall.SIGHUP),
+			"ended":     awaitExit,
+			"logged":    awaitLogLine,
+			"relay":     setMode,
+			"mode":      setMode,
+			"fault":     setFault,
+			"ledger":    awaitLedger,
+			"next":      setNextBegun,
+			"calls":     checkPlatformCalls,
+			"same":      awaitSameLines,
+			"atmost":    checkLineCount,
+			"zero":      checkZero,
 			"load":      sendLoad,
-			"begin":     begin,
-			"steady":    steady,
-			"keep":      keep,
-			"join":      join,
-			"judge":     judge,
-			"rest":      rest,
-			"gone":      gone,
-			"recovered": recovered,
-			"versions":  versions,
-			"calm":      calm,
+			"begin":     beginLoad,
+			"steady":    steadyLoad,
+			"keep":      keepAliveLoad,
+			"join":      joinLoad,
+			"judge":     checkLedgers,
+			"rest":      pause,
+			"gone":      awaitEnd,
+			"recovered": awaitRecovery,
+			"versions":  checkVersions,
+			"calm":      checkGracefulExit,
 		},
 	}
 }
 
-// ports NAME... gives each variable a free address of this machine.
-func ports(ts *testscript.TestScript, _ bool, args []string) {
+// setFreePorts implements "ports NAME...": it sets each variable to a free loopback
+// address.
+func setFreePorts(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		ts.Setenv(name, freePort(ts))
 	}
 }
 
-// fill FILE... replaces $VARIABLES in files.
-func fill(ts *testscript.TestScript, _ bool, args []string) {
+// expandFiles implements "fill FILE...": it expands the $VARIABLES in the files.
+func expandFiles(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		text := os.Expand(ts.ReadFile(name), ts.Getenv)
 		ts.Check(os.WriteFile(ts.MkAbs(name), []byte(text), 0o600))
 	}
 }
 
-// publish PLATFORM KEY VERSION FILE gives the stand-in platform a value; it
-// takes no version that isn't above the one it holds.
-func publish(ts *testscript.TestScript, _ bool, args []string) {
-	give(ts, "publish", args)
+// publishValue implements "publish PLATFORM KEY VERSION FILE": it publishes a value on
+// the stand-in platform, which rejects a version that is not above the one that it has.
+func publishValue(ts *testscript.TestScript, _ bool, args []string) {
+	postValue(ts, "publish", args)
 }
 
-// restore PLATFORM KEY VERSION FILE gives it a value at any version, as from a
-// backup.
-func restore(ts *testscript.TestScript, _ bool, args []string) {
-	give(ts, "restore", args)
+// restoreValue implements "restore PLATFORM KEY VERSION FILE": it sets a value of any
+// version, as if the platform were restored from a backup.
+func restoreValue(ts *testscript.TestScript, _ bool, args []string) {
+	postValue(ts, "restore", args)
 }
 
-func give(ts *testscript.TestScript, how string, args []string) {
+func postValue(ts *testscript.TestScript, action string, args []string) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(fasthttp.MethodPost)
-	request.SetRequestURI("http://" + args[0] + "/standin/" + how + "?key=" + args[1] + "&version=" + args[2])
+	request.SetRequestURI("http://" + args[0] + "/standin/" + action + "?key=" + args[1] + "&version=" + args[2])
 	request.SetBodyString(ts.ReadFile(args[3]))
-	ts.Check(fasthttp.DoTimeout(request, response, patience))
+	ts.Check(fasthttp.DoTimeout(request, response, waitTimeout))
 	if response.StatusCode() != fasthttp.StatusNoContent {
 		ts.Fatalf("got %d %s, want %d", response.StatusCode(), response.Body(), fasthttp.StatusNoContent)
 	}
 }
 
-// await STATUS URL [TEXT] asks until the status comes, with the text in the
-// answer. ! await asks once and fails if they are there.
-func await(ts *testscript.TestScript, neg bool, args []string) {
+// awaitStatus implements "await STATUS URL [TEXT]": it requests the URL until the answer
+// has the status and contains the text. "! await" sends one request and fails if the
+// answer has both.
+func awaitStatus(ts *testscript.TestScript, neg bool, args []string) {
 	if neg {
-		status, body, err := fasthttp.GetTimeout(nil, args[1], patience)
+		status, body, err := fasthttp.GetTimeout(nil, args[1], waitTimeout)
 		ts.Check(err)
 		if fmt.Sprint(status) == args[0] && (len(args) < 3 || strings.Contains(string(body), args[2])) {
-			ts.Fatalf("got %s, want none", strings.Join(args, " "))
+			ts.Fatalf("got %s, want another answer", strings.Join(args, " "))
 		}
 		return
 	}
@@ -141,8 +143,9 @@
 	})
 }
 
-// send METHOD URL [BODY] prints status, outcome, reason and backend server.
-func send(ts *testscript.TestScript, _ bool, args []string) {
+// sendRequest implements "send METHOD URL [BODY]": it sends one request and prints its
+// status, outcome and reason, and the name of the backend server without its number.
+func sendRequest(ts *testscript.TestScript, _ bool, args []string) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -152,10 +155,10 @@
 	if len(args) > 2 {
 		request.SetBodyString(args[2])
 	}
-	ts.Check(fasthttp.DoTimeout(request, response, patience))
-	served := response.Header.Peek("Backend")
+	ts.Check(fasthttp.DoTimeout(request, response, waitTimeout))
+	backend := response.Header.Peek("Backend")
 	_, err := fmt.Fprintf(ts.Stdout(), "%d outcome=%s reason=%s by=%s\n", response.StatusCode(),
 		response.Header.Peek(entry.HeaderOutcome), response.Header.Peek(entry.HeaderReason),
-		strings.TrimRight(string(served), "-0123456789"))
+		strings.TrimRight(string(backend), "-0123456789"))
 	ts.Check(err)
 }
--- a/cmd/session_test.go
+++ b/cmd/session_test.go
@@ -15,12 +15,12 @@
 	"fuchsiapick.example/fuchsiapick/standin"
 )
 
-// session is what one script has started and seen.
+// session holds the state of one script: its processes, loads and recorded results.
 type session struct {
 	processes map[string]*process
 	loads     map[string]*load
 	sent      atomic.Int64
-	witness   witness
+	recorder  outcomeRecorder
 }
 
 type sessionKey struct{}
@@ -29,7 +29,7 @@
 	return &session{
 		processes: map[string]*process{},
 		loads:     map[string]*load{},
-		witness:   witness{told: map[string]told{}},
+		recorder:  outcomeRecorder{results: map[string]callerResult{}},
 	}
 }
 
@@ -41,8 +41,8 @@
 	return s
 }
 
-// Ports for sessions lie below those that the kernel gives to outgoing
-// connections: while a node is away, such a connection could take its port.
+// Scripts use ports below the kernel's range for outgoing connections. Otherwise an outgoing
+// connection could take the port of a node while the node is down.
 const (
 	firstPort = 12_000
 	portCount = 20_000
@@ -50,8 +50,8 @@
 
 var nextPort atomic.Int64
 
-// freePort returns an address that nothing listens on. Each process of the
-// test begins elsewhere, and no port is given twice.
+// freePort returns a loopback address on which nothing listens. Each test process starts
+// at another port, and a process returns no port twice until it has tried all.
 func freePort(ts *testscript.TestScript) string {
 	for range portCount {
 		n := (int64(os.Getpid())*389 + nextPort.Add(1)) % portCount
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// settingsOf is what sessions run nodes with; secret and grace suit tests.
-const settingsOf = `node = %q
+// settingsTemplate is the template of the settings of nodes that scripts start.
+const settingsTemplate = `node = %q
 domain = %q
 secret = "sixteen letters!"
 grace = %q
@@ -86,56 +86,59 @@
 poll = %q
 `
 
-// configure NAME DOMAIN PLATFORM [PEER...] writes NAME.toml. The node's
-// addresses are $C_NAME, $L_NAME and $A_NAME, its announced one $R_NAME if
-// that is set; $GRACE and $POLL are its grace and poll if they are set.
-func configure(ts *testscript.TestScript, _ bool, args []string) {
+// writeSettings implements "configure NAME DOMAIN PLATFORM [PEER...]": it writes the
+// settings file NAME.toml. The node listens on $C_NAME, $L_NAME and $A_NAME, which it
+// sets if they are empty. The node announces $R_NAME if that is set, else $L_NAME. $GRACE
+// and $POLL are its grace period and poll interval, by default 10s and 5s.
+func writeSettings(ts *testscript.TestScript, _ bool, args []string) {
 	name := args[0]
 	for _, kind := range []string{"C_", "L_", "A_"} {
 		if ts.Getenv(kind+name) == "" {
 			ts.Setenv(kind+name, freePort(ts))
 		}
 	}
-	announce := orElse(ts.Getenv("R_"+name), ts.Getenv("L_"+name))
-	grace := orElse(ts.Getenv("GRACE"), "10s")
-	poll := orElse(ts.Getenv("POLL"), "5s")
+	announce := valueOr(ts.Getenv("R_"+name), ts.Getenv("L_"+name))
+	grace := valueOr(ts.Getenv("GRACE"), "10s")
+	poll := valueOr(ts.Getenv("POLL"), "5s")
 	peers := make([]string, 0, len(args))
 	for _, peer := range args[3:] {
 		peers = append(peers, strconv.Quote(peer))
 	}
-	text := fmt.Sprintf(settingsOf, name, args[1], grace, strings.Join(peers, ", "),
+	text := fmt.Sprintf(settingsTemplate, name, args[1], grace, strings.Join(peers, ", "),
 		ts.Getenv("C_"+name), ts.Getenv("L_"+name), announce, ts.Getenv("A_"+name), args[2], poll)
 	ts.Check(os.WriteFile(ts.MkAbs(name+".toml"), []byte(text), 0o600))
 }
 
-func orElse(text, standard string) string {
+func valueOr(text, fallback string) string {
 	if text == "" {
-		return standard
+		return fallback
 	}
 	return text
 }
 
-// drive posts to a stand-in's admin path.
-func drive(ts *testscript.TestScript, uri string) {
+// postAdmin sends a POST request to a stand-in's admin path.
+func postAdmin(ts *testscript.TestScript, uri string) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI(uri)
-	ts.Check(fasthttp.DoTimeout(request, response, patience))
+	ts.Check(fasthttp.DoTimeout(request, response, waitTimeout))
 	if got, want := response.StatusCode(), fasthttp.StatusNoContent; got != want {
 		ts.Fatalf("%s: got %d %s, want %d", uri, got, response.Body(), want)
 	}
 }
 
-// relay ADMIN MODE breaks or mends a relay; platform ADDRESS MODE a platform.
-func relay(ts *testscript.TestScript, _ bool, args []string) {
-	drive(ts, "http://"+args[0]+"/standin/mode?mode="+args[1])
+// setMode implements "relay ADMIN MODE" and "mode PLATFORM MODE": it sets the mode of a
+// relay or of the stand-in platform.
+func setMode(ts *testscript.TestScript, _ bool, args []string) {
+	postAdmin(ts, "http://"+args[0]+"/standin/mode?mode="+args[1])
 }
 
-// fault BACKEND KIND [ARGUMENTS] sets how a backend server misbehaves, such as
-// fault $B1 fails share=0.6. One that crashes may do so under the call, which is made again.
-func fault(ts *testscript.TestScript, _ bool, args []string) {
+// setFault implements "fault BACKEND KIND [ARGUMENTS]", such as "fault $B1 fails
+// share=0.6": it sets the fault of a backend server. It repeats the call if the backend
+// server crashes during it.
+func setFault(ts *testscript.TestScript, _ bool, args []string) {
 	uri := "http://" + args[0] + "/standin/fault?kind=" + strings.Join(args[1:], "&")
 	poll(ts, "fault set at "+args[0], func() (string, bool) {
 		request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -143,7 +146,7 @@
 		defer fasthttp.ReleaseResponse(response)
 		request.Header.SetMethod(fasthttp.MethodPost)
 		request.SetRequestURI(uri)
-		if err := fasthttp.DoTimeout(request, response, patience); err != nil {
+		if err := fasthttp.DoTimeout(request, response, waitTimeout); err != nil {
 			return err.Error(), false
 		}
 		if got, want := response.StatusCode(), fasthttp.StatusNoContent; got != want {
@@ -153,11 +156,12 @@
 	})
 }
 
-// ledger BACKEND begun=N... waits until the totals reach what is given;
-// ! ledger BACKEND begun=N fails at once if they have come that far.
-func ledger(ts *testscript.TestScript, neg bool, args []string) {
+// awaitLedger implements "ledger BACKEND begun=N...": it waits until the totals of a
+// backend server reach the values. "! ledger BACKEND begun=N" fails immediately if they
+// have.
+func awaitLedger(ts *testscript.TestScript, neg bool, args []string) {
 	if !neg {
-		status, body, err := fasthttp.GetTimeout(nil, "http://"+args[0]+"/standin/await?"+strings.Join(args[1:], "&"), patience)
+		status, body, err := fasthttp.GetTimeout(nil, "http://"+args[0]+"/standin/await?"+strings.Join(args[1:], "&"), waitTimeout)
 		ts.Check(err)
 		if status != fasthttp.StatusOK {
 			ts.Fatalf("%s: got %d %s, want %s", args[0], status, body, strings.Join(args[1:], " "))
@@ -166,60 +170,65 @@
 	}
 	limit, err := strconv.Atoi(strings.TrimPrefix(args[1], "begun="))
 	ts.Check(err)
-	if got := len(entriesOf(ts, args[0])); got >= limit {
+	if got := len(fetchLedger(ts, args[0])); got >= limit {
 		ts.Fatalf("%s: got %d begun, want under %d", args[0], got, limit)
 	}
 }
 
-// next VARIABLE BACKEND sets a variable to one more than the requests that a
-// backend server has begun, for ! ledger BACKEND begun=$VARIABLE later.
-func next(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Setenv(args[0], strconv.Itoa(len(entriesOf(ts, args[1]))+1))
+// setNextBegun implements "next VARIABLE BACKEND": it sets a variable to the number of
+// requests that a backend server has begun, plus one, for a later "ledger BACKEND
+// begun=$VARIABLE" or its negation.
+func setNextBegun(ts *testscript.TestScript, _ bool, args []string) {
+	ts.Setenv(args[0], strconv.Itoa(len(fetchLedger(ts, args[1]))+1))
 }
 
-// calls PLATFORM MOST holds the calls that the platform has counted to a bound.
-func calls(ts *testscript.TestScript, _ bool, args []string) {
+// checkPlatformCalls implements "calls PLATFORM MAX": it fails if the platform has
+// received more calls.
+func checkPlatformCalls(ts *testscript.TestScript, _ bool, args []string) {
 	var got uint64
-	fetch(ts, "http://"+args[0]+"/standin/calls", &got)
-	most, err := strconv.ParseUint(args[1], 10, 64)
+	fetchJSON(ts, "http://"+args[0]+"/standin/calls", &got)
+	limit, err := strconv.ParseUint(args[1], 10, 64)
 	ts.Check(err)
 	ts.Logf("platform calls: %d", got)
-	if got > most {
-		ts.Fatalf("got %d calls at the platform, want at most %d", got, most)
+	if got > limit {
+		ts.Fatalf("got %d calls at the platform, want at most %d", got, limit)
 	}
 }
 
-// same TEXT URL URL waits until both answers have the same lines with the
-// text, and some.
-func same(ts *testscript.TestScript, _ bool, args []string) {
+// awaitSameLines implements "same TEXT URL URL": it waits until both answers have the
+// same lines with the text, and at least one.
+func awaitSameLines(ts *testscript.TestScript, _ bool, args []string) {
 	poll(ts, "the same lines with "+args[0], func() (string, bool) {
-		one, other := linesOf(ts, args[1], args[0]), linesOf(ts, args[2], args[0])
-		return one + "and " + other, one == other && one != ""
+		first, second := fetchLines(ts, args[1], args[0]), fetchLines(ts, args[2], args[0])
+		return first + "and " + second, first == second && first != ""
 	})
-	ts.Logf("%s", linesOf(ts, args[1], args[0]))
+	ts.Logf("%s", fetchLines(ts, args[1], args[0]))
 }
 
-// zero TEXT URL checks that what the lines with the text count is 0.
-func zero(ts *testscript.TestScript, _ bool, args []string) {
-	for line := range strings.Lines(linesOf(ts, args[1], args[0])) {
+// checkZero implements "zero TEXT URL": it fails if a line with the text ends in a value
+// other than 0.
+func checkZero(ts *testscript.TestScript, _ bool, args []string) {
+	for line := range strings.Lines(fetchLines(ts, args[1], args[0])) {
 		if !strings.HasSuffix(line, " 0\n") {
 			ts.Fatalf("got %s, want 0", line)
 		}
 	}
 }
 
-// atmost N TEXT URL checks that no more lines of an answer have the text.
-func atmost(ts *testscript.TestScript, _ bool, args []string) {
-	most, err := strconv.Atoi(args[0])
+// checkLineCount implements "atmost N TEXT URL": it fails if more than N lines of the
+// answer contain the text.
+func checkLineCount(ts *testscript.TestScript, _ bool, args []string) {
+	limit, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	lines := linesOf(ts, args[2], args[1])
-	if got := strings.Count(lines, "\n"); got > most {
-		ts.Fatalf("got %d lines, want at most %d:\n%s", got, most, lines)
+	lines := fetchLines(ts, args[2], args[1])
+	if got := strings.Count(lines, "\n"); got > limit {
+		ts.Fatalf("got %d lines, want at most %d:\n%s", got, limit, lines)
 	}
 }
 
-func linesOf(ts *testscript.TestScript, uri, text string) string {
-	_, body, err := fasthttp.GetTimeout(nil, uri, patience)
+// fetchLines returns the lines of the answer that contain the text.
+func fetchLines(ts *testscript.TestScript, uri, text string) string {
+	_, body, err := fasthttp.GetTimeout(nil, uri, waitTimeout)
 	ts.Check(err)
 	found := ""
 	for line := range strings.Lines(string(body)) {
@@ -230,14 +239,16 @@
 	return found
 }
 
-func entriesOf(ts *testscript.TestScript, backend string) []standin.Entry {
+// fetchLedger returns the ledger of a backend server.
+func fetchLedger(ts *testscript.TestScript, backend string) []standin.Entry {
 	var entries []standin.Entry
-	fetch(ts, "http://"+backend+"/standin/ledger", &entries)
+	fetchJSON(ts, "http://"+backend+"/standin/ledger", &entries)
 	return entries
 }
 
-func fetch(ts *testscript.TestScript, uri string, into any) {
-	status, body, err := fasthttp.GetTimeout(nil, uri, patience)
+// fetchJSON requests the URI and decodes the JSON answer.
+func fetchJSON(ts *testscript.TestScript, uri string, into any) {
+	status, body, err := fasthttp.GetTimeout(nil, uri, waitTimeout)
 	ts.Check(err)
 	if status != fasthttp.StatusOK {
 		ts.Fatalf("%s: got %d, want %d", uri, status, fasthttp.StatusOK)
--- a/cmd/soak_test.go
+++ b/cmd/soak_test.go
@@ -25,17 +25,16 @@
 	soakKeep    = flag.String("soak.keep", "", "a folder that keeps the plans")
 )
 
-// Nodes, backend servers, a platform and relays run as processes, and faults come to
-// them from outside, drawn by a seed: processes paused, killed and replaced, links
-// frozen, cut one way or silenced, the platform away, backend servers that fail, hang,
-// shed or slow down, tables published meanwhile. Callers go on all the while.
-//
-// Run fifty by hand with
+// TestSoak runs nodes, backend servers, a platform and relays as processes and injects
+// faults from outside, drawn from a seed: processes are paused, killed and replaced; links
+// are frozen, cut in one direction or silenced; the platform is unavailable; backend servers
+// fail, hang, shed, slow down or crash; tables are published meanwhile. Callers send requests all the
+// time. Run fifty seeds by hand with
 //
 //	go test ./cmd -run TestSoak -soak.seeds 50 -soak.first 1 -timeout 60m
 //
-// A seed that fails prints its plan; -soak.without narrows it, and what is left is kept
-// under testdata/script.
+// A seed that fails prints its plan. Use -soak.without to find the faults that matter, and
+// keep the reduced plan in testdata/script.
 func TestSoak(t *testing.T) {
 	dir := *soakKeep
 	if dir == "" {
@@ -56,92 +55,96 @@
 		}
 		files = append(files, file)
 	}
-	p := params()
+	p := scriptParams()
 	p.Files = files
 	testscript.Run(t, p)
 }
 
-// rest SPAN lets what was begun go on for a while.
-func rest(ts *testscript.TestScript, _ bool, args []string) {
+// pause implements "rest SPAN": it waits, so that what was started goes on for a while.
+func pause(ts *testscript.TestScript, _ bool, args []string) {
 	span, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	<-time.After(span)
 }
 
-// gone NAME waits for the end of a process, whatever its exit code.
-func gone(ts *testscript.TestScript, _ bool, args []string) {
+// awaitEnd implements "gone NAME": it waits until a process ends and ignores its exit
+// code.
+func awaitEnd(ts *testscript.TestScript, _ bool, args []string) {
 	select {
 	case <-processOf(ts, args[0]).done:
-	case <-time.After(patience):
-		ts.Fatalf("process %s: got no end", args[0])
+	case <-time.After(waitTimeout):
+		ts.Fatalf("process %s: still running, want it ended", args[0])
 	}
 }
 
-// inARow is how many requests must be served one after the other.
-const inARow = 10
+// recoveryCount is the number of successive requests that must be served.
+const recoveryCount = 10
 
-// recovered METHOD URL waits until requests are served again, ten in a row.
-func recovered(ts *testscript.TestScript, _ bool, args []string) {
-	s, client, served := sessionOf(ts), &fasthttp.Client{}, 0
+// awaitRecovery implements "recovered METHOD URL": it sends requests until recoveryCount
+// of them in a row are served with status 200.
+func awaitRecovery(ts *testscript.TestScript, _ bool, args []string) {
+	s, client, inARow := sessionOf(ts), &fasthttp.Client{}, 0
 	poll(ts, "ten requests served in a row by "+args[1], func() (string, bool) {
-		t := s.ask(client, args[0], args[1])
-		served++
-		if t.outcome != access.Served || t.status != fasthttp.StatusOK {
-			served = 0
+		result := s.send(client, args[0], args[1])
+		inARow++
+		if result.outcome != access.Served || result.status != fasthttp.StatusOK {
+			inARow = 0
 		}
-		return fmt.Sprintf("%s %s (%d in a row)", t.outcome, t.reason, served), served >= inARow
+		return fmt.Sprintf("%s %s (%d in a row)", result.outcome, result.reason, inARow), inARow >= recoveryCount
 	})
 }
 
-// versions NAME... checks that no process has put an older table in force than before.
-func versions(ts *testscript.TestScript, _ bool, args []string) {
+// checkVersions implements "versions NAME...": it fails if a process has put a table into
+// force that is older than the one before.
+func checkVersions(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		last := uint64(0)
 		for line := range strings.Lines(processOf(ts, name).stdout.String()) {
-			var told struct {
+			var entry struct {
 				Message string `json:"message"`
 				Version uint64 `json:"version"`
 			}
-			if json.Unmarshal([]byte(line), &told) != nil || told.Message != "table in force" {
+			if json.Unmarshal([]byte(line), &entry) != nil || entry.Message != "table in force" {
 				continue
 			}
-			if told.Version < last {
-				ts.Fatalf("%s: got version %d in force after %d", name, told.Version, last)
+			if entry.Version < last {
+				ts.Fatalf("%s: got version %d in force after %d", name, entry.Version, last)
 			}
-			last = told.Version
+			last = entry.Version
 		}
 	}
 }
 
-// calm NAME URL BACKEND... ends a node while callers come, with no other fault: nothing
-// that it took may be cut, and the process must say so by its exit code. A connection that
-// was opened as the port closed ends without an answer, too; its request was never read,
-// and the ledgers must not have it.
-func calm(ts *testscript.TestScript, _ bool, args []string) {
+// checkGracefulExit implements "calm NAME URL BACKEND...": it terminates a node while a
+// caller sends requests, without any other fault. The node must not cut a request that it
+// has accepted, and must exit with code 0. A connection that is opened while the port
+// closes may also end without an answer. The node has never read its request, so that no
+// ledger may contain the request.
+func checkGracefulExit(ts *testscript.TestScript, _ bool, args []string) {
 	s, client := sessionOf(ts), &fasthttp.Client{}
 	defer client.CloseIdleConnections()
 	p := processOf(ts, args[0])
 	ts.Check(p.cmd.Process.Signal(syscall.SIGTERM))
 	unread := map[string]bool{}
-	for !p.ended() {
-		t := s.ask(client, fasthttp.MethodPost, args[1])
-		if t.outcome == access.Unknown {
-			ts.Fatalf("request to %s while it left: got %s %s", args[0], t.outcome, t.reason)
+	for !p.hasEnded() {
+		result := s.send(client, fasthttp.MethodPost, args[1])
+		if result.outcome == access.Unknown {
+			ts.Fatalf("request to %s while it left: got %s %s", args[0], result.outcome, result.reason)
 		}
-		if t.outcome == cut {
-			unread[t.path] = true
+		if result.outcome == connectionCut {
+			unread[result.path] = true
 		}
 	}
 	for _, backend := range args[2:] {
-		for _, e := range entriesOf(ts, backend) {
+		for _, e := range fetchLedger(ts, backend) {
 			if unread[e.Path] {
-				ts.Fatalf("request %s to %s while it left: got it run and cut", e.Path, args[0])
+				ts.Fatalf("request %s to %s while it left: got a run without an answer, want no run", e.Path, args[0])
 			}
 		}
 	}
 	if len(unread) > 1 {
-		ts.Fatalf("got %d requests to %s cut while it left, want one at most, as the port closed", len(unread), args[0])
+		ts.Fatalf("got %d requests to %s cut while it left, want one at most, while the port closed", len(unread), args[0])
 	}
-	ended(ts, false, []string{args[0], "0"})
-	judge(ts, false, args[2:])
+	awaitExit(ts, false, []string{args[0], "0"})
+	checkLedgers(ts, false, args[2:])
 }
--- a/cmd/soakplan_test.go
+++ b/cmd/soakplan_test.go
@@ -8,62 +8,67 @@
 	"time"
 )
 
-// plan is a seeded run of a fleet under faults, written as a session: what a seed has
-// drawn can be read, cut down by hand and kept under testdata.
+// plan is a run of a fleet under faults, drawn from a seed and written as a script, so
+// that it can be read, reduced by hand and kept in testdata.
 type plan struct {
-	random  *rand.Rand
-	crashes *rand.Rand // which faults are crashes in place of what random drew
-	nodes   int
-	caution string
-	// version is that of the table published last.
+	random      *rand.Rand
+	crashRandom *rand.Rand // draws which faults are replaced by crashes
+	nodes       int
+	caution     string
+	// version is the version of the last published table.
 	version int
-	// without are the faults that are left out, by their number.
-	without []int
+	// leftOut has the numbers of the faults to leave out.
+	leftOut []int
 	lines   []string
 	tables  []string
 }
 
-// trouble is one fault: how it begins and how it ends. Two of one subject don't overlap.
-type trouble struct {
+// plannedFault is one fault with the script lines that begin and end it. Two faults of
+// the same subject don't overlap.
+type plannedFault struct {
 	subject    string
 	begin, end []string
 }
 
-// Bounds of a plan.
+// Limits of a plan.
 const (
-	leastNodes, mostNodes   = 3, 5
-	leastFaults, mostFaults = 5, 9
-	// mostOpen is how many faults there are at one time.
-	mostOpen = 3
-	// leastRest and mostRest are between two changes: below and above the time in which
-	// a lost path is found (three heartbeats of 0.5 s).
-	leastRest = 50 * time.Millisecond
-	mostRest  = 2 * time.Second
+	minNodes, maxNodes   = 3, 5
+	minFaults, maxFaults = 5, 9
+	// maxOpenFaults is the maximum number of concurrent faults.
+	maxOpenFaults = 3
+	// The pause between two changes is from minPause to maxPause, which are below and above
+	// the time in which a lost path is detected (three heartbeats of 0.5 s).
+	minPause = 50 * time.Millisecond
+	maxPause = 2 * time.Second
 )
 
-func newPlan(seed uint64, without []int) *plan {
-	r := rand.New(rand.NewPCG(seed, 1))
+// newPlan returns the plan of a seed, without the faults that have the numbers in
+// leftOut.
+func newPlan(seed uint64, leftOut []int) *plan {
+	random := rand.New(rand.NewPCG(seed, 1))
 	cautions := []string{"fast", "balanced", "cautious", "brief"}
 	return &plan{
-		random: r, crashes: rand.New(rand.NewPCG(seed, 2)), nodes: leastNodes + r.IntN(mostNodes-leastNodes+1),
-		caution: cautions[r.IntN(len(cautions))], without: without,
+		random: random, crashRandom: rand.New(rand.NewPCG(seed, 2)), nodes: minNodes + random.IntN(maxNodes-minNodes+1),
+		caution: cautions[random.IntN(len(cautions))], leftOut: leftOut,
 	}
 }
 
-// text is the whole session.
+// text returns the plan as a script.
 func (p *plan) text() string {
-	p.setUp()
-	p.disturb()
-	p.check()
+	p.addSetUp()
+	p.addFaults()
+	p.addChecks()
 	return strings.Join(p.lines, "\n") + "\n" + strings.Join(p.tables, "")
 }
 
-func (p *plan) say(format string, args ...any) {
+// addLine adds a formatted line to the script.
+func (p *plan) addLine(format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf(format, args...))
 }
 
-// each joins a text for every node, in which N stands for its number.
-func (p *plan) each(text string) string {
+// forEachNode repeats the text for every node, with the node's number in place of N, and
+// joins the copies with spaces.
+func (p *plan) forEachNode(text string) string {
 	all := make([]string, 0, p.nodes)
 	for i := range p.nodes {
 		all = append(all, strings.ReplaceAll(text, "N", fmt.Sprint(i+1)))
@@ -71,34 +76,35 @@
 	return strings.Join(all, " ")
 }
 
-func (p *plan) setUp() {
-	p.say("ports PLATFORM %s", p.each("BN R_nN RELAYN"))
+// addSetUp adds the lines that start all processes and the load.
+func (p *plan) addSetUp() {
+	p.addLine("ports PLATFORM %s", p.forEachNode("BN R_nN RELAYN"))
 	domains := []string{"palermo", "catania", "messina"}
 	for i := range p.nodes {
 		next := (i+1)%p.nodes + 1
-		p.say("configure n%d %s $PLATFORM $R_n%d $R_n%d", i+1, domains[i%len(domains)], next, next%p.nodes+1)
+		p.addLine("configure n%d %s $PLATFORM $R_n%d $R_n%d", i+1, domains[i%len(domains)], next, next%p.nodes+1)
 	}
-	p.say("start platform standin platform --address $PLATFORM")
+	p.addLine("start platform standin platform --address $PLATFORM")
 	for i := range p.nodes {
-		p.say("start b%d standin backend --name conferme-%d --address $B%d --service 20ms --slots 3", i+1, i+1, i+1)
-		p.say("start relay%d standin relay --address $R_n%d --target $L_n%d --admin $RELAY%d", i+1, i+1, i+1, i+1)
+		p.addLine("start b%d standin backend --name conferme-%d --address $B%d --service 20ms --slots 3", i+1, i+1, i+1)
+		p.addLine("start relay%d standin relay --address $R_n%d --target $L_n%d --admin $RELAY%d", i+1, i+1, i+1, i+1)
 	}
-	p.say("await 404 http://$PLATFORM/none")
+	p.addLine("await 404 http://$PLATFORM/none")
 	for i := range p.nodes {
-		p.say("await 200 http://$B%d/healthz", i+1)
-		p.say("await 200 http://$RELAY%d/standin/stats", i+1)
-		p.say("start n%d fuchsiapick node --settings n%d.toml", i+1, i+1)
+		p.addLine("await 200 http://$B%d/healthz", i+1)
+		p.addLine("await 200 http://$RELAY%d/standin/stats", i+1)
+		p.addLine("start n%d fuchsiapick node --settings n%d.toml", i+1, i+1)
 	}
-	p.publish()
+	p.addPublish()
 	for i := range p.nodes {
-		p.say("await 200 http://$A_n%d/readyz", i+1)
+		p.addLine("await 200 http://$A_n%d/readyz", i+1)
 	}
-	p.say("keep confirms 4 POST %s", p.each("http://$C_nN/conferme"))
-	p.say("steady views 4 GET %s", p.each("http://$C_nN/conferme"))
+	p.addLine("keep confirms 4 POST %s", p.forEachNode("http://$C_nN/conferme"))
+	p.addLine("steady views 4 GET %s", p.forEachNode("http://$C_nN/conferme"))
 }
 
-// publish gives the platform the next table.
-func (p *plan) publish() {
+// addPublish adds a new table with the next version and the lines that publish it.
+func (p *plan) addPublish() {
 	p.version++
 	name := fmt.Sprintf("table%d.toml", p.version)
 	var b strings.Builder
@@ -110,26 +116,26 @@
 	}
 	b.WriteString("\n[[route]]\nprefix = \"/conferme/\"\nservice = \"conferme\"\n")
 	p.tables = append(p.tables, b.String())
-	p.say("fill %s", name)
-	p.say("publish $PLATFORM table %d %s", p.version, name)
+	p.addLine("fill %s", name)
+	p.addLine("publish $PLATFORM table %d %s", p.version, name)
 }
 
-// disturb lets faults come in series and overlap.
-func (p *plan) disturb() {
-	faults := leastFaults + p.random.IntN(mostFaults-leastFaults+1)
-	var open []trouble
+// addFaults adds lines that begin and end faults, which may overlap.
+func (p *plan) addFaults() {
+	faults := minFaults + p.random.IntN(maxFaults-minFaults+1)
+	var open []plannedFault
 	for number := 1; number <= faults || len(open) > 0; {
-		begins := number <= faults && len(open) < mostOpen && (len(open) == 0 || p.random.IntN(2) == 0)
+		isNew := number <= faults && len(open) < maxOpenFaults && (len(open) == 0 || p.random.IntN(2) == 0)
 		switch {
-		case begins:
-			t := p.draw()
-			if p.crashes.IntN(4) == 0 {
-				t = p.drawCrashes()
+		case isNew:
+			t := p.drawFault()
+			if p.crashRandom.IntN(4) == 0 {
+				t = p.drawCrashFault()
 			}
-			isLeftOut := slices.Contains(p.without, number)
-			isTaken := slices.ContainsFunc(open, func(o trouble) bool { return o.subject == t.subject })
+			isLeftOut := slices.Contains(p.leftOut, number)
+			isTaken := slices.ContainsFunc(open, func(o plannedFault) bool { return o.subject == t.subject })
 			if !isLeftOut && !isTaken {
-				p.say("\n# fault %d", number)
+				p.addLine("\n# fault %d", number)
 				p.lines = append(p.lines, t.begin...)
 				open = append(open, t)
 			}
@@ -139,68 +145,68 @@
 			p.lines = append(p.lines, open[i].end...)
 			open = slices.Delete(open, i, i+1)
 		}
-		rest := leastRest + time.Duration(p.random.Int64N(int64(mostRest-leastRest)))
-		p.say("rest %v", rest.Round(time.Millisecond))
+		span := minPause + time.Duration(p.random.Int64N(int64(maxPause-minPause)))
+		p.addLine("rest %v", span.Round(time.Millisecond))
 		if p.random.IntN(4) == 0 {
-			p.publish()
+			p.addPublish()
 		}
 	}
 }
 
-// draw returns a fault of any kind.
-func (p *plan) draw() trouble {
+// drawFault draws a fault of any kind but crashes.
+func (p *plan) drawFault() plannedFault {
 	n := 1 + p.random.IntN(p.nodes)
 	node := fmt.Sprintf("n%d", n)
-	again := fmt.Sprintf("start %s fuchsiapick node --settings %s.toml", node, node)
+	restart := fmt.Sprintf("start %s fuchsiapick node --settings %s.toml", node, node)
 	pick := func(of ...string) string { return of[p.random.IntN(len(of))] }
 	switch p.random.IntN(7) {
 	case 0:
-		return trouble{node, []string{"sigstop " + node}, []string{"sigcont " + node}}
+		return plannedFault{node, []string{"sigstop " + node}, []string{"sigcont " + node}}
 	case 1:
-		return trouble{node, []string{"sigkill " + node, "ended " + node + " killed"}, []string{again}}
+		return plannedFault{node, []string{"sigkill " + node, "ended " + node + " killed"}, []string{restart}}
 	case 2:
-		return trouble{node, []string{"sigterm " + node}, []string{"gone " + node, again}}
+		return plannedFault{node, []string{"sigterm " + node}, []string{"gone " + node, restart}}
 	case 3:
 		mode := pick("droptotarget", "dropfromtarget", "freeze", "silentold", "refuse")
-		return trouble{"relay" + node, []string{fmt.Sprintf("relay $RELAY%d %s", n, mode)}, []string{fmt.Sprintf("relay $RELAY%d pass", n)}}
+		return plannedFault{"relay" + node, []string{fmt.Sprintf("relay $RELAY%d %s", n, mode)}, []string{fmt.Sprintf("relay $RELAY%d pass", n)}}
 	case 4:
 		mode := pick("down", "slow", "stale", "busy", "silent")
-		return trouble{"platform", []string{"mode $PLATFORM " + mode}, []string{"mode $PLATFORM up"}}
-	case 5: // a backup is restored: the fleet must not go back
+		return plannedFault{"platform", []string{"mode $PLATFORM " + mode}, []string{"mode $PLATFORM up"}}
+	case 5: // the platform is restored from a backup; nodes must keep the newer table
 		older := 1 + p.random.IntN(p.version)
-		return trouble{"table", []string{fmt.Sprintf("restore $PLATFORM table %d table%d.toml", older, older)}, nil}
+		return plannedFault{"table", []string{fmt.Sprintf("restore $PLATFORM table %d table%d.toml", older, older)}, nil}
 	default:
 		kind := pick("fails share=0.7", "hangs share=0.5", "slow factor=10", "sheds share=0.7")
-		return trouble{"backend" + node, []string{fmt.Sprintf("fault $B%d %s", n, kind)}, []string{fmt.Sprintf("fault $B%d healthy", n)}}
+		return plannedFault{"backend" + node, []string{fmt.Sprintf("fault $B%d %s", n, kind)}, []string{fmt.Sprintf("fault $B%d healthy", n)}}
 	}
 }
 
-// drawCrashes returns a backend server that crashes under each request.
-func (p *plan) drawCrashes() trouble {
-	n := 1 + p.crashes.IntN(p.nodes)
-	down := 50 + p.crashes.IntN(950)
-	return trouble{
+// drawCrashFault draws a fault that makes a backend server crash on each request.
+func (p *plan) drawCrashFault() plannedFault {
+	n := 1 + p.crashRandom.IntN(p.nodes)
+	down := 50 + p.crashRandom.IntN(950)
+	return plannedFault{
 		fmt.Sprintf("backendn%d", n),
 		[]string{fmt.Sprintf("fault $B%d crashes path=/conferme down=%dms", n, down)},
 		[]string{fmt.Sprintf("await 200 http://$B%d/healthz", n), fmt.Sprintf("fault $B%d healthy", n)},
 	}
 }
 
-// check holds what was seen against the promises.
-func (p *plan) check() {
-	p.say("\n# All faults are over: the fleet serves again, the last table is in force, and")
-	p.say("# nothing that callers were told contradicts what the backend servers ran.")
-	p.publish()
+// addChecks adds the lines that check the results after all faults have ended.
+func (p *plan) addChecks() {
+	p.addLine("\n# All faults are over: the fleet serves again, the last table is in force, and")
+	p.addLine("# nothing that callers were told contradicts what the backend servers ran.")
+	p.addPublish()
 	for i := range p.nodes {
-		p.say("await 200 http://$A_n%d/readyz", i+1)
-		p.say("await 200 http://$A_n%d/metrics 'fuchsiapick_table_version %d'", i+1, p.version)
+		p.addLine("await 200 http://$A_n%d/readyz", i+1)
+		p.addLine("await 200 http://$A_n%d/metrics 'fuchsiapick_table_version %d'", i+1, p.version)
 	}
 	for i := range p.nodes {
-		p.say("recovered POST http://$C_n%d/conferme", i+1)
+		p.addLine("recovered POST http://$C_n%d/conferme", i+1)
 	}
-	p.say("join confirms")
-	p.say("join views")
-	p.say("versions %s", p.each("nN"))
-	p.say("judge %s", p.each("$BN"))
-	p.say("calm n1 http://$C_n1/conferme %s\n", p.each("$BN"))
+	p.addLine("join confirms")
+	p.addLine("join views")
+	p.addLine("versions %s", p.forEachNode("nN"))
+	p.addLine("judge %s", p.forEachNode("$BN"))
+	p.addLine("calm n1 http://$C_n1/conferme %s\n", p.forEachNode("$BN"))
 }
