--- a/access/record.go
+++ b/access/record.go
@@ -49,7 +49,7 @@
 	Started clock.Millis `json:"started"`
 	// Took is the time from Started to the end of the response.
 	Took clock.Millis `json:"took"`
-	// Waited is the time from Started until the last attempt was sent or given up. It
+	// Waited is the time from Started until the last attempt was sent or abandoned. It
 	// includes the search for an upstream with a free slot, and earlier attempts.
 	Waited clock.Millis `json:"waited,omitempty"`
 	// NoRetry is the reason why a failed request was not retried.
--- a/burn/evaluate.go
+++ b/burn/evaluate.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// minAllowed is the least share of bad requests that an objective is taken to allow,
+	// minAllowed is the minimum share of bad requests that an objective is taken to allow,
 	// so that the burn rate of an objective of exactly 1 is large instead of infinite.
 	minAllowed = 1e-9
 	// MinBad is the number of bad requests that a long window must hold before it can
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -77,7 +77,7 @@
 	}
 	after := liveBytes()
 	runtime.KeepAlive(retained)
-	runtime.KeepAlive(build) // the values that build captures are counted in before
+	runtime.KeepAlive(build) // before includes the values that build captures, so after must too
 	return float64(after - before), nil
 }
 
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -71,7 +71,7 @@
 }
 
 // System is the process's monotonic clock. Its origin is the call of NewSystem.
-// Adjustments of the machine's calendar clock don't affect it.
+// Adjustments of the machine's wall clock don't affect it.
 type System struct {
 	origin time.Time
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -24,7 +24,7 @@
 	// ErrDeployment means that Config.Deployment names no deployment.
 	ErrDeployment = errors.ConstError("unknown deployment; there are sicily and kingston")
 	// ErrNotEjected means that the gray upstream was not ejected within ejectionTimeout.
-	ErrNotEjected = errors.ConstError("the gray upstream was not set aside")
+	ErrNotEjected = errors.ConstError("the gray upstream was not ejected")
 )
 
 // Config configures a run of the demo.
--- a/demo/traffic.go
+++ b/demo/traffic.go
@@ -73,7 +73,8 @@
 	return t.nodes[random.IntN(len(t.nodes))]
 }
 
-// removeNode stops callers from using a node, as callers do that follow the instance list.
+// removeNode removes a node from those that callers use, as its removal from the instance list
+// does for real callers.
 func (t *traffic) removeNode(m *fleet.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -21,7 +21,7 @@
 }
 
 // An error in the template would stop every node from starting, and would show only at the
-// roll-out.
+// rollout.
 func TestTemplateGivesValidSettings(t *testing.T) {
 	s := parseTemplate(t, platformFields)
 	if s.Platform.Form != settings.FormStore || s.Policy.Caution != table.ShortEpisodes || s.Policy.Extra != 62 || s.Service != "wuno96b" {
--- a/episode/trials.go
+++ b/episode/trials.go
@@ -31,7 +31,7 @@
 	lastSucceeded bool
 }
 
-// RecordResult records whether a request ended well.
+// RecordResult records whether a request succeeded.
 func (t *Trials) RecordResult(good bool) {
 	t.lastSucceeded = good
 }
--- a/floor/floor.go
+++ b/floor/floor.go
@@ -28,8 +28,8 @@
 const (
 	// Normal upstreams get requests.
 	Normal Use = iota
-	// Forced upstreams get requests although their gate has ejected them. A mark in the
-	// request tells the gate to serve it.
+	// Forced upstreams get requests although their gate has ejected them. A flag in the
+	// request asks the gate to serve it.
 	Forced
 	// Ejected upstreams get no requests: the ejection by their gate is applied.
 	Ejected
--- a/health/callers.go
+++ b/health/callers.go
@@ -36,7 +36,7 @@
 
 // countCaller increments the counter of the caller called name and returns the counter.
 // A new caller takes over the counter with the lowest count and keeps that count (the
-// Space-Saving algorithm), so that a count is never too low.
+// space-saving algorithm), so that a count is never too low.
 func countCaller(counts []callerCount, name string) *callerCount {
 	smallest := &counts[0]
 	for i := range counts {
--- a/lease/deduplicator.go
+++ b/lease/deduplicator.go
@@ -39,7 +39,7 @@
 	Begun
 	// Done means that the dispatch has a result, which can be sent again.
 	Done
-	// Forgotten means that the gate can't tell: the dispatch was sent to another
+	// Forgotten means that the gate doesn't know: the dispatch was sent to another
 	// incarnation, or its lease has been over for so long that the record has expired.
 	Forgotten
 )
@@ -67,10 +67,10 @@
 // Deduplicator records at a gate which dispatches it accepted, revoked, began and finished,
 // until their leases are over. V is the type of the result that is kept for Resolve.
 //
-// It guards against a dispatch that runs twice, or runs after the entry was told that it
-// doesn't: a frame may be duplicated, be overtaken by the request to resolve it, or be read
-// late. Every such frame either has a record here or a lease that is over, because a record
-// doesn't expire before its lease.
+// It guards against a dispatch that runs twice, or runs after the gate has reported to the
+// entry that it doesn't: a frame may be duplicated, be overtaken by the request to resolve
+// it, or be read late. Every such frame either has a record here or a lease that is over,
+// because a record doesn't expire before its lease.
 type Deduplicator[V any] struct {
 	incarnation uint64
 	records     map[Key]*record[V]
@@ -129,7 +129,7 @@
 //
 // Resolve returns NotRun only while the record of a dispatch that ran would still exist. A
 // replaced gate, or a gate that is asked too late, has no record of the dispatch and would
-// otherwise deny a request that ran.
+// otherwise report a request that ran as not run.
 func (d *Deduplicator[V]) Resolve(now clock.Millis, key Key, incarnation uint64, lease clock.Millis) (Resolution, V) {
 	d.expire(now)
 	var none V
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against a dispatch that a gate runs after a pause of a minute, long after the
-// caller was told that the outcome is unknown.
+// caller has received the outcome unknown.
 func TestDeduplicatorRefusesDispatchAfterItsLease(t *testing.T) {
 	d := lease.NewDeduplicator[string](incarnation)
 	if got := d.Accept(clock.Minute, key, incarnation, 100); got != lease.Stale {
--- a/limit/rates_test.go
+++ b/limit/rates_test.go
@@ -63,12 +63,12 @@
 		now := clock.Millis(i+1) * clock.Minute
 		r.Allow(now, "salons", tt.rate, "", 0) // applies the new rate, which never refills a bucket
 		if got := admitted(now+clock.Minute/2, tt.rate); got != int(tt.want) {
-			t.Errorf("rate %v: got %d admitted at once, want %v", tt.rate, got, tt.want)
+			t.Errorf("rate %v: got %d admitted at the same time, want %v", tt.rate, got, tt.want)
 		}
 	}
 }
 
-// Requests refused by one rate must be told different retry times, or they would return
+// Requests refused by one rate must get different retry times, or they would return
 // together and be refused again.
 func TestRateRefusalsGetStaggeredRetryAfter(t *testing.T) {
 	r := limit.NewRates(limit.RatesConfig{Callers: 10})
--- a/limit/schedule.go
+++ b/limit/schedule.go
@@ -6,8 +6,8 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// RetrySchedule spreads the instants at which refused callers are told to retry. If each
-// were told the same delay, callers refused in one burst would return in one burst and be
+// RetrySchedule spreads the instants at which refused callers are to retry. If each
+// got the same delay, callers refused in one burst would return in one burst and be
 // refused again. Instead, each caller gets an instant after that of the caller before, at
 // the rate at which work completes. The zero value is ready to use.
 type RetrySchedule struct {
--- a/limit/servicetime.go
+++ b/limit/servicetime.go
@@ -63,7 +63,7 @@
 }
 
 // meetsDeadline reports whether a request that gets its slot after wait milliseconds likely
-// completes before its deadline. Work whose caller has given up only delays other work.
+// completes before its deadline. Work that its caller has abandoned only delays other work.
 // Until the estimate is reliable, a deadline in the future is enough.
 func (t *serviceTime) meetsDeadline(wait float64, deadline clock.Millis) bool {
 	if !t.isReliable() {
--- a/limit/slots_test.go
+++ b/limit/slots_test.go
@@ -11,7 +11,7 @@
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
-// The draws are the same on every run unless -rapid.seed is given.
+// init fixes the seed of the property tests unless -rapid.seed is given on the command line.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-// Sixty callers are refused in the same millisecond. If all were told the same delay, they
+// Sixty callers are refused in the same millisecond. If all got the same delay, they
 // would return together; they must return at the rate at which the upstream completes
 // requests, here one every 10 ms.
 func TestRetryAfterSpreadsRefusedCallers(t *testing.T) {
@@ -205,7 +205,7 @@
 	}
 	for tenth, got := range count {
 		if got > 15 {
-			t.Errorf("from %v ms: got %d callers told to retry in 100 ms, want at most 15", 100*tenth, got)
+			t.Errorf("from %v ms: got %d callers that are to retry within 100 ms, want at most 15", 100*tenth, got)
 		}
 	}
 	if got := len(count); got < 6 {
--- a/logging/alloc_test.go
+++ b/logging/alloc_test.go
@@ -11,7 +11,7 @@
 )
 
 // maxAllocations is the maximum number of allocations for a line with ten fields: map, entry,
-// JSON and the copy for the queue. Fifty were measured.
+// JSON and the copy for the queue take about fifty.
 const maxAllocations = 60
 
 // A fault that refuses all requests logs a line for each. If lines cost ten times as much, the
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -132,7 +132,7 @@
 }
 
 // Guards against registries that differ by the order of their updates, and against a peer
-// that knows less not being sent what it lacks.
+// that isn't sent the crashes which it lacks.
 func TestRegistriesAgreeInAnyOrder(t *testing.T) {
 	crashes := []quarantine.Crash{
 		newCrash(1, 1000, newSuspect('d', false), newSuspect('b', false)), newCrash(2, 2000, newSuspect('d', true)), newCrash(3, 3000, newSuspect('d', true), newSuspect('b', true)),
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// MinCrashes is the least number of crashes that a request must have been running at
+	// MinCrashes is the minimum number of crashes that a request must have been running at
 	// before it may be quarantined.
 	MinCrashes = 3
 	// maxChance is the highest probability of coincidence at which a request is
--- a/resend/resend.go
+++ b/resend/resend.go
@@ -82,7 +82,7 @@
 	Reused
 	// Superseded means that a resend with precedence has revoked the key.
 	Superseded
-	// Forgotten means that the node can't tell: its records don't reach back far enough.
+	// Forgotten means that the node doesn't know: its records don't reach back far enough.
 	Forgotten
 )
 
--- a/resend/resend_test.go
+++ b/resend/resend_test.go
@@ -12,8 +12,7 @@
 	"fuchsiapick.example/fuchsiapick/resend"
 )
 
-// Sets the defaults of the rapid flags: every run has the same seed unless -rapid.seed is
-// given.
+// init fixes the seed of the property tests unless -rapid.seed is given on the command line.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "10000", "rapid.steps": "120"} {
 		if err := flag.Set(name, value); err != nil {
--- a/resend/store.go
+++ b/resend/store.go
@@ -47,7 +47,7 @@
 // A store guards against a second run of a key after it has lost a record. Whenever a record
 // is lost, through its age, the bound on records or a restart of the process, the time since
 // which the store covers keys moves past that record. The node then reports Forgotten
-// instead of denying a send that ran.
+// instead of reporting a send that ran as not run.
 type Store[V any] struct {
 	config       StoreConfig
 	coveredSince clock.Millis // keys that were sent later are covered
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -10,7 +10,7 @@
 	"fuchsiapick.example/fuchsiapick/retry"
 )
 
-// The draws are the same on every run unless -rapid.seed is given.
+// init fixes the seed of the property tests unless -rapid.seed is given on the command line.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-// A caller that is refused for lack of budget must be told a time that follows from the
+// A caller that is refused for lack of budget must get a retry time that follows from the
 // rate at which the service earns retries, or the gate's estimate if there is one.
 func TestRetryAfterIsComputed(t *testing.T) {
 	b, now := retry.New(retry.Config{Share: 0.1}), clock.Millis(0)
--- a/settings/check.go
+++ b/settings/check.go
@@ -20,7 +20,7 @@
 	// MaxBody keeps the memory of one request, and of one answer, far below the
 	// memory of a small instance.
 	MaxBody = 64 << 20
-	// MaxRequests is far above what a small instance serves at once.
+	// MaxRequests is far above what a small instance serves concurrently.
 	MaxRequests = 1 << 20
 	// MaxRecords keeps the memory of all records within a few hundred megabytes.
 	MaxRecords = 1_000_000
--- a/standin/backend.go
+++ b/standin/backend.go
@@ -37,7 +37,7 @@
 type BackendConfig struct {
 	Name    string
 	Address string
-	// Slots is how many requests run at once, at least 1; further requests wait.
+	// Slots is how many requests run concurrently, at least 1; further requests wait.
 	Slots int
 	// Service is the time that a request takes without a fault.
 	Service clock.Millis
--- a/standin/backend_test.go
+++ b/standin/backend_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// A caller gives up on a hanging request and its gate closes the connection. If the backend
+// A caller abandons a hanging request and its gate closes the connection. If the backend
 // server didn't end the request then, its slot would stay taken, and tests would mistake a
 // cancelled request for a running one.
 func TestBackendHangEndsWhenConnectionCloses(t *testing.T) {
--- a/standin/crash.go
+++ b/standin/crash.go
@@ -80,7 +80,7 @@
 		downtime = defaultDowntime
 	}
 	time.AfterFunc(downtime.Duration(), func() {
-		// If another process has taken the address meanwhile, the backend server stays downtime.
+		// If another process has taken the address meanwhile, the backend server stays down.
 		_ = b.Restart(context.Background())
 	})
 }
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -127,7 +127,7 @@
 	closeQuietly(conn)
 }
 
-// watch reads ahead to learn when the peer closes the connection; the channel gone closes
+// watch reads ahead to detect when the peer closes the connection; the channel gone closes
 // then. The handler must call stop before it returns, so that the server can read the next
 // request.
 func (c *watchedConn) watch() (gone <-chan struct{}, stop func()) {
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -23,8 +23,8 @@
 	// Freeze forwards nothing and reads at most one buffer in each direction. The bytes
 	// held back are forwarded when the mode ends.
 	Freeze RelayMode = "freeze"
-	// BlackholeOpen drops, for good and in both directions, all bytes on connections that
-	// were open when the mode was set. New connections pass.
+	// BlackholeOpen permanently drops, in both directions, all bytes on connections that were
+	// open when the mode was set. New connections pass.
 	BlackholeOpen RelayMode = "silentold"
 	// Refuse resets open and new connections.
 	Refuse RelayMode = "refuse"
--- a/table/account.go
+++ b/table/account.go
@@ -26,8 +26,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// String returns the number of digests and the first digits of each, enough to tell them
-// apart in a log.
+// String returns the number of digests and the first digits of each, enough to
+// distinguish them in a log.
 func (k KeyDigests) String() string {
 	prefixes := make([]string, 0, len(k))
 	for _, digest := range k {
--- a/table/account_test.go
+++ b/table/account_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Changes of accounts are logged. The log must tell the keys apart, but it must not show
+// Changes of accounts are logged. The log must distinguish the keys, but it must not show
 // whole digests, which nobody who reads logs needs.
 func TestDiffOfAccountsShowsNoDigest(t *testing.T) {
 	older := mustParse(t, accounts)
--- a/table/check.go
+++ b/table/check.go
@@ -31,12 +31,12 @@
 	MaxRate = 1e9
 	// MaxWeight keeps the sum of weight x slots over all upstreams far below overflow.
 	MaxWeight = 10_000
-	// MaxSlots is more than one instance serves at once.
+	// MaxSlots is more than one instance serves concurrently.
 	MaxSlots = 10_000
 	// MaxConnections is more than one process may open to one address.
 	MaxConnections = 60_000
 	// MaxPrefix bounds the length of a prefix in bytes, and with it the work of a route
-	// look-up for a hostile path.
+	// lookup for a hostile path.
 	MaxPrefix = 256
 	// MaxHost is the length of the longest name in the DNS.
 	MaxHost = 253
--- a/table/clone.go
+++ b/table/clone.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Clone returns a deep copy, but for the LiftedFingerprints of services, which share their
-// memory with the table. The copy has no index: its look-ups find nothing until Build
+// memory with the table. The copy has no index: its lookups find nothing until Build
 // or Index has made one.
 func (t *Table) Clone() *Table {
 	c := &Table{
--- a/table/index.go
+++ b/table/index.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// index holds the maps that look-ups use. It is built once when a table is accepted and
+// index holds the maps that lookups use. It is built once when a table is accepted and
 // only read afterwards, so that requests may share it without a lock.
 type index struct {
 	// routes holds the indexes of routes by host and prefix.
@@ -16,7 +16,7 @@
 	// accounts holds the indexes of client accounts by the digests of their keys.
 	accounts     map[[sha256.Size]byte]int
 	accountNames map[string]int
-	// depth is the number of segments of the longest prefix. Look-ups compare no
+	// depth is the number of segments of the longest prefix. Lookups compare no
 	// more segments of a path, so that a path with thousands of them costs no more
 	// than the table's own prefixes do.
 	depth int
--- a/table/index_test.go
+++ b/table/index_test.go
@@ -11,8 +11,7 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// A fixed seed makes property tests give the same result in every run. The flag
-// -rapid.seed on the command line overrides it.
+// The seed of the property tests is fixed unless -rapid.seed is given on the command line.
 var _ = flag.Set("rapid.seed", "20")
 
 // withRoutes returns a table of one service with a route for each prefix.
@@ -158,7 +157,7 @@
 		}
 	})
 	if got != 0 {
-		t.Errorf("got %v allocations a look-up, want 0", got)
+		t.Errorf("got %v allocations a lookup, want 0", got)
 	}
 }
 
--- a/table/parse.go
+++ b/table/parse.go
@@ -62,7 +62,7 @@
 	return built, err
 }
 
-// Index prepares a table for look-ups without checking it, for a program that made the
+// Index prepares a table for lookups without checking it, for a program that made the
 // table and checked it. It fills in no defaults. The result shares the slices of t,
 // which must not be modified afterwards.
 func Index(t Table) *Table {
--- a/table/parse_test.go
+++ b/table/parse_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against a decoder that stops at the first fault, so that an operator has to
-// publish again for each one. Parse must report all faults at once, each with its line
+// publish again for each one. Parse must report all faults together, each with its line
 // and with what is allowed.
 func TestParseReportsAllFaults(t *testing.T) {
 	text, err := os.ReadFile("testdata/faults.toml")
@@ -145,7 +145,7 @@
 }
 
 // Guards against a node that reports unknown keys in a valid table of a newer release,
-// when two releases run at once during an upgrade. The older node must report only that
+// when two releases run side by side during an upgrade. The older node must report only that
 // the format is newer.
 func TestParseReportsOnlyNewerFormat(t *testing.T) {
 	_, err := table.Parse([]byte("format = 2\nversion = 9\nregions = [1]\n"))
--- a/table/size_test.go
+++ b/table/size_test.go
@@ -73,7 +73,7 @@
 
 // Guards against allocations of Parse that grow faster than the table, for example by a
 // search through all names for each name. An edit of a large table would then stall all
-// nodes at once.
+// nodes at the same time.
 func TestParseAllocationsGrowLinearly(t *testing.T) {
 	allocations := func(services int) float64 {
 		text := []byte(tableOfSize(services))
--- a/table/types.go
+++ b/table/types.go
@@ -19,7 +19,7 @@
 	Balanced Caution = "balanced"
 	Cautious Caution = "cautious"
 	// ShortEpisodes is for upstreams that fail for a few seconds at a time, many of a
-	// service at once. Two outcomes are enough to eject an upstream, and the decision
+	// service at the same time. Two outcomes are enough to eject an upstream, and the decision
 	// doesn't depend on updates about other upstreams.
 	ShortEpisodes Caution = "brief"
 )
@@ -111,7 +111,7 @@
 	// Weight is the share of work relative to other upstreams; an upstream of
 	// weight 0 gets no new work.
 	Weight int `toml:"weight"`
-	// Slots is the number of requests that the backend server runs at once.
+	// Slots is the number of requests that the backend server runs concurrently.
 	Slots int `toml:"slots"`
 	// Connections bounds the connections that the gate opens to the backend server.
 	Connections int `toml:"connections"`
@@ -177,7 +177,8 @@
 	// Rate is the number of the account's requests per second that all nodes together
 	// admit; 0 means no limit.
 	Rate float64 `toml:"rate"`
-	// Burst is the number of requests that the account may send at once beyond Rate.
+	// Burst is the number of requests that the account may send at the same time,
+	// beyond Rate.
 	Burst float64 `toml:"burst"`
 	// Priority replaces the priority of the route, unless it is RoutePriority.
 	Priority int `toml:"priority"`
--- a/versionguard/versionguard_test.go
+++ b/versionguard/versionguard_test.go
@@ -9,8 +9,7 @@
 	"fuchsiapick.example/fuchsiapick/versionguard"
 )
 
-// A fixed seed makes property tests give the same result in every run. A flag on the command
-// line overrides it.
+// The seed of the property tests is fixed unless -rapid.seed is given on the command line.
 var _ = flag.Set("rapid.seed", "20")
 
 func candidate(version uint64, digest string) versionguard.Candidate {
