--- a/capacity/gates.go
+++ b/capacity/gates.go
@@ -85,7 +85,7 @@
 			Domain: "domain-1", Weight: 1, Slots: 7, Connections: 7,
 		},
 		Incarnation: 1, Seed: uint64(i), Now: func() clock.Millis { return hour },
-		Backend: backend, Pool: pool, Journal: discardRecorder{}, Log: logging.Silent(),
+		Backend: backend, Pool: pool, Recorder: discardRecorder{}, Log: logging.Silent(),
 	})
 }
 
--- a/cmd/soak_test.go
+++ b/cmd/soak_test.go
@@ -60,7 +60,7 @@
 	testscript.Run(t, p)
 }
 
-// pause implements "rest SPAN": it waits, so that what was started goes on for a while.
+// pause implements "rest SPAN": it waits, so that what was started continues for a while.
 func pause(ts *testscript.TestScript, _ bool, args []string) {
 	span, err := time.ParseDuration(args[0])
 	ts.Check(err)
--- a/cmd/soakplan_test.go
+++ b/cmd/soakplan_test.go
@@ -195,7 +195,7 @@
 // addChecks adds the lines that check the results after all faults have ended.
 func (p *plan) addChecks() {
 	p.addLine("\n# All faults are over: the fleet serves again, the last table is in force, and")
-	p.addLine("# nothing that callers were told contradicts what the backend servers ran.")
+	p.addLine("# no outcome that a caller received contradicts what the backend servers ran.")
 	p.addPublish()
 	for i := range p.nodes {
 		p.addLine("await 200 http://$A_n%d/readyz", i+1)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -28,8 +28,8 @@
 	r.tried = append(r.tried, a.member)
 	r.lastUpstream, r.forced = a.upstream, a.forced
 	if r.needsProbe(&a) {
-		refusal, isHeld := r.probeGate(&a)
-		if !isHeld {
+		refusal, isReserved := r.probeGate(&a)
+		if !isReserved {
 			r.service.endAttempt(r.entry.config.Now(), a.member, &refusal)
 			return refusal
 		}
@@ -154,7 +154,7 @@
 	}
 }
 
-// resultOfEvent returns the result that an event implies, or false if the wait goes on.
+// resultOfEvent returns the result that an event implies, or false if the wait continues.
 func (r *request) resultOfEvent(e event) (result, bool) {
 	switch {
 	case e.kind == callerGone:
--- a/entry/budget_test.go
+++ b/entry/budget_test.go
@@ -11,13 +11,13 @@
 // those that are retries.
 func refuseAll(d *fakeGate, reason wire.Reason, retries *int) {
 	refuse := refuseSlot(d.name, reason)
-	d.onProbe = func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
-		if e.Retry {
+	d.onProbe = func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+		if probe.Retry {
 			*retries++
 		}
-		refuse(e, func(h *wire.Reservation) {
-			h.RetryAfter = 3 * clock.Second
-			onReply(h)
+		refuse(probe, func(r *wire.Reservation) {
+			r.RetryAfter = 3 * clock.Second
+			onReply(r)
 		})
 	}
 	d.onDispatch = func(m *wire.Dispatch) *wire.Reply {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -37,7 +37,7 @@
 	// Withdraw cancels a dispatch that is still waiting for a link, and reports whether
 	// it did.
 	Withdraw(id wire.RequestID, attempt uint8) bool
-	// Abandon tells the gate that nobody waits for the outcome, and forgets the dispatch.
+	// Abandon notifies the gate that nobody waits for the outcome, and forgets the dispatch.
 	Abandon(id wire.RequestID, attempt uint8)
 	// EnsureLink requests an open link, over which the node sends its upstreams' state.
 	EnsureLink()
@@ -45,13 +45,13 @@
 	// passed to onReply, possibly only after the probe's wait budget; a nil answer means
 	// that the gate couldn't be asked. If ProbeCapacity returns an error, nothing was
 	// asked.
-	ProbeCapacity(e *wire.CapacityProbe, onReply func(*wire.Reservation)) error
+	ProbeCapacity(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) error
 	// ReleaseReservation releases a slot that was asked for.
-	ReleaseReservation(w *wire.ReleaseReservation)
+	ReleaseReservation(r *wire.ReleaseReservation)
 	// RevokeKey asks the node for the status of a resend's idempotency key and revokes
 	// the key there if it has not run. If RevokeKey returns an error, it does not notify
 	// w.
-	RevokeKey(v *wire.KeyRevocation, timeout clock.Millis, w link.RevocationObserver) error
+	RevokeKey(r *wire.KeyRevocation, timeout clock.Millis, w link.RevocationObserver) error
 	// ForgetRevocation drops a key revocation that needs no answer any more.
 	ForgetRevocation(id wire.RequestID)
 }
@@ -176,9 +176,9 @@
 }
 
 // HandleWorkRequest records that a gate asks for a request.
-func (e *Entry) HandleWorkRequest(i *wire.WorkRequest) {
-	if s, ok := e.serviceOf(i.Upstream); ok {
-		s.handleWorkRequest(e.config.Now(), i)
+func (e *Entry) HandleWorkRequest(r *wire.WorkRequest) {
+	if s, ok := e.serviceOf(r.Upstream); ok {
+		s.handleWorkRequest(e.config.Now(), r)
 	}
 }
 
--- a/entry/identity_test.go
+++ b/entry/identity_test.go
@@ -54,7 +54,7 @@
 	return e, &sent
 }
 
-// Callers may send any bytes as their key: parts of a valid key, two keys at once,
+// Callers may send any bytes as their key: parts of a valid key, two keys together,
 // another scheme. Only the complete key under the right scheme may run a request, and no
 // upstream may receive it.
 func TestOnlyAWholeKeyRunsARequest(t *testing.T) {
--- a/entry/member.go
+++ b/entry/member.go
@@ -87,7 +87,7 @@
 
 // failureWeight returns the share of its normal load that the upstream gets, given the
 // service's lowest failure rate. It covers a case that the verdict does not: if most
-// upstreams of a service fail partially at once, that counts as the service's baseline
+// upstreams of a service fail partially together, that counts as the service's baseline
 // and none is ejected. Load still moves to upstreams that succeed. If all fail alike, as
 // in a fault common to the service, nothing changes.
 func (m *member) failureWeight(best float64) float64 {
--- a/entry/probe_test.go
+++ b/entry/probe_test.go
@@ -20,7 +20,7 @@
 type fakeGate struct {
 	name string
 	// onProbe answers a capacity probe; nil grants a slot with severity 0.
-	onProbe func(e *wire.CapacityProbe, onReply func(*wire.Reservation))
+	onProbe func(probe *wire.CapacityProbe, onReply func(*wire.Reservation))
 	// verdict is the state with which the gate refuses dispatches that are not forced;
 	// nil refuses none.
 	verdict *wire.Upstream
@@ -74,20 +74,20 @@
 	}
 }
 
-func (d *fakeGate) ProbeCapacity(e *wire.CapacityProbe, onReply func(*wire.Reservation)) error {
+func (d *fakeGate) ProbeCapacity(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) error {
 	d.probes++
 	onProbe := d.onProbe
 	if onProbe == nil {
 		onProbe = grantSlot(d.name, 0)
 	}
-	onProbe(e, onReply)
+	onProbe(probe, onReply)
 	return nil
 }
 
-func (d *fakeGate) ReleaseReservation(w *wire.ReleaseReservation) {
+func (d *fakeGate) ReleaseReservation(r *wire.ReleaseReservation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.released = append(d.released, w.Attempt)
+	d.released = append(d.released, r.Attempt)
 }
 
 func (d *fakeGate) EnsureLink() {
@@ -170,14 +170,14 @@
 }
 
 func grantSlot(name string, severity float64) func(*wire.CapacityProbe, func(*wire.Reservation)) {
-	return func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
-		onReply(&wire.Reservation{ID: e.ID, Attempt: e.Attempt, Reserved: true, Upstream: wire.Upstream{Name: name, Share: 1, Severity: severity}})
+	return func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+		onReply(&wire.Reservation{ID: probe.ID, Attempt: probe.Attempt, Reserved: true, Upstream: wire.Upstream{Name: name, Share: 1, Severity: severity}})
 	}
 }
 
 func refuseSlot(name string, reason wire.Reason) func(*wire.CapacityProbe, func(*wire.Reservation)) {
-	return func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
-		onReply(&wire.Reservation{ID: e.ID, Attempt: e.Attempt, Reason: reason, RetryAfter: 300, Upstream: wire.Upstream{Name: name, Share: 1}})
+	return func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+		onReply(&wire.Reservation{ID: probe.ID, Attempt: probe.Attempt, Reason: reason, RetryAfter: 300, Upstream: wire.Upstream{Name: name, Share: 1}})
 	}
 }
 
@@ -199,20 +199,20 @@
 }
 
 // No gate has a free slot. The request waits at all of them, the third gets a slot first,
-// and the entry must give up the queue positions at the others.
+// and the entry must release the queue positions at the others.
 func TestFirstFreeSlotIsTaken(t *testing.T) {
-	never := func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
-		if e.WaitBudget == 0 {
-			refuseSlot("", wire.ReasonFull)(e, onReply)
+	never := func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+		if probe.WaitBudget == 0 {
+			refuseSlot("", wire.ReasonFull)(probe, onReply)
 		}
 	}
 	first, second := &fakeGate{name: "first", onProbe: never}, &fakeGate{name: "second", onProbe: never}
-	third := &fakeGate{name: "third", onProbe: func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
-		if e.WaitBudget == 0 {
-			refuseSlot("third", wire.ReasonFull)(e, onReply)
+	third := &fakeGate{name: "third", onProbe: func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+		if probe.WaitBudget == 0 {
+			refuseSlot("third", wire.ReasonFull)(probe, onReply)
 			return
 		}
-		grantSlot("third", 0.1)(e, onReply)
+		grantSlot("third", 0.1)(probe, onReply)
 	}}
 	status, by := post(newEntry(t, first, second, third))
 	if status != 200 || by != "third" {
--- a/entry/request.go
+++ b/entry/request.go
@@ -24,7 +24,7 @@
 	// HeaderCaller names the caller; without it the caller is named by its IP address.
 	HeaderCaller = "Fuchsiapick-Caller"
 	// HeaderRetryAfter is how long a refused caller should wait, in milliseconds. The
-	// value has jitter, so that callers refused together don't return as one wave. The
+	// value has jitter, so that callers refused together don't retry at the same time. The
 	// standard header's whole seconds undo the jitter.
 	HeaderRetryAfter = "Fuchsiapick-Retry-After"
 	// HeaderDeadline shortens the service's deadline, in milliseconds.
@@ -41,7 +41,7 @@
 	// KeyScheme is the scheme in Authorization that precedes a client account's key.
 	KeyScheme string
 	// FractionalSeconds means that callers accept fractions of a second in Retry-After.
-	// With whole seconds, callers refused together return together.
+	// With whole seconds, callers refused together retry together.
 	FractionalSeconds bool
 }
 
@@ -200,9 +200,9 @@
 }
 
 // recountUntried returns how many upstreams are left to try after a gate has refused the
-// request because its upstream is ejected. Under the floor that upstream, or another in
-// its place, may now be in use. The count from before the verdict was known would refuse
-// a request that can be served.
+// request because its upstream is ejected. Under the floor that upstream, or another one
+// instead, may now be in use. With the count from before the verdict was known, a request
+// that can be served would be refused.
 func (r *request) recountUntried(a *attempt, o *result, untried int) int {
 	if r.config.Caution == table.ShortEpisodes || o.kind != retry.NotRun || o.reason != string(wire.ReasonEjected) {
 		return untried
--- a/entry/resend.go
+++ b/entry/resend.go
@@ -148,10 +148,10 @@
 	}
 }
 
-func (r *request) replay(v *wire.KeyRevocationReply) finalAnswer {
-	r.lastUpstream.Name = v.Upstream
-	reply := &wire.Reply{Outcome: wire.Answered, Status: v.Status, Headers: v.Headers, Body: v.Body}
-	return finalAnswer{outcome: access.Served, status: v.Status, reply: reply, replay: true}
+func (r *request) replay(recorded *wire.KeyRevocationReply) finalAnswer {
+	r.lastUpstream.Name = recorded.Upstream
+	reply := &wire.Reply{Outcome: wire.Answered, Status: recorded.Status, Headers: recorded.Headers, Body: recorded.Body}
+	return finalAnswer{outcome: access.Served, status: recorded.Status, reply: reply, replay: true}
 }
 
 // unresolvedAnswer is the final answer to a send whose key may have run with an earlier
@@ -200,8 +200,8 @@
 }
 
 // Revoked records the node's answer.
-func (a lookupWaiter) Revoked(v *wire.KeyRevocationReply) {
-	a.answers <- lookupResult{node: a.node, reply: v, receivedAt: a.now()}
+func (a lookupWaiter) Revoked(r *wire.KeyRevocationReply) {
+	a.answers <- lookupResult{node: a.node, reply: r, receivedAt: a.now()}
 }
 
 // lookupKey asks all nodes for the key at the same time. It waits until all have
--- a/entry/reservation.go
+++ b/entry/reservation.go
@@ -16,7 +16,7 @@
 // retryElsewhere reserves a slot at another upstream for a request whose run is most
 // likely hung. The run is given up only once a slot is reserved, because without one the
 // better chance is to keep waiting. It returns the result of the current attempt, or
-// false if the wait goes on.
+// false if the wait continues.
 func (r *request) retryElsewhere(w *waiter, untried int) (result, bool) {
 	if !r.isRetryEligible(untried) {
 		return result{}, false
--- a/entry/reservation_test.go
+++ b/entry/reservation_test.go
@@ -74,10 +74,10 @@
 			close(delivered)
 		}()
 	}}
-	second := &fakeGate{name: "second", onProbe: func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+	second := &fakeGate{name: "second", onProbe: func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
 		close(answer)
 		<-delivered
-		grantSlot("second", 0.1)(e, onReply)
+		grantSlot("second", 0.1)(probe, onReply)
 	}}
 	e := newRepeatableEntry(t, first, second)
 	e.UpdateUpstream(wire.Upstream{Name: "second", Share: 1, InFlight: 5})
@@ -148,8 +148,8 @@
 	for range callers {
 		c := &callerConn{}
 		first := &fakeGate{name: "first", handle: hang(make(chan struct{}))}
-		second := &fakeGate{name: "second", onProbe: func(e *wire.CapacityProbe, onReply func(*wire.Reservation)) {
-			grantSlot("second", 0)(e, onReply)
+		second := &fakeGate{name: "second", onProbe: func(probe *wire.CapacityProbe, onReply func(*wire.Reservation)) {
+			grantSlot("second", 0)(probe, onReply)
 			c.disconnect()
 		}}
 		e := newRepeatableEntry(t, first, second)
--- a/entry/selection.go
+++ b/entry/selection.go
@@ -252,11 +252,11 @@
 }
 
 // handleWorkRequest records a gate's work request until its TTL ends.
-func (s *service) handleWorkRequest(now clock.Millis, i *wire.WorkRequest) {
+func (s *service) handleWorkRequest(now clock.Millis, r *wire.WorkRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m, ok := s.byName[i.Upstream]; ok {
-		m.workRequestUntil = now + i.TTL
+	if m, ok := s.byName[r.Upstream]; ok {
+		m.workRequestUntil = now + r.TTL
 	}
 }
 
--- a/entry/service.go
+++ b/entry/service.go
@@ -307,7 +307,7 @@
 }
 
 // updateInstance records whether the instance list marks a node as leaving. The list
-// lags, so a gate's own report that it is leaving stands regardless of the list.
+// lags, so a gate's own report that it is leaving counts regardless of the list.
 func (s *service) updateInstance(node string, leaving bool) {
 	s.updateMembers(node, func(m *member) { m.leaving = leaving })
 }
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -15,8 +15,8 @@
 // the choice took for an upstream to avoid.
 func TestUpstreamOnTrialGetsRequests(t *testing.T) {
 	tests := []struct {
-		name  string
-		heard wire.Upstream
+		name   string
+		update wire.Upstream
 	}{
 		{"on trial", wire.Upstream{Name: "b", State: uint8(health.Trial), Severity: 0.6, Until: clock.Minute}},
 		{"ejection over since the last update", wire.Upstream{Name: "b", State: uint8(health.Ejected), Severity: 0.6}},
@@ -28,7 +28,7 @@
 			s.addUpstream("a")
 			s.addUpstream("b")
 			s.publish()
-			s.entry.UpdateUpstream(tt.heard)
+			s.entry.UpdateUpstream(tt.update)
 			const sent = 200
 			for range sent {
 				if status, _ := post(s.entry); status != 200 {
--- a/fleet/atmostonce_test.go
+++ b/fleet/atmostonce_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// The link falls silent for good while the gate runs a request, for example because a
+// The link falls silent permanently while the gate runs a request, for example because a
 // device between the nodes lost the connection's state. The gate still has the answer:
 // the caller must receive it over a new link, without an "unknown" outcome and without a
 // second run.
@@ -118,9 +118,9 @@
 	}
 }
 
-// The gate's node dies while the backend server runs a request, so that nobody can tell
-// whether the request took effect. The caller must receive the outcome "unknown", and no
-// other upstream may get the request.
+// The gate's node is stopped while the backend server runs a request, so that nobody can
+// know whether the request took effect. The caller must receive the outcome "unknown", and
+// no other upstream may get the request.
 func TestGateKilledWhileItRuns(t *testing.T) {
 	f, entryNode, gateNode, backend := startTwoNodes(t, 300)
 	recorder := newOutcomeRecorder()
@@ -157,7 +157,7 @@
 	}
 }
 
-// The path stalls with a request in it and recovers after the request's deadline, as with
+// The path freezes with a request in it and recovers after the request's deadline, as with
 // a gate that was paused. The caller has received the outcome "unknown" and may have
 // corrected the data by hand, so that the late frame must not run.
 func TestStalledFrameIsNotRunLate(t *testing.T) {
--- a/fleet/badinput_test.go
+++ b/fleet/badinput_test.go
@@ -61,7 +61,7 @@
 		},
 		{"unknown route", "GET /orari HTTP/1.1\r\nHost: a\r\n\r\n", 404, access.NotRun, access.ReasonNoRoute},
 		{"prefix of a segment", "GET /confermeX HTTP/1.1\r\nHost: a\r\n\r\n", 404, access.NotRun, access.ReasonNoRoute},
-		{"answer over the bound", "GET /conferme/x?size=9000 HTTP/1.1\r\nHost: a\r\n\r\n", 502, access.Unknown, "answer-too-large"},
+		{"answer over the limit", "GET /conferme/x?size=9000 HTTP/1.1\r\nHost: a\r\n\r\n", 502, access.Unknown, "answer-too-large"},
 		{"long caller", "GET /conferme/x HTTP/1.1\r\nHost: a\r\nFuchsiapick-Caller: " + strings.Repeat("c", 3000) + "\r\n\r\n", 200, access.Served, ""},
 		{"no deadline", "GET /conferme/x HTTP/1.1\r\nHost: a\r\nFuchsiapick-Deadline: -3\r\n\r\n", 200, access.Served, ""},
 	}
--- a/fleet/episodes_bench_test.go
+++ b/fleet/episodes_bench_test.go
@@ -15,8 +15,8 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// BenchmarkDeadlyInEpisodes sends a crashing request, up to three times at once, every
-// 0.1 to 1.5 s, to random nodes of 15, for 40 s. Meanwhile nine slow backend servers go
+// BenchmarkDeadlyInEpisodes sends a crashing request, up to three times simultaneously,
+// every 0.1 to 1.5 s, to random nodes of 15, for 40 s. Meanwhile nine slow backend servers go
 // through episodes in which they fail most requests immediately. The metrics are those of
 // BenchmarkCrashes. Run it by hand: -bench DeadlyInEpisodes -benchtime 1x.
 func BenchmarkDeadlyInEpisodes(b *testing.B) {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -251,7 +251,7 @@
 func (f *Fleet) publish() error {
 	text, err := toml.Marshal(f.Table)
 	if err != nil {
-		return errors.Annotate(err, "writing the table")
+		return errors.Annotate(err, "encoding the table")
 	}
 	f.Platform.Publish("table", f.Table.Version, text)
 	return nil
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// An upstream accepts a write and never answers, so that nobody can tell whether the
+// An upstream accepts a write and never answers, so that nobody can know whether the
 // write ran. The caller must receive the outcome "unknown" by its deadline, and no other
 // upstream may get the request.
 func TestHangEndsAsUnknown(t *testing.T) {
--- a/fleet/hang_test.go
+++ b/fleet/hang_test.go
@@ -9,9 +9,9 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// A backend server never answers requests, but its health check passes. Repeatable
-// requests that are sent to it must be retried at another server and be served within
-// their timeout.
+// A backend server never answers requests, but its health endpoint reports success.
+// Repeatable requests that are sent to it must be retried at another backend server and
+// be served within their timeout.
 func TestReadsAreServedDespiteAHungBackendServer(t *testing.T) {
 	deployed := newTable(4)
 	s := &deployed.Services[0]
--- a/fleet/resend_test.go
+++ b/fleet/resend_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// The link falls silent for good after a request ran, and the key lookup of the resend is
-// lost on it. The entry must repeat the lookup on a new link early enough that this same
+// The link falls silent permanently after a request ran, and the key lookup of the resend
+// is lost on it. The entry must repeat the lookup on a new link early enough that this same
 // resend returns the answer.
 func TestResendOverSilentLink(t *testing.T) {
 	c := newTable(1)
@@ -271,11 +271,11 @@
 func TestMalformedResendHeadersAreRefused(t *testing.T) {
 	f, entryNode := startKeyed(t, 1)
 	tests := []struct{ name, fields string }{
-		{"mark without a key", "Fuchsiapick-Resend: 1; age=1\r\n"},
+		{"resend header without a key", "Fuchsiapick-Resend: 1; age=1\r\n"},
 		{"no age", "Idempotency-Key: k\r\nFuchsiapick-Resend: 1\r\n"},
 		{"lower case", "idempotency-key: k\r\nfuchsiapick-resend: 1\r\n"},
 		{"two keys", "Idempotency-Key: k\r\nIdempotency-Key: l\r\n"},
-		{"two marks", "Idempotency-Key: k\r\nFuchsiapick-Resend: 1; age=1\r\nFuchsiapick-Resend: 2; age=1\r\n"},
+		{"two resend headers", "Idempotency-Key: k\r\nFuchsiapick-Resend: 1; age=1\r\nFuchsiapick-Resend: 2; age=1\r\n"},
 		{"empty key", "Idempotency-Key:\r\n"},
 	}
 	for _, tt := range tests {
--- a/gate/backend_test.go
+++ b/gate/backend_test.go
@@ -55,8 +55,8 @@
 }
 
 // Only a connection that could not be opened proves that the backend server received
-// nothing. If a truncated response counted as proof, too, a payroll entry would be sent
-// a second time to another upstream.
+// nothing. If a truncated response counted as proof, too, a request that must run only
+// once would be sent a second time, to another upstream.
 func TestBackendErrors(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/gate/capacity_probe.go
+++ b/gate/capacity_probe.go
@@ -35,7 +35,7 @@
 		var isWaiting bool
 		reason, retryAfter, isWaiting = g.requestSlot(now, w)
 		if isWaiting {
-			expired := g.refuseExpired(now) // the probe may have taken the place of an expired waiter
+			expired := g.refuseExpired(now) // the probe may have taken the queue position of an expired waiter
 			g.mu.Unlock()
 			callAll(expired)
 			return
--- a/gate/crash.go
+++ b/gate/crash.go
@@ -24,11 +24,11 @@
 	// Status returns the quarantine status of a dispatch's request.
 	Status(d *wire.Dispatch) quarantine.Status
 	// RecordCrash records that a backend server's process ended while it ran requests.
-	RecordCrash(e quarantine.Crash)
+	RecordCrash(c quarantine.Crash)
 	// RecordSuccess records that a dispatch's run finished and didn't fail.
 	RecordSuccess(d *wire.Dispatch)
 	// RecordInconclusive records that a trial neither crashed the process nor succeeded.
-	RecordInconclusive(e quarantine.Crash)
+	RecordInconclusive(c quarantine.Crash)
 }
 
 const (
@@ -94,7 +94,7 @@
 	g.mu.Unlock()
 	isGone := !isPlanned && (isKnown || g.config.Backend.IsGone())
 	g.mu.Lock()
-	refused := g.recordIncomplete(j, isTruncated && !isPlanned, isGone)
+	refused := g.recordTruncated(j, isTruncated && !isPlanned, isGone)
 	g.mu.Unlock()
 	callAll(refused)
 	if !isTruncated || !isGone {
@@ -103,9 +103,9 @@
 	return errors.Annotate(ErrCrashed, err.Error())
 }
 
-// recordIncomplete records a run that got no response, and whether the process is gone. It is
+// recordTruncated records a run that got no response, and whether the process is gone. It is
 // called with the gate's lock held and returns the calls to make after the lock is released.
-func (g *Gate) recordIncomplete(j *job, isTruncated, isGone bool) []func() {
+func (g *Gate) recordTruncated(j *job, isTruncated, isGone bool) []func() {
 	now := g.config.Now()
 	g.crash.truncated = slices.DeleteFunc(g.crash.truncated, func(t truncatedRun) bool { return now-t.at > truncatedWindow })
 	switch {
@@ -131,7 +131,7 @@
 	g.mu.Lock()
 	var refused []func()
 	if !g.isLeaving() {
-		refused = g.recordIncomplete(nil, false, true)
+		refused = g.recordTruncated(nil, false, true)
 	}
 	g.mu.Unlock()
 	callAll(refused)
--- a/gate/crash_test.go
+++ b/gate/crash_test.go
@@ -80,7 +80,7 @@
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 3},
-				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: events, Keys: gate.NewKeyStore(now), Log: log,
+				Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Recorder: events, Keys: gate.NewKeyStore(now), Log: log,
 			})
 			replies := make(chan *wire.Reply, 3)
 			for seq := range uint64(3) {
@@ -153,9 +153,9 @@
 	return s.status
 }
 
-func (s *fakeCrashTracker) RecordCrash(e quarantine.Crash) {
+func (s *fakeCrashTracker) RecordCrash(c quarantine.Crash) {
 	if s.crashes != nil {
-		s.crashes <- e
+		s.crashes <- c
 	}
 }
 
@@ -171,10 +171,10 @@
 	s.inconclusive++
 }
 
-func (s *fakeCrashTracker) setStatus(standing quarantine.Status) {
+func (s *fakeCrashTracker) setStatus(status quarantine.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status = standing
+	s.status = status
 }
 
 // Guards against two suspected requests running at the same time: a crash would then be evidence
@@ -250,7 +250,7 @@
 	changed := make(chan struct{}, 8)
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Recorder: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		OnChange: func() { changed <- struct{}{} },
 	})
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
@@ -304,7 +304,7 @@
 			now := clock.NewSystem().Now
 			g := gate.New(gate.Config{
 				Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1},
-				Incarnation: incarnation, Now: now, Backend: &fixedBackend{response: tt.response, err: tt.err}, Pool: newPool(t), Journal: discardRecorder{},
+				Incarnation: incarnation, Now: now, Backend: &fixedBackend{response: tt.response, err: tt.err}, Pool: newPool(t), Recorder: discardRecorder{},
 				Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
 			})
 			replies := make(chan *wire.Reply, 1)
@@ -325,7 +325,7 @@
 	now := clock.NewSystem().Now
 	g := gate.New(gate.Config{
 		Service: table.Service{Name: "conferme", Caution: table.ShortEpisodes}, Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 2},
-		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
+		Incarnation: incarnation, Now: now, Backend: b, Pool: newPool(t), Recorder: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(), Crashes: s,
 	})
 	replies := make(chan *wire.Reply, 2)
 	for _, name := range []string{"first", "second"} {
--- a/gate/events.go
+++ b/gate/events.go
@@ -14,7 +14,7 @@
 // with the gate's lock held.
 func (g *Gate) recordEvent(e access.Event) {
 	e.Service, e.Upstream, e.Node = g.service.Name, g.upstream.Name, g.upstream.Node
-	g.config.Journal.RecordEvent(e)
+	g.config.Recorder.RecordEvent(e)
 }
 
 // recordState records and logs a change of the detector's state. It is called with the gate's
--- a/gate/exchange.go
+++ b/gate/exchange.go
@@ -21,8 +21,8 @@
 	// idleMargin is subtracted from the keep-alive timeout that a backend server
 	// announces: its timer started earlier, and the request needs time to arrive.
 	idleMargin = 500 * time.Millisecond
-	// recentUseWindow is how long after a response the other side certainly still has a
-	// connection open: servers, and proxies between, keep idle connections for seconds.
+	// recentUseWindow is how long after a response the other side still has a connection
+	// open: servers, and proxies between, keep idle connections for seconds.
 	recentUseWindow = 250 * time.Millisecond
 	// maxLateResponses limits the responses that are read for one request: those to earlier
 	// requests on the connection are skipped.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -56,8 +56,8 @@
 	return health.New(health.Config{Caution: caution, Seed: seed})
 }
 
-// Journal records the gate's decisions.
-type Journal interface {
+// Recorder records the gate's decisions.
+type Recorder interface {
 	RecordEvent(e access.Event)
 }
 
@@ -75,7 +75,7 @@
 	Now         func() clock.Millis
 	Backend     Backend
 	Pool        *ants.Pool
-	Journal     Journal
+	Recorder    Recorder
 	// OnChange is called when the gate's status should be sent to entries immediately. It
 	// may be nil and must not block.
 	OnChange func()
@@ -190,7 +190,7 @@
 }
 
 // queuePerSlot is the number of queue positions per slot for services whose requests wait at
-// several gates at once: most of the positions are given up again.
+// several gates at the same time: most of the positions are released unused.
 const queuePerSlot = 3
 
 func slotsConfig(s *table.Service, u *table.Upstream, seed uint64) limit.SlotsConfig {
@@ -294,7 +294,7 @@
 	case limit.Wait:
 		g.jobs[j.ticket] = j
 		j.timer = time.AfterFunc((waitUntil - now + 1).Duration(), g.expireWaiters)
-		expired := g.refuseExpired(now) // the dispatch may have taken the place of an expired waiter
+		expired := g.refuseExpired(now) // the dispatch may have taken the queue position of an expired waiter
 		g.mu.Unlock()
 		callAll(expired)
 	case limit.Late:
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -71,7 +71,7 @@
 func newGateFromConfig(t *testing.T, c gate.Config) (*gate.Gate, *blockingBackend) {
 	t.Helper()
 	h := &blockingBackend{begun: make(chan string, 8), end: make(chan struct{})}
-	c.Incarnation, c.Now, c.Backend, c.Pool, c.Journal, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), discardRecorder{}, logging.Silent()
+	c.Incarnation, c.Now, c.Backend, c.Pool, c.Recorder, c.Log = incarnation, clock.NewSystem().Now, h, newPool(t), discardRecorder{}, logging.Silent()
 	c.Keys = gate.NewKeyStore(c.Now)
 	return gate.New(c), h
 }
@@ -111,7 +111,7 @@
 }
 
 // A reserved slot must not go to another request that arrives before the reserved one, or the
-// body of the reserved one would cross between failure domains in vain.
+// body of the reserved one would cross between failure domains unnecessarily.
 func TestReservedSlotIsNotGivenToAnotherRequest(t *testing.T) {
 	g, h, _, _ := newGate(t)
 	first := dispatch(1, "first")
@@ -133,7 +133,7 @@
 }
 
 // An entry crashes after it reserved a slot and before it sends the request. If the slot
-// stayed reserved, three such entries would block an upstream with three slots for good.
+// stayed reserved, three such entries would block an upstream with three slots permanently.
 func TestReservationExpires(t *testing.T) {
 	g, h, _, _ := newGate(t)
 	probeCapacity(g, &wire.CapacityProbe{ID: wire.RequestID{Entry: 9, Seq: 1}, Attempt: 1, Upstream: "c1", Budget: clock.Second})
@@ -144,7 +144,7 @@
 	close(h.end)
 }
 
-// A caller disconnects. A repeatable run is cancelled to free its slot. Any other run goes on,
+// A caller disconnects. A repeatable run is cancelled to free its slot. Any other run continues,
 // because the caller wanted its effect.
 func TestAbandonCancelsRepeatableRuns(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
@@ -195,14 +195,14 @@
 }
 
 // Requests wait for a slot at several gates. A request that found a slot elsewhere must leave
-// the queue, or the next free slot is reserved for it in vain while another request waits.
+// the queue, or the next free slot stays reserved for it, unused, while another request waits.
 func TestReleasedWaiterIsSkipped(t *testing.T) {
 	g, h, _, _ := newGate(t)
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	first, second := make(chan *wire.Reservation, 1), make(chan *wire.Reservation, 1)
-	g.ProbeCapacity(newCapacityProbe(2), func(h *wire.Reservation) { first <- h })
-	g.ProbeCapacity(newCapacityProbe(3), func(h *wire.Reservation) { second <- h })
+	g.ProbeCapacity(newCapacityProbe(2), func(r *wire.Reservation) { first <- r })
+	g.ProbeCapacity(newCapacityProbe(3), func(r *wire.Reservation) { second <- r })
 	g.ReleaseReservation(releaseOf(newCapacityProbe(2)))
 	close(h.end)
 	if got := <-second; !got.Reserved {
@@ -235,7 +235,7 @@
 	g.Handle(dispatch(1, "first"), func(*wire.Reply) {})
 	<-h.begun
 	reservations := make(chan *wire.Reservation, 1)
-	g.ProbeCapacity(newCapacityProbe(2), func(h *wire.Reservation) { reservations <- h })
+	g.ProbeCapacity(newCapacityProbe(2), func(r *wire.Reservation) { reservations <- r })
 	u.Weight = 0
 	g.Update(s, u)
 	if got := <-reservations; got.Reserved || got.Reason != wire.ReasonLeaving {
@@ -258,8 +258,8 @@
 	close(h.end)
 }
 
-// An upstream gets no requests, so the evidence for its health fades. Its gate must request
-// work, first from any entry, then from an entry that has sent requests.
+// An upstream gets no requests, so the evidence for its health becomes outdated. Its gate must
+// request work, first from any entry, then from an entry that has sent requests.
 func TestIdleGateRequestsWork(t *testing.T) {
 	targets := make(chan uint64, 64)
 	g, h := newGateRequestingWork(t, func(entry uint64) { targets <- entry })
@@ -317,7 +317,7 @@
 	return gate.New(gate.Config{
 		Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes, Queue: 4},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: 1}, Incarnation: incarnation, Now: now, Backend: h,
-		Pool: newPool(t), Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
+		Pool: newPool(t), Recorder: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		RequestWork: func(entry uint64, _ *wire.WorkRequest) bool {
 			requested(entry)
 			return true
@@ -350,7 +350,7 @@
 		s.Caution, s.ProbePath = tt.caution, "/health"
 		now := clock.NewSystem().Now
 		gate.New(gate.Config{
-			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Journal: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
+			Service: s, Upstream: u, Incarnation: incarnation, Now: now, Backend: b, Recorder: discardRecorder{}, Keys: gate.NewKeyStore(now), Log: logging.Silent(),
 		}).ProbeHealth()
 		if b.probes != tt.want {
 			t.Errorf("%s: got %d probes, want %d", tt.caution, b.probes, tt.want)
--- a/gate/hung_test.go
+++ b/gate/hung_test.go
@@ -27,7 +27,7 @@
 	h.gate, h.backend = newGateFromConfig(t, gate.Config{
 		Service:  table.Service{Name: "conferme", Caution: table.ShortEpisodes},
 		Upstream: table.Upstream{Name: "c1", Weight: 100, Slots: count},
-		OnHung:   func(_ uint64, s *wire.HungRun) { h.hungRuns <- s },
+		OnHung:   func(_ uint64, run *wire.HungRun) { h.hungRuns <- run },
 	})
 	for seq := range uint64(count) {
 		d := dispatch(seq+1, "hangs")
--- a/gate/keys.go
+++ b/gate/keys.go
@@ -41,17 +41,17 @@
 
 // Revoke returns the status of a resend's key, with the retained reply if there is one, and
 // forbids earlier sends of the key to begin.
-func (k *KeyStore) Revoke(v *wire.KeyRevocation) *wire.KeyRevocationReply {
+func (k *KeyStore) Revoke(r *wire.KeyRevocation) *wire.KeyRevocationReply {
 	send := resend.Send{
-		Key:        resend.Key{Caller: v.Caller, Service: v.Service, Text: v.Key},
-		Digest:     digestOf(v.Digest),
-		Precedence: resend.Precedence{Number: v.Number, Entry: v.ID.Entry, Seq: v.ID.Seq},
+		Key:        resend.Key{Caller: r.Caller, Service: r.Service, Text: r.Key},
+		Digest:     digestOf(r.Digest),
+		Precedence: resend.Precedence{Number: r.Number, Entry: r.ID.Entry, Seq: r.ID.Seq},
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
 	status, reply := k.store.Revoke(now, send)
-	result := &wire.KeyRevocationReply{ID: v.ID, KeyStatus: uint8(status), Covers: k.store.Covers(now)}
+	result := &wire.KeyRevocationReply{ID: r.ID, KeyStatus: uint8(status), Covers: k.store.Covers(now)}
 	if reply != nil {
 		result.Status, result.Headers, result.Body, result.Upstream = reply.Status, reply.Headers, reply.Body, reply.Upstream.Name
 	}
--- a/gate/refuse.go
+++ b/gate/refuse.go
@@ -12,8 +12,8 @@
 	isRepeatable, isRetry, isForced bool
 }
 
-func newAdmission(e *wire.CapacityProbe) admission {
-	return admission{isRepeatable: e.Repeatable, isRetry: e.Retry, isForced: e.Forced}
+func newAdmission(probe *wire.CapacityProbe) admission {
+	return admission{isRepeatable: probe.Repeatable, isRetry: probe.Retry, isForced: probe.Forced}
 }
 
 // refusalReason returns why a request isn't admitted and the retry delay, or an empty reason
--- a/gate/resolve.go
+++ b/gate/resolve.go
@@ -6,33 +6,33 @@
 )
 
 // Resolve returns the reply of a finished dispatch if it is retained, else a resolution with
-// the state of the dispatch. A dispatch that has not begun is revoked; with s.Abandon, the call
+// the state of the dispatch. A dispatch that has not begun is revoked; with r.Abandon, the call
 // of a repeatable one that runs is cancelled.
-func (g *Gate) Resolve(s *wire.Resolve) (*wire.Resolution, *wire.Reply) {
+func (g *Gate) Resolve(r *wire.Resolve) (*wire.Resolution, *wire.Reply) {
 	now := g.config.Now()
-	key := s.ID.Key(s.Attempt)
-	if resolution, reply, ok := g.resolvePrevious(key, s); ok {
+	key := r.ID.Key(r.Attempt)
+	if resolution, reply, ok := g.resolvePrevious(key, r); ok {
 		return resolution, reply
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	state, reply := g.dedup.Resolve(now, key, s.Incarnation, s.Lease)
-	if s.Abandon && state == lease.Begun {
+	state, reply := g.dedup.Resolve(now, key, r.Incarnation, r.Lease)
+	if r.Abandon && state == lease.Begun {
 		g.cancelCall(key)
 	}
 	if state == lease.Done && reply != nil {
 		return nil, reply
 	}
 	return &wire.Resolution{
-		ID:      s.ID,
-		Attempt: s.Attempt,
+		ID:      r.ID,
+		Attempt: r.Attempt,
 		Revoked: state == lease.NotRun,
 		Unknown: state == lease.Forgotten || state == lease.Done,
 		Time:    now,
 	}, nil
 }
 
-// Cancel ends a dispatch whose caller has disconnected: a dispatch that has not begun is
+// Cancel ends a dispatch whose outcome nobody waits for: a dispatch that has not begun is
 // refused, and a repeatable one that runs is cancelled.
 func (g *Gate) Cancel(id wire.RequestID, attempt uint8) {
 	key := id.Key(attempt)
@@ -42,8 +42,8 @@
 	g.cancelCall(key)
 }
 
-// cancelCall cancels the call of a dispatch whose caller has disconnected, if the request is
-// repeatable, to free its slot. Any other request goes on, because the caller wanted its
+// cancelCall cancels the call of a dispatch whose outcome nobody waits for, if the request is
+// repeatable, to free its slot. Any other request continues, because the caller wanted its
 // effect. It is called with the gate's lock held.
 func (g *Gate) cancelCall(key lease.Key) {
 	for _, j := range g.jobs {
--- a/gate/restart.go
+++ b/gate/restart.go
@@ -48,7 +48,7 @@
 }
 
 // findGate returns the gate, this one or a previous one, that has accepted or revoked a
-// dispatch. An upstream that comes back under its name has a new gate, which would report a
+// dispatch. An upstream that returns under its name has a new gate, which would report a
 // dispatch that the previous gate has begun as not run.
 func (g *Gate) findGate(key lease.Key) (*Gate, bool) {
 	for candidate := g; candidate != nil; candidate = candidate.previous.Load() {
@@ -102,11 +102,11 @@
 
 // resolvePrevious resolves a dispatch at the previous gate that knows it, or returns false if
 // none does.
-func (g *Gate) resolvePrevious(key lease.Key, s *wire.Resolve) (*wire.Resolution, *wire.Reply, bool) {
+func (g *Gate) resolvePrevious(key lease.Key, r *wire.Resolve) (*wire.Resolution, *wire.Reply, bool) {
 	previous, ok := g.previous.Load().findGate(key)
 	if !ok {
 		return nil, nil, false
 	}
-	resolution, reply := previous.Resolve(s)
+	resolution, reply := previous.Resolve(r)
 	return resolution, reply, true
 }
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -63,8 +63,8 @@
 }
 
 // A request that must run only once runs at an upstream whose registration expires and which then
-// comes back under its name. If the new gate resolved the dispatch as not run, the caller would
-// send the request again, and it would run twice.
+// registers again under its name. If the new gate resolved the dispatch as not run, the caller
+// would send the request again, and it would run twice.
 func TestGateResolvesDispatchesOfThePreviousGate(t *testing.T) {
 	old, h, s, u := newGate(t)
 	first, second := dispatch(1, "first"), dispatch(2, "second")
--- a/gate/run.go
+++ b/gate/run.go
@@ -49,7 +49,7 @@
 }
 
 // callContext returns the context of a job's call. For a repeatable request it is cancelled
-// when the caller disconnects; any other request runs to its end.
+// when nobody waits for the outcome; any other request runs to its end.
 func (g *Gate) callContext(j *job) (context.Context, context.CancelFunc) {
 	if !j.dispatch.Repeatable {
 		return context.Background(), func() {}
--- a/gate/work_request.go
+++ b/gate/work_request.go
@@ -44,7 +44,7 @@
 }
 
 // requestWork asks the next entry for a request if the upstream needs one, and schedules
-// itself again until the gate leaves for good.
+// itself again until the gate leaves permanently.
 func (g *Gate) requestWork() {
 	g.mu.Lock()
 	if g.leaving {
--- a/link/dispatch.go
+++ b/link/dispatch.go
@@ -69,10 +69,10 @@
 }
 
 // handleHungRun notifies the observer that the run of a dispatch has most likely hung.
-func (p *Peer) handleHungRun(s *wire.HungRun) {
+func (p *Peer) handleHungRun(r *wire.HungRun) {
 	p.mu.Lock()
 	p.detector.Received(p.config.Now())
-	pending, ok := p.pending[s.ID.Key(s.Attempt)]
+	pending, ok := p.pending[r.ID.Key(r.Attempt)]
 	p.mu.Unlock()
 	if ok {
 		pending.observer.Hung()
@@ -109,8 +109,8 @@
 	return true
 }
 
-// Abandon tells the gate that the caller has left, and removes the dispatch. The observer
-// isn't notified.
+// Abandon notifies the gate that nobody waits for the outcome, and removes the dispatch.
+// The observer isn't notified.
 func (p *Peer) Abandon(id wire.RequestID, attempt uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -49,8 +49,8 @@
 }
 func logger() logrus.FieldLogger { l, _ := logtest.NewNullLogger(); return l }
 
-// serve starts a node's link server. Its identity is claimed, or its address if claimed is
-// empty.
+// serve starts a node's link server. The node identifies itself by the address claimed, or
+// by its real address if claimed is empty.
 func serve(t *testing.T, claimed string) (address string, handler *countingHandler) {
 	t.Helper()
 	address, handler, _ = serveLinks(t, claimed)
@@ -285,9 +285,10 @@
 	}
 }
 
-// Guards against a path that stays lost for good after its node was unreachable for longer
-// than entries keep dialling. Entries don't choose an unreachable upstream, so that nothing
-// would need the link again. Once idle, the path must count as good until it is used.
+// Guards against a path that stays lost permanently after its node was unreachable for
+// longer than entries keep dialling. Entries don't choose an unreachable upstream, so that
+// nothing would need the link again. Once idle, the path must count as good until it is
+// used.
 func TestIdleLostPathBecomesGood(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/link/peer.go
+++ b/link/peer.go
@@ -317,7 +317,7 @@
 }
 
 // handleStoreUpdate passes an update of the store to the observer. It adds the time since
-// the peer sent the update to the update's age, because a stalled path or a pause of this
+// the peer sent the update to the update's age, because a slow path or a pause of this
 // process may have delayed it.
 func (p *Peer) handleStoreUpdate(update *wire.StoreUpdate) {
 	now := p.config.Now()
--- a/link/reply.go
+++ b/link/reply.go
@@ -71,19 +71,19 @@
 
 // handleResolution handles the gate's answer to a Resolve. A dispatch that has begun stays
 // pending, because its reply follows.
-func (p *Peer) handleResolution(s *wire.Resolution) {
-	key := s.ID.Key(s.Attempt)
+func (p *Peer) handleResolution(r *wire.Resolution) {
+	key := r.ID.Key(r.Attempt)
 	p.mu.Lock()
 	p.detector.Received(p.config.Now())
 	pending, ok := p.pending[key]
 	if ok {
 		p.probe.Answered(pending.sentAt)
 	}
-	if !ok || (!s.Revoked && !s.Unknown) {
+	if !ok || (!r.Revoked && !r.Unknown) {
 		p.mu.Unlock()
 		return
 	}
 	p.removePending(key)
 	p.mu.Unlock()
-	pending.observer.Resolved(s.Revoked)
+	pending.observer.Resolved(r.Revoked)
 }
--- a/link/reservation.go
+++ b/link/reservation.go
@@ -15,8 +15,8 @@
 	return p.capacityProbes.send(p, probe.ID.Key(probe.Attempt), probe, onReply)
 }
 
-// ReleaseReservation removes a capacity probe that the entry has given up, and tells the
-// gate that the slot isn't needed.
+// ReleaseReservation removes a capacity probe that the entry has given up, and notifies
+// the gate that the slot isn't needed.
 func (p *Peer) ReleaseReservation(r *wire.ReleaseReservation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/link/server.go
+++ b/link/server.go
@@ -218,8 +218,8 @@
 
 // SendResolution sends a resolution to an entry. An entry that doesn't receive it asks
 // again.
-func (s *Server) SendResolution(entry uint64, m *wire.Resolution) {
-	s.sendToEntry(entry, m)
+func (s *Server) SendResolution(entry uint64, r *wire.Resolution) {
+	s.sendToEntry(entry, r)
 }
 
 // SendReservation sends the answer to a capacity probe. An entry that doesn't receive it
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -229,8 +229,8 @@
 	}
 	if len(events) == 0 {
 		// A store that is about to drop its history may return no changes although its
-		// revision advances. Continuing from that revision would skip the changes for
-		// good.
+		// revision advances. Continuing from that revision would skip the changes
+		// permanently.
 		revision = after
 	}
 	f.applyAnswer(startedAt, revision, func(now clock.Millis) Update {
--- a/mirror/follower_test.go
+++ b/mirror/follower_test.go
@@ -211,7 +211,7 @@
 
 // A peer sends a removal while this node waits for the answer to its own call. The answer
 // is older than the removal. If it counted as the store's confirmation, the upstream
-// would stay in use for good.
+// would stay in use permanently.
 func TestOlderAnswerDoesNotConfirmRemoval(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	system, elapsed := clock.NewSystem().Now, atomic.Int64{}
--- a/mirror/lag.go
+++ b/mirror/lag.go
@@ -14,8 +14,8 @@
 type lag struct {
 	// awaited holds the unread revisions that peers have announced, in ascending order.
 	awaited []awaitedRevision
-	// reportedAge is the age of the oldest unread change when lateness was last reported;
-	// 0 while no change is late.
+	// reportedAge is the age of the oldest unread change at the last report that changes
+	// are late; 0 while no change is late.
 	reportedAge clock.Millis
 }
 
@@ -35,7 +35,7 @@
 	l.awaited = append(l.awaited, awaitedRevision{revision, now, isTruncated})
 }
 
-// recordRead records that all changes up to a revision are known. If lateness was
+// recordRead records that all changes up to a revision are known. If late changes were
 // reported and the remaining changes are within the bound, it returns how long the oldest
 // change was awaited, otherwise 0.
 func (l *lag) recordRead(now, bound clock.Millis, revision uint64) clock.Millis {
--- a/mirror/log.go
+++ b/mirror/log.go
@@ -19,7 +19,7 @@
 // logFailure logs a failed call: the first of a series, and each time the number of
 // failures has doubled. A store that is down, a slow store and an answer that is too
 // large for the connection or for the timeout of a call cause similar errors; the number
-// of bytes received and the duration tell them apart. f.mu is held.
+// of bytes received and the duration distinguish them. f.mu is held.
 func (f *Follower) logFailure(took clock.Millis, bytes uint64, err error) {
 	failures := f.schedule.Failures()
 	if bits.OnesCount(uint(failures)) != 1 {
--- a/mirror/readers.go
+++ b/mirror/readers.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxReaders is the number of nodes of a group that read the store ahead of the
-	// others. One is enough; the others take over if it dies or can't reach the store.
+	// others. One is enough; the others take over if it ends or can't reach the store.
 	maxReaders = 3
 	// groupSize limits the number of nodes that keep links to one reader: with 300 nodes
 	// in one group, a reader had 1,250 connections and used 70 MB.
--- a/mirror/schedule.go
+++ b/mirror/schedule.go
@@ -15,9 +15,9 @@
 	// hop.
 	minPollShare = 0.4
 	maxPollShare = 0.65
-	// minReaderShare takes the place of minPollShare on the nodes to which all others
-	// keep links. While a fleet has no requests there are no other links, and without
-	// readers each node read the store for itself.
+	// minReaderShare replaces minPollShare on the nodes to which all others keep links.
+	// While a fleet has no requests there are no other links, and without readers each
+	// node read the store for itself.
 	minReaderShare = 0.3
 	// initialBackoff is the base of the delay after a failed call, doubled with each
 	// failure up to MaxBackoff. It is short enough that a store that returns is
--- a/mirror/update_test.go
+++ b/mirror/update_test.go
@@ -151,7 +151,7 @@
 // An upstream registers and leaves while one node is several versions behind. That node
 // lists all values and publishes the difference. A second node has read the registration
 // but not the removal, which no list shows. If it took the update for complete, it would
-// keep using the upstream for good.
+// never stop using the upstream.
 func TestListDiffIsIncompleteForOtherRevisions(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &tooLargeStore{scriptedStore{lists: [][]mirror.Item{{item("a", 1)}, {item("a", 1), item("c", 2)}}, now: clock.NewSystem().Now}}
--- a/node/gates.go
+++ b/node/gates.go
@@ -99,7 +99,7 @@
 			Instance:       u.Name,
 		}),
 		Pool:             n.gatePool,
-		Journal:          n.metrics,
+		Recorder:         n.metrics,
 		Refusals:         n.metrics,
 		OnChange:         n.requestHeartbeat,
 		DependencyFailed: n.entry.FailedWithin,
@@ -202,7 +202,7 @@
 	return n.links.SendWorkRequest(entry, r)
 }
 
-// notifyHung tells an entry that one of its runs most likely hangs. If the message is lost,
+// notifyHung notifies an entry that one of its runs has most likely hung. If the message is lost,
 // the entry keeps waiting for the reply.
 func (n *Node) notifyHung(entry uint64, m *wire.HungRun) {
 	if entry == n.incarnation {
@@ -218,22 +218,22 @@
 }
 
 // ProbeCapacity answers a capacity probe of another node's entry.
-func (n *Node) ProbeCapacity(from uint64, p *wire.CapacityProbe) {
-	n.probeCapacity(p, func(r *wire.Reservation) { n.links.SendReservation(from, r) })
+func (n *Node) ProbeCapacity(from uint64, probe *wire.CapacityProbe) {
+	n.probeCapacity(probe, func(r *wire.Reservation) { n.links.SendReservation(from, r) })
 }
 
 // probeCapacity passes a capacity probe to its gate. Without such a gate it answers
 // immediately that nothing is reserved.
-func (n *Node) probeCapacity(p *wire.CapacityProbe, answer func(*wire.Reservation)) {
-	g, ok := n.gate(p.Upstream)
+func (n *Node) probeCapacity(probe *wire.CapacityProbe, answer func(*wire.Reservation)) {
+	g, ok := n.gate(probe.Upstream)
 	if !ok {
 		answer(&wire.Reservation{
-			ID: p.ID, Attempt: p.Attempt, Reason: wire.ReasonNoUpstream, Time: n.clock.Now(),
-			Upstream: n.unknownUpstreamStatus(p.Upstream),
+			ID: probe.ID, Attempt: probe.Attempt, Reason: wire.ReasonNoUpstream, Time: n.clock.Now(),
+			Upstream: n.unknownUpstreamStatus(probe.Upstream),
 		})
 		return
 	}
-	g.ProbeCapacity(p, answer)
+	g.ProbeCapacity(probe, answer)
 }
 
 // ReleaseReservation releases a slot that an entry has asked for.
@@ -243,7 +243,7 @@
 	}
 }
 
-// Resolve tells another node's entry the outcome of one of its dispatches. If the gate has the
+// Resolve sends another node's entry the outcome of one of its dispatches. If the gate has the
 // reply, it is sent again; otherwise the entry gets a resolution.
 func (n *Node) Resolve(from uint64, r *wire.Resolve) {
 	g, ok := n.gateOrRetired(r.Upstream)
--- a/node/leave.go
+++ b/node/leave.go
@@ -161,7 +161,7 @@
 
 // Snapshot returns the records and states of this node that match a filter, for reports.
 func (n *Node) Snapshot(f access.Filter) access.Snapshot {
-	s := n.book.Snapshot(n.clock.Now(), f)
+	s := n.accessLog.Snapshot(n.clock.Now(), f)
 	s.Name, s.Node, s.Domain, s.Table = n.settings.Node, n.address(), n.settings.Domain, n.version()
 	for _, u := range n.entry.States() {
 		if f.MatchesUpstream(u) {
--- a/node/local_gates.go
+++ b/node/local_gates.go
@@ -28,8 +28,8 @@
 func (localGates) Resolve(wire.RequestID, uint8) {}
 
 // ProbeCapacity passes a capacity probe to the gate in this process.
-func (l localGates) ProbeCapacity(p *wire.CapacityProbe, notify func(*wire.Reservation)) error {
-	l.node.probeCapacity(p, func(r *wire.Reservation) {
+func (l localGates) ProbeCapacity(probe *wire.CapacityProbe, notify func(*wire.Reservation)) error {
+	l.node.probeCapacity(probe, func(r *wire.Reservation) {
 		l.node.entry.UpdateUpstream(r.Upstream)
 		notify(r)
 	})
@@ -42,7 +42,7 @@
 // Withdraw returns false: no dispatch waits for a link.
 func (localGates) Withdraw(wire.RequestID, uint8) bool { return false }
 
-// Abandon tells the gate that the caller has left.
+// Abandon notifies the gate that nobody waits for the outcome.
 func (l localGates) Abandon(id wire.RequestID, attempt uint8) {
 	for _, g := range l.node.allGates() {
 		g.Cancel(id, attempt)
--- a/node/local_waiters.go
+++ b/node/local_waiters.go
@@ -31,7 +31,7 @@
 	delete(s.waiters, d.ID.Key(d.Attempt))
 }
 
-// notifyHung tells the observer of a dispatch that its run most likely hangs.
+// notifyHung notifies the observer of a dispatch that its run has most likely hung.
 func (s *localWaiters) notifyHung(m *wire.HungRun) {
 	s.mu.Lock()
 	w, ok := s.waiters[m.ID.Key(m.Attempt)]
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -43,7 +43,7 @@
 	return peers[:min(maxNeighbours, len(peers))]
 }
 
-// rank returns the place of a peer in this node's order of neighbours; lower values come
+// rank returns the position of a peer in this node's order of neighbours; lower values come
 // first.
 func (n *Node) rank(p *peer) uint64 {
 	return maphash.String(n.neighbourSeed, p.link.Address())
--- a/node/node.go
+++ b/node/node.go
@@ -72,7 +72,7 @@
 	clock           *clock.System
 	incarnation     uint64
 	seed            uint64
-	book            *access.Log
+	accessLog       *access.Log
 	metrics         *metrics.Set
 	entry           *entry.Entry
 	links           *link.Server
@@ -142,7 +142,7 @@
 		listedLeaving:      map[string]bool{},
 		readRevisions:      map[string]uint64{},
 		neighbourSeed:      maphash.MakeSeed(),
-		book: access.New(access.Config{
+		accessLog: access.New(access.Config{
 			Records: c.Settings.Limits.Records,
 			Events:  maxEvents,
 			Callers: maxCallers,
@@ -188,7 +188,7 @@
 // newMetrics returns the node's metrics, which read the state of its parts.
 func (n *Node) newMetrics(drops metrics.LogDrops) *metrics.Set {
 	return metrics.New(metrics.Config{
-		Recorder:  n.book,
+		Recorder:  n.accessLog,
 		State:     n,
 		Readiness: n,
 		Platform:  n,
--- a/node/quota.go
+++ b/node/quota.go
@@ -106,9 +106,9 @@
 }
 
 // Admit waits until it is decided whether a request of an account may be sent. It returns a
-// zero Admission if left is closed first, because the caller has gone. An account without a
-// rate has no limit.
-func (q *quotas) Admit(a *table.Account, left <-chan struct{}) entry.Admission {
+// zero Admission if gone is closed first, because the caller has disconnected. An account
+// without a rate has no limit.
+func (q *quotas) Admit(a *table.Account, gone <-chan struct{}) entry.Admission {
 	if !(a.Rate > 0) {
 		return entry.Admission{OK: true}
 	}
@@ -126,7 +126,7 @@
 	select {
 	case admission := <-admitted:
 		return admission
-	case <-left:
+	case <-gone:
 		return entry.Admission{}
 	}
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// resolveWaiters tells the waiting requests whether they are admitted: by the grant, or by the
+// resolveWaiters notifies the waiting requests whether they are admitted: by the grant, or by the
 // account's history if no home has answered.
 func (q *quotas) resolveWaiters(state *accountQuota, waiting []chan<- entry.Admission, grant quota.Grant, ok bool) {
 	q.mu.Lock()
--- a/node/resend.go
+++ b/node/resend.go
@@ -10,15 +10,15 @@
 // RevokeKey returns what this node has recorded about the idempotency key of a resend, and
 // forbids its gates to begin earlier sends. The node holds the records, not a gate, so that
 // they also cover gates that a table edit has removed.
-func (n *Node) RevokeKey(v *wire.KeyRevocation) *wire.KeyRevocationReply {
-	reply := n.keys.Revoke(v)
+func (n *Node) RevokeKey(r *wire.KeyRevocation) *wire.KeyRevocationReply {
+	reply := n.keys.Revoke(r)
 	reply.Version = n.version()
 	return reply
 }
 
 // RevokeKey looks the key up in this process and calls the observer before it returns.
-func (l localGates) RevokeKey(v *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
-	w.Revoked(l.node.RevokeKey(v))
+func (l localGates) RevokeKey(r *wire.KeyRevocation, _ clock.Millis, w link.RevocationObserver) error {
+	w.Revoked(l.node.RevokeKey(r))
 	return nil
 }
 
--- a/node/table.go
+++ b/node/table.go
@@ -125,7 +125,7 @@
 	n.quotas.setNodes(t)
 	n.entry.Update(t)
 	n.crashes.lift(t)
-	n.book.SetServices(t.Services)
+	n.accessLog.SetServices(t.Services)
 	n.metrics.SetServices(t.Services)
 	for address, leaving := range n.listedLeaving {
 		n.entry.UpdateInstance(address, leaving)
--- a/wire/crash.go
+++ b/wire/crash.go
@@ -28,8 +28,8 @@
 	Suspects  []Suspect
 	// Cleared is a bit mask over Suspects: those that have run to their end since.
 	Cleared uint64
-	// IsMiss is true for an inconclusive trial: the process did not crash.
-	IsMiss bool
+	// IsInconclusive is true for an inconclusive trial: the process did not crash.
+	IsInconclusive bool
 	// Age is the time since the crash, or since the inconclusive trial.
 	Age clock.Millis
 }
@@ -40,8 +40,8 @@
 	Fingerprint []byte
 	Hint        uint64
 	Request     string
-	// Ran is how long the request had been running.
-	Ran     clock.Millis
+	// Elapsed is how long the request had been running.
+	Elapsed clock.Millis
 	IsTrial bool
 }
 
@@ -67,12 +67,12 @@
 		from := &crashes[i]
 		c := Crash{
 			ID: from.ID, Service: from.Service, Upstream: from.Upstream, Version: from.Version, Upstreams: from.Upstreams,
-			Suspects: make([]Suspect, 0, len(from.Suspects)), Cleared: from.Cleared, IsMiss: from.IsInconclusive, Age: now - from.At,
+			Suspects: make([]Suspect, 0, len(from.Suspects)), Cleared: from.Cleared, IsInconclusive: from.IsInconclusive, Age: now - from.At,
 		}
 		for j := range from.Suspects {
 			s := &from.Suspects[j]
 			c.Suspects = append(c.Suspects, Suspect{
-				Fingerprint: s.Fingerprint[:], Hint: s.Hint, Request: s.Request, Ran: s.Elapsed, IsTrial: s.IsTrial,
+				Fingerprint: s.Fingerprint[:], Hint: s.Hint, Request: s.Request, Elapsed: s.Elapsed, IsTrial: s.IsTrial,
 			})
 		}
 		m.Crashes = append(m.Crashes, c)
@@ -88,13 +88,13 @@
 		c := &m.Crashes[i]
 		crash := quarantine.Crash{
 			ID: c.ID, Service: c.Service, Upstream: c.Upstream, Version: c.Version, Upstreams: c.Upstreams,
-			Cleared: c.Cleared, IsInconclusive: c.IsMiss, At: now - max(c.Age, 0),
+			Cleared: c.Cleared, IsInconclusive: c.IsInconclusive, At: now - max(c.Age, 0),
 		}
 		for j := range c.Suspects {
 			s := &c.Suspects[j]
 			if len(s.Fingerprint) == len(quarantine.Fingerprint{}) {
 				crash.Suspects = append(crash.Suspects, quarantine.Suspect{
-					Fingerprint: quarantine.Fingerprint(s.Fingerprint), Hint: s.Hint, Request: s.Request, Elapsed: s.Ran, IsTrial: s.IsTrial,
+					Fingerprint: quarantine.Fingerprint(s.Fingerprint), Hint: s.Hint, Request: s.Request, Elapsed: s.Elapsed, IsTrial: s.IsTrial,
 				})
 			}
 		}
--- a/wire/hungrun.go
+++ b/wire/hungrun.go
@@ -1,7 +1,7 @@
 package wire
 
-// HungRun tells an entry that the run of one of its dispatches has most likely hung. The
-// run continues until it is abandoned.
+// HungRun notifies an entry that the run of one of its dispatches has most likely hung.
+// The run continues until it is abandoned.
 type HungRun struct {
 	_       struct{} `cbor:",toarray"`
 	ID      RequestID
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -251,8 +251,8 @@
 	Incarnation uint64
 	Upstream    string
 	Lease       clock.Millis
-	// Abandon is true if the caller has left. The gate then aborts a dispatch that has
-	// begun, provided that it may run more than once.
+	// Abandon is true if nobody waits for the outcome. The gate then cancels a dispatch
+	// that has begun, provided that it may run more than once.
 	Abandon bool
 }
 
--- a/wire/reservation.go
+++ b/wire/reservation.go
@@ -37,8 +37,8 @@
 	Upstream   Upstream
 }
 
-// ReleaseReservation tells a gate that a slot that the entry has probed for is no longer
-// needed.
+// ReleaseReservation notifies a gate that a slot that the entry has probed for is no
+// longer needed.
 type ReleaseReservation struct {
 	_        struct{} `cbor:",toarray"`
 	ID       RequestID
--- a/wire/revocation.go
+++ b/wire/revocation.go
@@ -26,8 +26,8 @@
 	Covers clock.Millis
 	// Version is the version of the table in force at the node.
 	Version uint64
-	// Status, Headers, Body and Upstream are those of the kept answer, if there is one. A
-	// kept answer fits into one frame.
+	// Status, Headers, Body and Upstream are those of the retained answer, if there is one.
+	// A retained answer fits into one frame.
 	Status   int
 	Headers  Headers
 	Body     []byte
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -27,7 +27,7 @@
 		&wire.Chunk{ID: id, Attempt: 1, Offset: 2, Data: []byte("more")},
 		&wire.Resolve{ID: id, Attempt: 1, Upstream: "conferme-1", Lease: 100},
 		&wire.Resolution{ID: id, Attempt: 1, Revoked: true},
-		&wire.CrashReport{WantsReply: true, Crashes: []wire.Crash{{ID: 1, Service: "conferme", Suspects: []wire.Suspect{{Fingerprint: make([]byte, 16), Ran: 3}}}}},
+		&wire.CrashReport{WantsReply: true, Crashes: []wire.Crash{{ID: 1, Service: "conferme", Suspects: []wire.Suspect{{Fingerprint: make([]byte, 16), Elapsed: 3}}}}},
 		&wire.Heartbeat{Time: 1, Version: 2, Digest: "d", Upstreams: []wire.Upstream{{Name: "conferme-1", Share: 1}}},
 		&wire.TableRequest{Version: 1},
 		&wire.TableVersion{Version: 2, Text: []byte("format = 1")},
