--- a/measure/entry.go
+++ b/measure/entry.go
@@ -5,12 +5,12 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// baselineTTL is how long an entry holds what a gate told for recent. Older
-// figures would outvote the first signs of a fault common to the service.
+// baselineTTL is how long an entry uses a baseline that it received from a gate. Older
+// baselines would outvote the first signs of a fault common to the whole service.
 const baselineTTL = 10 * clock.Second
 
-// entry is what one entry knows: the gates' own figures, as of their last
-// replies, and its own verdicts if the rule is judged there.
+// entry is the state of one entry: the baselines of the gates as of their last replies,
+// and its own detectors if the rule runs at entries.
 type entry struct {
 	baselines  []health.Baseline
 	receivedAt []clock.Millis
@@ -26,11 +26,12 @@
 	}
 }
 
+// receiveBaseline stores the baseline that the gate sent with its reply.
 func (e *entry) receiveBaseline(now clock.Millis, r request) {
 	e.baselines[r.upstream], e.receivedAt[r.upstream] = r.baseline, now
 }
 
-// baseline returns the median over the gates heard of recently.
+// baseline returns the median of the baselines received within baselineTTL.
 func (e *entry) baseline(now clock.Millis) health.Baseline {
 	e.scratch = e.scratch[:0]
 	for i, b := range e.baselines {
--- a/measure/events.go
+++ b/measure/events.go
@@ -10,16 +10,16 @@
 type eventKind uint8
 
 const (
-	arrives eventKind = iota
-	poisons
-	turnsOverdue
-	ends
-	replies
-	probes
-	blips
+	arrivalEvent eventKind = iota
+	poisonEvent
+	overdueEvent
+	endEvent
+	replyEvent
+	probeEvent
+	blipEvent
 )
 
-// event is something that happens to a request, or to an upstream by itself.
+// event is a scheduled event of a request, or of an upstream (probes and blips).
 type event struct {
 	at       clock.Millis
 	sequence int
@@ -27,22 +27,25 @@
 	request
 }
 
-// request is one request on its way.
+// request is one request. It runs from sent to until.
 type request struct {
 	upstream, entry int
 	caller          string
 	repeatable      bool
 	sent, until     clock.Millis
 	result          health.Result
-	// endIgnored says that its end tells the gate nothing more.
-	endIgnored   bool
+	// endIgnored means that the end of the request is not reported to the detector,
+	// because the request was reported as overdue before.
+	endIgnored bool
+	// stillOverdue means that the request was reported as overdue before and has
+	// still not ended.
 	stillOverdue bool
-	// baseline is what the gate tells with the reply.
+	// baseline is the gate's own baseline, which the reply carries.
 	baseline health.Baseline
 }
 
-// queue orders events by time, and those of one instant by their making.
-// It uses the events again, for a run makes tens of thousands.
+// queue is a heap of events, ordered by time and then by the order in which they were
+// added. It reuses the memory of past events, since a run creates tens of thousands.
 type queue struct {
 	events   []*event
 	spare    []*event
@@ -60,14 +63,14 @@
 
 func (q *queue) Swap(i, k int) { q.events[i], q.events[k] = q.events[k], q.events[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *queue) Push(x any) {
 	if e, ok := x.(*event); ok {
 		q.events = append(q.events, e)
 	}
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	last := len(q.events) - 1
 	e := q.events[last]
@@ -78,20 +81,21 @@
 func (q *queue) add(e event) {
 	e.sequence = q.sequence
 	q.sequence++
-	held := &event{}
+	stored := &event{}
 	if last := len(q.spare) - 1; last >= 0 {
-		held = q.spare[last]
+		stored = q.spare[last]
 		q.spare = q.spare[:last]
 	}
-	*held = e
-	heap.Push(q, held)
+	*stored = e
+	heap.Push(q, stored)
 }
 
+// next removes and returns the earliest event.
 func (q *queue) next() event {
-	held, ok := heap.Pop(q).(*event)
+	stored, ok := heap.Pop(q).(*event)
 	if !ok {
 		return event{}
 	}
-	q.spare = append(q.spare, held)
-	return *held
+	q.spare = append(q.spare, stored)
+	return *stored
 }
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -1,8 +1,8 @@
-// Package measure runs one service's entries and gates as plain values in
-// virtual time and reports how fast each rule finds a sick upstream and how
-// often it sets a healthy one aside.
+// Package measure simulates the entries and gates of one service in virtual time, in
+// one process and without a network. It reports how fast each rule ejects a faulty
+// upstream and how often it ejects a healthy one.
 //
-// A run is set by its Scenario and seed and gives the same figures each time.
+// A run is deterministic: the same Size, Scenario, Rule and seed give the same figures.
 package measure
 
 import (
@@ -10,29 +10,30 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// Size is the size of one service and its usual load.
+// Size describes the size of one service and its normal load.
 type Size struct {
 	Name      string
 	Upstreams int
 	Entries   int
-	// Slots is how many requests an upstream serves at once.
+	// Slots is the number of requests that an upstream serves concurrently.
 	Slots int
-	// Rate is the requests a second that an upstream usually gets.
+	// Rate is the normal number of requests per second to each upstream.
 	Rate float64
-	// Median is the usual median latency of an upstream.
+	// Median is the median latency of a healthy upstream.
 	Median clock.Millis
-	// Spread is the sigma of the log-normal latencies.
+	// Spread is the sigma of the log-normal distribution of latencies.
 	Spread float64
-	// Failed is the share of requests that fail in a healthy upstream.
+	// Failed is the share of requests that fail at a healthy upstream.
 	Failed float64
-	// Callers is the number of callers; they send equally much. Callers are
-	// people in both deployments, so there are hundreds.
+	// Callers is the number of callers. All send at the same rate. There are
+	// hundreds, because the callers of both deployments are people.
 	Callers int
 }
 
-// Sizes of the two deployments, at about half load, and of one service of the
-// size to design for: 200,000 upstreams in 4,100 services behind 2,400
-// entries, which share 3.4 million requests a second.
+// Sizes returns the sizes of services of the two deployments (Sicily and Kingston), at
+// about half load, and of one mean service at the scale that the project is designed
+// for: 200,000 upstreams in 4,100 services behind 2,400 entries, with 3.4 million
+// requests per second in all.
 func Sizes() []Size {
 	return []Size{
 		{Name: "sicily-9", Upstreams: 9, Entries: 9, Slots: 3, Rate: 33, Median: 40, Spread: 0.5, Failed: 0.01, Callers: 200},
@@ -42,7 +43,8 @@
 	}
 }
 
-// Detector is what a run asks of a rule for one upstream; health.Judge is one.
+// Detector decides whether one upstream is in use or ejected. health.Detector
+// implements it; its documentation describes the methods.
 type Detector interface {
 	Observe(now clock.Millis, o health.Observation) (changed bool)
 	SetBaseline(b health.Baseline)
@@ -53,35 +55,41 @@
 	LocalBaseline() health.Baseline
 }
 
-// Rule makes verdicts. AtEntry has each entry judge for itself by the answers
-// to its own requests, in place of one verdict at the gate. Learns says that
-// it wants the service's baseline, which entries tell to gates only.
+// Rule creates the detectors of a run.
 type Rule struct {
-	Name         string
-	AtEntry      bool
+	Name string
+	// AtEntry gives each entry its own detectors, which see only the answers to
+	// that entry's requests, in place of one detector at the gate.
+	AtEntry bool
+	// UsesBaseline passes the service's baseline to the detector. Entries send the
+	// baseline to gates only.
 	UsesBaseline bool
 	New          func(seed uint64) Detector
 }
 
 // Figures are the results of runs of one scenario.
 type Figures struct {
-	// DetectionOutcomes and Spans are what each detection took, from the onset.
+	// DetectionOutcomes holds, for each detection, the number of the upstream's
+	// outcomes since the onset of the fault, DetectionTimes the time since then.
 	DetectionOutcomes []int
 	DetectionTimes    []clock.Millis
-	// Missed counts sick spells that ended or outlasted the run undetected.
+	// Missed counts the faults that were not detected before they or the run ended.
 	Missed int
-	// FalseEjections counts set asides of upstreams that weren't sick.
+	// FalseEjections counts the ejections of upstreams without a fault that calls
+	// for one.
 	FalseEjections int
-	// HealthyOutcomes counts outcomes, and Served the time, of upstreams in use that
-	// weren't sick.
+	// HealthyOutcomes counts the outcomes of upstreams without a fault that calls
+	// for an ejection. HealthyTime is the length of the run times the number of
+	// its upstreams.
 	HealthyOutcomes int
 	HealthyTime     clock.Millis
-	// SentAfterDetection counts the requests given to a sick upstream after its first
-	// detection in the spell, Bad the requests of any kind that it spoiled.
+	// SentAfterDetection counts the requests sent to a faulty upstream after the
+	// fault was first detected. Bad counts all outcomes that failed or were
+	// overdue.
 	SentAfterDetection, Bad int
 }
 
-// Add takes in the results of another run.
+// Add adds the figures of another run.
 func (f *Figures) Add(other Figures) {
 	f.DetectionOutcomes = append(f.DetectionOutcomes, other.DetectionOutcomes...)
 	f.DetectionTimes = append(f.DetectionTimes, other.DetectionTimes...)
@@ -98,7 +106,7 @@
 	return 1e6 * float64(f.FalseEjections) / float64(max(1, f.HealthyOutcomes))
 }
 
-// FalsePerDay returns the false ejections per upstream and day.
+// FalsePerDay returns the false ejections per upstream per day.
 func (f *Figures) FalsePerDay() float64 {
 	return float64(f.FalseEjections) / (float64(max(1, f.HealthyTime)) / float64(clock.Day))
 }
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -11,11 +11,12 @@
 
 var cautious = measure.GateRule(table.Cautious)
 
-func ours() []measure.Rule {
+func projectRules() []measure.Rule {
 	return []measure.Rule{measure.GateRule(table.Fast), measure.GateRule(table.Balanced), cautious}
 }
 
-// A figure that can't be had twice can't be bounded.
+// Guards against a run that depends on more than its seed, for example on the order of
+// map iteration or goroutines: a bound on its figures would then prove nothing.
 func TestRunRepeats(t *testing.T) {
 	size := measure.Sizes()[0]
 	first := measure.Repeat(size, measure.ReferenceFault(), cautious, 4)
@@ -25,11 +26,11 @@
 	}
 }
 
-// The bar of the two measures that users name: an upstream that fails 30% is
-// found in 50 outcomes (p99), with at most 0.2 false ejections per million
-// healthy outcomes. The median is kept from growing here; its bar stands in
-// the test below.
-func TestBar(t *testing.T) {
+// Guards against slower detection and more false ejections than users accept: an
+// upstream that fails 30% is detected within 50 outcomes (p99), with at most 0.2 false
+// ejections per million healthy outcomes. TestMedianDetectionBound bounds the median
+// over more runs.
+func TestDetectionBounds(t *testing.T) {
 	size := measure.Sizes()[0]
 	found := measure.Repeat(size, measure.ReferenceFault(), cautious, 400)
 	if found.Missed > 0 {
@@ -41,29 +42,30 @@
 	if got := measure.Quantile(found.DetectionOutcomes, 0.99); got > 50 {
 		t.Errorf("got a 99th percentile of %d outcomes, want at most 50", got)
 	}
-	quiet := measure.Repeat(size, measure.Healthy(10*clock.Minute), cautious, 30)
-	if quiet.HealthyOutcomes < 5_000_000 {
-		t.Errorf("got %d healthy outcomes, want 5 million", quiet.HealthyOutcomes)
+	healthy := measure.Repeat(size, measure.Healthy(10*clock.Minute), cautious, 30)
+	if healthy.HealthyOutcomes < 5_000_000 {
+		t.Errorf("got %d healthy outcomes, want 5 million", healthy.HealthyOutcomes)
 	}
-	if got := quiet.FalsePerMillion(); got > 0.2 {
+	if got := healthy.FalsePerMillion(); got > 0.2 {
 		t.Errorf("got %.2f false ejections per million, want at most 0.2", got)
 	}
 }
 
-// The other half of the bar: half of the sick upstreams that fail 30% are
-// found in 20 outcomes.
-func TestBarMedian(t *testing.T) {
+// Guards against slower detection in the median: half of the upstreams that fail 30% are
+// detected within 20 outcomes.
+func TestMedianDetectionBound(t *testing.T) {
 	found := measure.Repeat(measure.Sizes()[0], measure.ReferenceFault(), cautious, 1000)
 	if got := measure.Quantile(found.DetectionOutcomes, 0.5); got > 20 {
 		t.Errorf("got a median of %d outcomes, want at most 20", got)
 	}
 }
 
-// Every fault of the list is found, at each caution and in both deployments.
-func TestFindsEveryFault(t *testing.T) {
+// Guards against a fault that goes undetected at one of the cautions or in one of the
+// two deployments.
+func TestDetectsEveryFault(t *testing.T) {
 	for _, size := range measure.Sizes()[:3] {
 		for _, scenario := range measure.Faults() {
-			for _, rule := range ours() {
+			for _, rule := range projectRules() {
 				f := measure.Repeat(size, scenario, rule, 4)
 				if f.Missed > 0 {
 					t.Errorf("%s, %s, %s: got %d missed, want 0", size.Name, scenario.Name, rule.Name, f.Missed)
@@ -73,14 +75,16 @@
 	}
 }
 
-// An operator would lose capacity when it is needed most: in a cold start,
-// under a surge, or when what all upstreams share is at fault.
-func TestSparesTheInnocent(t *testing.T) {
+// Guards against ejections that take away capacity when it is needed most: in a cold
+// start, under a surge, or when a fault hits all upstreams because something they share
+// is at fault.
+func TestEjectionsWithoutUpstreamFaultAreBounded(t *testing.T) {
 	size := measure.Sizes()[0]
 	const runs = 12
-	// At a common fault the baseline lags the first failures, and a blip can
-	// meet failures of its own: bounded, not none.
-	part := map[string]float64{
+	// Some ejections remain, so they are bounded and not forbidden: in a common
+	// fault, the baseline lags the first failures, and a blip can coincide with
+	// the failures of a healthy upstream.
+	limits := map[string]float64{
 		"cold start":             0,
 		"shedding under a burst": 0,
 		"one bad caller":         0,
@@ -92,39 +96,40 @@
 		"common, slow 10x":       0.04,
 	}
 	for _, scenario := range measure.NoEjection(size) {
-		limit, ok := part[scenario.Name]
+		limit, ok := limits[scenario.Name]
 		if !ok {
 			t.Errorf("%s: got no bound, want one", scenario.Name)
 		}
 		f := measure.Repeat(size, scenario, cautious, runs)
 		if got := float64(f.FalseEjections) / float64(runs*size.Upstreams); got > limit {
-			t.Errorf("%s: got %.3f set asides per upstream, want at most %.3f", scenario.Name, got, limit)
+			t.Errorf("%s: got %.3f ejections per upstream, want at most %.3f", scenario.Name, got, limit)
 		}
 	}
 }
 
-// The usual rules are beaten on both measures in the same run: quicker than
-// five in a row, with fewer false ejections than three in a row.
-func TestBeatsTheUsualRules(t *testing.T) {
+// Guards against losing the advantage over the rules of common proxies: detection in a
+// fifth of the time that five failures in a row take, with half as many false ejections
+// as three in a row.
+func TestBeatsProxyRules(t *testing.T) {
 	size := measure.Sizes()[0]
 	balanced := measure.GateRule(table.Balanced)
 	three, five := measure.ConsecutiveFailures("3", 3), measure.ConsecutiveFailures("5", 5)
-	mine := measure.Repeat(size, measure.ReferenceFault(), balanced, 50)
-	theirs := measure.Repeat(size, measure.ReferenceFault(), five, 50)
-	if got, other := measure.Quantile(mine.DetectionTimes, 0.5), measure.Quantile(theirs.DetectionTimes, 0.5); 5*got > other {
+	own := measure.Repeat(size, measure.ReferenceFault(), balanced, 50)
+	proxy := measure.Repeat(size, measure.ReferenceFault(), five, 50)
+	if got, other := measure.Quantile(own.DetectionTimes, 0.5), measure.Quantile(proxy.DetectionTimes, 0.5); 5*got > other {
 		t.Errorf("got %v against %v of five in a row, want a fifth", got, other)
 	}
 	blips := measure.NoEjection(size)[3]
-	mine = measure.Repeat(size, blips, balanced, 10)
-	theirs = measure.Repeat(size, blips, three, 10)
-	if 2*mine.FalseEjections > theirs.FalseEjections {
-		t.Errorf("got %d false ejections against %d of three in a row, want half", mine.FalseEjections, theirs.FalseEjections)
+	own = measure.Repeat(size, blips, balanced, 10)
+	proxy = measure.Repeat(size, blips, three, 10)
+	if 2*own.FalseEjections > proxy.FalseEjections {
+		t.Errorf("got %d false ejections against %d of three in a row, want half", own.FalseEjections, proxy.FalseEjections)
 	}
 }
 
 func BenchmarkDetection(b *testing.B) {
 	for _, size := range measure.Sizes()[:3] {
-		for _, rule := range ours() {
+		for _, rule := range projectRules() {
 			b.Run(size.Name+"/"+rule.Name, func(b *testing.B) {
 				var f measure.Figures
 				for b.Loop() {
@@ -140,7 +145,7 @@
 }
 
 func BenchmarkFalseEjections(b *testing.B) {
-	for _, rule := range append(ours(), measure.ConsecutiveFailures("3-in-a-row", 3), measure.FailureWindow()) {
+	for _, rule := range append(projectRules(), measure.ConsecutiveFailures("3-in-a-row", 3), measure.FailureWindow()) {
 		b.Run(rule.Name, func(b *testing.B) {
 			var f measure.Figures
 			for b.Loop() {
--- a/measure/all.go
+++ b/measure/repeat.go
@@ -8,17 +8,18 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Repeat plays the scenario under each of the seeds 1 to runs and adds up the
-// results, in the order of the seeds.
+// Repeat runs the scenario with as many different seeds as runs says and returns the
+// sum of the results. The same arguments give the same figures: results are added in the
+// order of the seeds, whichever run ends first.
 func Repeat(size Size, scenario Scenario, rule Rule, runs int) Figures {
 	results := make([]Figures, runs)
 	var group sync.WaitGroup
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range runs {
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
 			results[i] = Run(size, scenario, rule, uint64(i+1)<<20)
-			<-places
+			<-semaphore
 		})
 	}
 	group.Wait()
@@ -29,8 +30,7 @@
 	return sum
 }
 
-// Quantile returns the value that the part q of the values don't exceed, 0 of
-// none.
+// Quantile returns the quantile q, from 0 to 1, of the values, or 0 if there are none.
 func Quantile[T int | clock.Millis](values []T, q float64) T {
 	if len(values) == 0 {
 		return 0
--- a/measure/path.go
+++ b/measure/requests.go
@@ -5,7 +5,8 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// detectorFor returns the verdict that decides about the request.
+// detectorFor returns the detector that decides whether the entry e may use the upstream
+// u: the entry's own, or the one at the gate.
 func (r *run) detectorFor(e, u int) Detector {
 	if r.rule.AtEntry {
 		return r.entries[e].detectors[u]
@@ -13,8 +14,9 @@
 	return r.upstreams[u].gate
 }
 
-// pick chooses the less loaded of two upstreams that may be given the
-// request, each taken with the share that its status allows.
+// pick returns the less loaded of two random upstreams that may take the request. An
+// upstream is a candidate with the probability that its status gives as its share. It
+// returns false if there is no candidate or the detector does not admit the request.
 func (r *run) pick(q request) (int, bool) {
 	best := -1
 	for range 2 {
@@ -26,10 +28,13 @@
 	return best, best >= 0 && r.detectorFor(q.entry, best).Admit(r.now, q.repeatable)
 }
 
+// load returns the number of requests that run or wait at the upstream i.
 func (r *run) load(i int) int {
 	return r.upstreams[i].busy + len(r.upstreams[i].waiting)
 }
 
+// pickCandidate returns a random upstream that may take the request, or false if it
+// finds none after four attempts for each upstream.
 func (r *run) pickCandidate(q request) (int, bool) {
 	for range 4 * r.size.Upstreams {
 		i := r.random.IntN(r.size.Upstreams)
@@ -50,8 +55,8 @@
 	return 0, false
 }
 
-// deliver brings a request to its gate, which queues it or refuses it when the
-// queue is full.
+// deliver hands a request to its gate, which runs or queues the request, or refuses it
+// when the queue is full.
 func (r *run) deliver(q request) {
 	u := r.upstreams[q.upstream]
 	if r.rule.UsesBaseline {
@@ -70,7 +75,9 @@
 	}
 }
 
-// begin has the upstream work on a request.
+// begin starts a request at its upstream and schedules its end. If the request takes
+// longer than the detector's limit, its outcome is reported at the limit and not at the
+// end.
 func (r *run) begin(q request) {
 	u := r.upstreams[q.upstream]
 	u.busy++
@@ -84,12 +91,13 @@
 	q.until = r.now + latency
 	if latency > limit {
 		q.endIgnored = true
-		r.queue.add(event{at: r.now + limit, kind: turnsOverdue, request: q})
+		r.queue.add(event{at: r.now + limit, kind: overdueEvent, request: q})
 	}
-	r.queue.add(event{at: r.now + latency, kind: ends, request: q})
+	r.queue.add(event{at: r.now + latency, kind: endEvent, request: q})
 }
 
-// repeatOverdue reports a hung request again after as long again.
+// repeatOverdue schedules another report of an overdue request after the current limit,
+// unless the request ends before that.
 func (r *run) repeatOverdue(e event) {
 	limit := r.detectorFor(e.entry, e.upstream).OverdueAfter()
 	if r.now+limit < e.until {
@@ -99,6 +107,8 @@
 	}
 }
 
+// end frees the slot of a request, reports its outcome and starts the next request in
+// the queue.
 func (r *run) end(q request) {
 	u := r.upstreams[q.upstream]
 	u.busy--
@@ -113,18 +123,20 @@
 	}
 }
 
-// reply tells the entry that a request has ended or was refused.
+// reply sends the gate's baseline to the entry of a request that has ended or was
+// refused.
 func (r *run) reply(q request) {
 	q.baseline = r.upstreams[q.upstream].gate.LocalBaseline()
-	r.queue.add(event{at: r.now + hop, kind: replies, request: q})
+	r.queue.add(event{at: r.now + hopDelay, kind: replyEvent, request: q})
 }
 
-// observe tells the outcome to the verdict and settles what it changed.
+// observe passes the outcome to the detector and counts the detection or the false
+// ejection that follows from it.
 func (r *run) observe(q request, result health.Result, latency clock.Millis) {
 	u := r.upstreams[q.upstream]
 	p := u.faultWindow
-	target := p != nil && !p.NoEjection && r.now >= p.From && r.now < p.To+falseEjectionGrace
-	if target {
+	isTarget := p != nil && !p.NoEjection && r.now >= p.From && r.now < p.To+falseEjectionGrace
+	if isTarget {
 		p.outcomes++
 	} else {
 		r.figures.HealthyOutcomes++
@@ -132,38 +144,39 @@
 	if result == health.Failed || result == health.Overdue {
 		r.figures.Bad++
 	}
-	v := r.detectorFor(q.entry, q.upstream)
-	v.Observe(r.now, health.Observation{Result: result, Latency: latency, StillOverdue: q.stillOverdue, Caller: q.caller})
-	aside := v.Status(r.now).State == health.Ejected
+	detector := r.detectorFor(q.entry, q.upstream)
+	detector.Observe(r.now, health.Observation{Result: result, Latency: latency, StillOverdue: q.stillOverdue, Caller: q.caller})
+	ejected := detector.Status(r.now).State == health.Ejected
 	switch {
-	case !aside:
-	case target:
+	case !ejected:
+	case isTarget:
 		r.recordDetection(p)
-	case r.justEjected(v):
+	case r.justEjected(detector):
 		r.figures.FalseEjections++
 	}
 }
 
-// justEjected reports whether the verdict fell at this instant.
-func (r *run) justEjected(v Detector) bool {
-	s := v.Status(r.now)
+// justEjected reports whether the detector ejected its upstream at this instant. A
+// proxyRule records no evidence, so the end of its hold-off shows when it began.
+func (r *run) justEjected(detector Detector) bool {
+	s := detector.Status(r.now)
 	return s.Evidence.At == r.now || s.Evidence.At == 0 && s.Until == r.now+proxyHoldOff
 }
 
-// recordDetection ends the wait for a spell's detection: at a gate the verdict is in
-// force at once, at entries once half of them have it.
+// recordDetection marks the fault as detected: immediately if the detector is at the
+// gate, or once at least half of the entries have ejected the upstream.
 func (r *run) recordDetection(p *detection) {
 	if p.detected || r.now >= p.To {
 		return
 	}
 	if r.rule.AtEntry {
-		aside := 0
+		ejected := 0
 		for _, e := range r.entries {
 			if e.detectors[p.Upstream].Status(r.now).State == health.Ejected {
-				aside++
+				ejected++
 			}
 		}
-		if 2*aside < len(r.entries) {
+		if 2*ejected < len(r.entries) {
 			return
 		}
 	}
@@ -173,6 +186,7 @@
 	r.figures.DetectionTimes = append(r.figures.DetectionTimes, r.now-p.From)
 }
 
+// finish counts the missed faults and the time over which false ejections were counted.
 func (r *run) finish() {
 	for _, p := range r.faultWindows {
 		if !p.NoEjection && !p.detected {
--- a/measure/rules.go
+++ b/measure/rules.go
@@ -6,7 +6,8 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// Settings of the usual rules: the defaults of common proxies.
+// Settings of the rules that this project's own are compared with. They are the defaults
+// of common proxies.
 const (
 	proxyHoldOff    = 30 * clock.Second
 	proxyTimeout    = 2 * clock.Second
@@ -14,14 +15,16 @@
 	maxWindowFailed = 15
 )
 
-// GateRule returns this project's rule at the gate with a caution.
+// GateRule returns this project's rule with the given caution. The detector of each
+// upstream runs at its gate.
 func GateRule(caution table.Caution) Rule {
 	return Rule{Name: string(caution), UsesBaseline: true, New: func(seed uint64) Detector {
 		return health.New(health.Config{Caution: caution, Seed: seed})
 	}}
 }
 
-// EntryRule returns the same rule, judged at each entry.
+// EntryRule returns this project's rule with the given caution. Each entry runs its
+// own detectors, without the service's baseline.
 func EntryRule(caution table.Caution) Rule {
 	rule := GateRule(caution)
 	rule.Name += ", at each entry"
@@ -29,18 +32,18 @@
 	return rule
 }
 
-// ConsecutiveFailures returns the rule that sets aside after limit failures in a row.
+// ConsecutiveFailures returns a rule that ejects an upstream after limit failures in a row.
 func ConsecutiveFailures(name string, limit int) Rule {
 	return Rule{Name: name, New: func(uint64) Detector { return &consecutiveFailures{limit: limit} }}
 }
 
-// FailureWindow returns the rule that sets aside when more than 15 of the last 100
-// outcomes failed.
+// FailureWindow returns a rule that ejects an upstream when more than 15 of its last
+// 100 outcomes failed.
 func FailureWindow() Rule {
 	return Rule{Name: "over 15 of 100", New: func(uint64) Detector { return &failureWindow{} }}
 }
 
-// Rules returns this project's rules and the usual ones.
+// Rules returns this project's rules and those of common proxies.
 func Rules() []Rule {
 	return []Rule{
 		GateRule(table.Fast), GateRule(table.Balanced), GateRule(table.Cautious),
@@ -49,33 +52,34 @@
 	}
 }
 
-// proxyRule is what the usual rules have in common: no baseline, no trial, a
-// constant hold-off and timeout.
+// proxyRule is the part that the rules of common proxies share: a constant hold-off
+// and a constant timeout, without a baseline or trial requests.
 type proxyRule struct {
 	until   clock.Millis
 	ejected bool
 }
 
-func (u *proxyRule) SetBaseline(health.Baseline)         {}
-func (u *proxyRule) RecordProbe(clock.Millis, bool)      {}
-func (u *proxyRule) LocalBaseline() health.Baseline      { return health.Baseline{} }
-func (u *proxyRule) OverdueAfter() clock.Millis          { return proxyTimeout }
-func (u *proxyRule) Admit(now clock.Millis, _ bool) bool { return u.Status(now).State == health.InUse }
+func (r *proxyRule) SetBaseline(health.Baseline)         {}
+func (r *proxyRule) RecordProbe(clock.Millis, bool)      {}
+func (r *proxyRule) LocalBaseline() health.Baseline      { return health.Baseline{} }
+func (r *proxyRule) OverdueAfter() clock.Millis          { return proxyTimeout }
+func (r *proxyRule) Admit(now clock.Millis, _ bool) bool { return r.Status(now).State == health.InUse }
 
-func (u *proxyRule) Status(now clock.Millis) health.Status {
-	if u.ejected && now >= u.until {
-		u.ejected = false
+func (r *proxyRule) Status(now clock.Millis) health.Status {
+	if r.ejected && now >= r.until {
+		r.ejected = false
 	}
-	if u.ejected {
-		return health.Status{State: health.Ejected, Until: u.until}
+	if r.ejected {
+		return health.Status{State: health.Ejected, Until: r.until}
 	}
 	return health.Status{Share: 1}
 }
 
-func (u *proxyRule) eject(now clock.Millis) {
-	u.ejected, u.until = true, now+proxyHoldOff
+func (r *proxyRule) eject(now clock.Millis) {
+	r.ejected, r.until = true, now+proxyHoldOff
 }
 
+// consecutiveFailures is the detector of ConsecutiveFailures.
 type consecutiveFailures struct {
 	proxyRule
 	limit, failed int
@@ -97,17 +101,19 @@
 	return true
 }
 
+// failureWindow is the detector of FailureWindow. last is a ring buffer that holds true
+// for each failed outcome.
 type failureWindow struct {
 	proxyRule
-	last          [windowLength]bool
-	taken, failed int
+	last             [windowLength]bool
+	observed, failed int
 }
 
 func (w *failureWindow) Observe(now clock.Millis, o health.Observation) bool {
 	if o.Result != health.Good && o.Result != health.Failed && o.Result != health.Overdue {
 		return false
 	}
-	i := w.taken % windowLength
+	i := w.observed % windowLength
 	if w.last[i] {
 		w.failed--
 	}
@@ -115,11 +121,11 @@
 	if w.last[i] {
 		w.failed++
 	}
-	w.taken++
-	if w.taken < windowLength || w.failed <= maxWindowFailed || w.Status(now).State == health.Ejected {
+	w.observed++
+	if w.observed < windowLength || w.failed <= maxWindowFailed || w.Status(now).State == health.Ejected {
 		return false
 	}
-	w.last, w.taken, w.failed = [windowLength]bool{}, 0, 0
+	w.last, w.observed, w.failed = [windowLength]bool{}, 0, 0
 	w.eject(now)
 	return true
 }
--- a/measure/run.go
+++ b/measure/run.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// hop is the time that a reply takes from a gate to an entry.
-	hop clock.Millis = 1
-	// queueFactor bounds the requests that wait at a gate, in slots.
+	// hopDelay is the time that a reply takes from a gate to an entry.
+	hopDelay clock.Millis = 1
+	// queueFactor is the length of a gate's queue, in requests per slot.
 	queueFactor = 2
-	// probeInterval is the span between two probes of a gate.
+	// probeInterval is the time between two health probes of an upstream.
 	probeInterval = clock.Second
-	// repeatableShare of the requests may be sent again.
+	// repeatableShare is the share of requests that may be sent more than once.
 	repeatableShare = 0.8
-	// falseEjectionGrace after a spell, a set aside is not yet a false one.
+	// falseEjectionGrace is how long after the end of a fault an ejection does not
+	// count as false.
 	falseEjectionGrace = 5 * clock.Second
 )
 
-// run is one service in virtual time.
+// run is the state of one service in virtual time.
 type run struct {
 	size     Size
 	scenario Scenario
@@ -39,7 +40,8 @@
 	figures      Figures
 }
 
-// Run plays the scenario once.
+// Run runs the scenario once and returns its figures. The same seed gives the same
+// figures.
 func Run(size Size, scenario Scenario, rule Rule, seed uint64) Figures {
 	r := &run{
 		size: size, scenario: scenario, rule: rule, seed: seed,
@@ -64,9 +66,9 @@
 func (r *run) prepare() {
 	for i := range r.size.Upstreams {
 		r.upstreams = append(r.upstreams, &upstream{gate: r.newDetector(i)})
-		r.queue.add(event{at: probeInterval * clock.Millis(i+1) / clock.Millis(r.size.Upstreams), kind: probes, request: request{upstream: i}})
+		r.queue.add(event{at: probeInterval * clock.Millis(i+1) / clock.Millis(r.size.Upstreams), kind: probeEvent, request: request{upstream: i}})
 		if r.scenario.Blip > 0 {
-			r.queue.add(event{at: r.exponential(r.scenario.Blip), kind: blips, request: request{upstream: i}})
+			r.queue.add(event{at: r.exponential(r.scenario.Blip), kind: blipEvent, request: request{upstream: i}})
 		}
 	}
 	for range r.size.Entries {
@@ -87,9 +89,9 @@
 			r.undetected++
 		}
 	}
-	r.queue.add(event{kind: arrives})
+	r.queue.add(event{kind: arrivalEvent})
 	if r.scenario.Poison > 0 {
-		r.queue.add(event{at: onset, kind: poisons})
+		r.queue.add(event{at: onset, kind: poisonEvent})
 	}
 }
 
@@ -98,34 +100,36 @@
 	return r.rule.New(r.seed<<16 + uint64(i))
 }
 
-// exponential draws an exponential span, of at least a millisecond.
+// exponential draws a duration from the exponential distribution with the given mean,
+// and returns at least one millisecond.
 func (r *run) exponential(mean clock.Millis) clock.Millis {
 	return max(1, clock.Millis(r.random.ExpFloat64()*float64(mean)))
 }
 
 func (r *run) handle(e event) {
 	switch e.kind {
-	case arrives:
+	case arrivalEvent:
 		r.arrive()
-	case poisons:
+	case poisonEvent:
 		r.poison()
-	case turnsOverdue:
+	case overdueEvent:
 		r.observe(e.request, health.Overdue, r.now-e.sent)
 		r.repeatOverdue(e)
-	case ends:
+	case endEvent:
 		r.end(e.request)
-	case replies:
+	case replyEvent:
 		r.entries[e.entry].receiveBaseline(r.now, e.request)
-	case probes:
+	case probeEvent:
 		r.probe(e.upstream)
-	case blips:
+	case blipEvent:
 		r.upstreams[e.upstream].blipUntil = r.now + r.scenario.BlipLength
-		r.queue.add(event{at: r.now + r.exponential(r.scenario.Blip), kind: blips, request: e.request})
+		r.queue.add(event{at: r.now + r.exponential(r.scenario.Blip), kind: blipEvent, request: e.request})
 	}
 }
 
-// arrive takes one request at a random entry, and draws when the next comes.
-// Arrivals are Poisson: those within one millisecond share its instant.
+// arrive handles the arrival of one request at a random entry and schedules the next
+// arrival. Arrivals are a Poisson process rounded to milliseconds, so several may share
+// one timestamp.
 func (r *run) arrive() {
 	rate := r.size.Rate * float64(r.size.Upstreams)
 	if r.surging() {
@@ -136,7 +140,7 @@
 	if r.random.Float64() < gap-float64(whole) {
 		whole++
 	}
-	r.queue.add(event{at: r.now + whole, kind: arrives})
+	r.queue.add(event{at: r.now + whole, kind: arrivalEvent})
 	q := request{
 		entry:      r.random.IntN(len(r.entries)),
 		caller:     r.callers[r.random.IntN(len(r.callers))],
@@ -153,13 +157,15 @@
 	return r.now >= r.scenario.SurgeFrom && r.now < r.scenario.SurgeTo
 }
 
-// poison sends one request of the bad caller to its victim.
+// poison sends one request of the bad caller to its victim and schedules the caller's
+// next one.
 func (r *run) poison() {
 	rate := r.size.Rate * r.scenario.Poison
-	r.queue.add(event{at: r.now + r.exponential(clock.Millis(float64(clock.Second)/rate)), kind: poisons})
+	r.queue.add(event{at: r.now + r.exponential(clock.Millis(float64(clock.Second)/rate)), kind: poisonEvent})
 	r.deliver(request{caller: "poison", upstream: r.scenario.Victim, entry: r.random.IntN(len(r.entries))})
 }
 
+// startFaultWindows assigns each fault window that has begun to its upstream.
 func (r *run) startFaultWindows() {
 	for _, p := range r.faultWindows {
 		u := r.upstreams[p.Upstream]
@@ -173,10 +179,12 @@
 	}
 }
 
+// probe records the result of one health probe of the upstream i at its gate and
+// schedules the next probe.
 func (r *run) probe(i int) {
 	u := r.upstreams[i]
 	ok := !u.faultWindow.active(r.now) || r.scenario.ProbesPass ||
 		r.random.Float64() >= u.faultWindow.Fault.Fails+u.faultWindow.Fault.Hangs
 	u.gate.RecordProbe(r.now, ok)
-	r.queue.add(event{at: r.now + probeInterval, kind: probes, request: request{upstream: i}})
+	r.queue.add(event{at: r.now + probeInterval, kind: probeEvent, request: request{upstream: i}})
 }
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -4,60 +4,67 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Fault is what is wrong with an upstream during a spell. Shares are of its
-// requests, from 0 to 1.
+// Fault describes how an upstream misbehaves during a FaultWindow. Shares are
+// fractions of the requests to that upstream, from 0 to 1.
 type Fault struct {
-	// Fails is the share that fails.
+	// Fails is the share of requests that fail.
 	Fails float64
-	// Slow is the share that takes Factor times as long.
+	// Slow is the share of requests whose latency is multiplied by Factor.
 	Slow, Factor float64
-	// Hangs is the share that gets no answer at all.
+	// Hangs is the share of requests that get no answer.
 	Hangs float64
-	// Flap, if set, switches the fault on and off: it is on in the first half
-	// of each such period.
+	// Flap, if not 0, is the period of an intermittent fault, which is active in
+	// the first half of each period.
 	Flap clock.Millis
-	// Replaced gives the upstream a new instance at the onset, with a new
-	// gate, whose latency starts at Factor times the usual and falls.
+	// Replaced starts a new instance of the upstream, with a new gate, at the
+	// onset. Its latency starts at Factor times the normal latency and decays.
 	Replaced bool
 }
 
-// FaultWindow is a fault of one upstream from an instant to another.
+// FaultWindow is a fault of the upstream with index Upstream that lasts from From
+// until just before To.
 type FaultWindow struct {
 	Upstream int
 	From, To clock.Millis
 	Fault    Fault
-	// NoEjection says that the upstream must not be set aside for it.
+	// NoEjection marks a fault that must not get the upstream ejected. An
+	// ejection during the window counts as false.
 	NoEjection bool
 }
 
-// Scenario is one thing that happens to a service.
+// Scenario describes the load and the faults of a service during one run.
 type Scenario struct {
 	Name         string
 	FaultWindows []FaultWindow
-	// Length bounds the run. It ends sooner once all spells are detected,
-	// but for a Whole one.
+	// Length bounds the run. Without RunToEnd, the run ends as soon as all faults
+	// that call for an ejection are detected.
 	Length   clock.Millis
 	RunToEnd bool
-	// SurgeFrom, SurgeTo and Surge multiply the load for a time.
+	// The load is multiplied by Surge from SurgeFrom until just before SurgeTo.
 	SurgeFrom, SurgeTo clock.Millis
 	Surge              float64
-	// Blip, if set, is the mean time between spans of BlipSpan in which all
-	// that an otherwise healthy upstream answers has failed.
+	// Blip, if not 0, is the mean time between blips: periods of BlipLength in
+	// which every request to an otherwise healthy upstream fails.
 	Blip, BlipLength clock.Millis
-	// Poison is the share of requests that one bad caller adds at Victim,
-	// all of which fail; the caller names itself.
+	// Poison is the load that one bad caller adds at the upstream Victim, as a
+	// share of the normal load of one upstream. All of its requests fail, and
+	// they carry the caller's name.
 	Poison float64
 	Victim int
-	// ProbesPass has an upstream answer all its probes.
+	// ProbesPass makes health probes succeed during a fault.
 	ProbesPass bool
 }
 
-// onset is when the spells begin: after 200 outcomes at the least load.
+// onset is when the faults begin. By then, an upstream has produced at least 200
+// outcomes even at the lowest load.
 const onset = 15 * clock.Second
 
-// detectionTimeout bounds the wait for a detection.
+// detectionTimeout is how long a fault lasts by default. A fault that is not detected
+// before it ends counts as missed.
 const detectionTimeout = 2 * clock.Minute
 
+// faulty returns a scenario in which the upstream with index 1 has the fault from the
+// onset to the end.
 func faulty(name string, fault Fault) Scenario {
 	return Scenario{
 		Name:         name,
@@ -66,12 +73,13 @@
 	}
 }
 
-// ReferenceFault returns the scenario that the main bounds are for.
+// ReferenceFault returns the scenario to which the main bounds on detection apply: an
+// upstream that fails 30% of its requests.
 func ReferenceFault() Scenario {
 	return faulty("fails 30%", Fault{Fails: 0.3})
 }
 
-// Faults returns the scenarios in which a sick upstream must be found.
+// Faults returns the scenarios in which a faulty upstream must be ejected.
 func Faults() []Scenario {
 	const second = onset + clock.Minute
 	probes := faulty("answers probes, fails 30%", Fault{Fails: 0.3})
@@ -101,7 +109,8 @@
 	}
 }
 
-// Flaps returns the scenarios of an upstream that fails in half of the time.
+// Flaps returns the scenarios of an upstream whose requests all fail in half of each
+// period, one scenario for each period.
 func Flaps() []Scenario {
 	periods := []clock.Millis{2 * clock.Second, 20 * clock.Second, 2 * clock.Minute}
 	all := make([]Scenario, 0, len(periods))
@@ -114,7 +123,7 @@
 	return all
 }
 
-// NoEjection returns the scenarios in which nobody may be set aside.
+// NoEjection returns the scenarios in which no upstream may be ejected.
 func NoEjection(size Size) []Scenario {
 	cold := faulty("cold start", Fault{Factor: 5, Replaced: true})
 	cold.FaultWindows[0].To = onset + 45*clock.Second
@@ -138,6 +147,8 @@
 	return all
 }
 
+// commonFault returns a scenario in which all upstreams have the same fault at the same
+// time for 30 s.
 func commonFault(size Size, name string, fault Fault) Scenario {
 	s := Scenario{Name: name}
 	for i := range size.Upstreams {
@@ -146,7 +157,7 @@
 	return s
 }
 
-// Healthy returns a scenario in which nothing is wrong for the length.
+// Healthy returns a scenario of the given length without any fault.
 func Healthy(length clock.Millis) Scenario {
 	return Scenario{Name: "healthy", Length: length, RunToEnd: true}
 }
--- a/measure/upstream.go
+++ b/measure/upstream.go
@@ -8,17 +8,18 @@
 	"fuchsiapick.example/fuchsiapick/health"
 )
 
-// deadline is when a request is given up; a hung one holds its slot until then.
+// deadline is how long a request may take. A hung request holds its slot for that
+// long.
 const deadline = 5 * clock.Second
 
-// While a surge fills all slots, the upstream sheds shedShare of the requests
-// and serves the others at shedFactor times the latency.
+// While a surge fills all slots, the upstream sheds shedShare of the requests, each
+// after shedTime, and serves the others at shedFactor times the latency.
 const (
 	shedShare  = 0.3
 	shedFactor = 2
 	shedTime   = 2
-	// coldDecay is the time in which the latency of a cold start falls to a
-	// third of its excess.
+	// coldDecay is the time constant with which the excess latency of a cold
+	// start decays: after it, about a third (1/e) of the excess is left.
 	coldDecay = 10 * clock.Second
 )
 
@@ -27,28 +28,31 @@
 	gate    Detector
 	busy    int
 	waiting []request
-	// faultWindow is the latest begun one, nil before.
+	// faultWindow is the fault window that began last, nil before the first.
 	faultWindow *detection
 	blipUntil   clock.Millis
 }
 
-// detection is how far the detection of a spell is.
+// detection is the progress of detecting a fault: the outcomes since its onset, and
+// whether the upstream has been ejected for it.
 type detection struct {
 	FaultWindow
 	outcomes int
 	detected bool
 }
 
-// active reports whether the fault is on.
-func (p *detection) active(now clock.Millis) bool {
-	if p == nil || now < p.From || now >= p.To {
+// active reports whether the fault is in effect, which a flapping fault is in the first
+// half of each period.
+func (d *detection) active(now clock.Millis) bool {
+	if d == nil || now < d.From || now >= d.To {
 		return false
 	}
-	f := p.Fault.Flap
-	return f == 0 || (now-p.From)%f < f/2
+	f := d.Fault.Flap
+	return f == 0 || (now-d.From)%f < f/2
 }
 
-// respond draws how a request goes that begins now.
+// respond draws the result and the latency of a request that the upstream begins to
+// serve now.
 func (u *upstream) respond(now clock.Millis, size Size, surge bool, random *rand.Rand) (health.Result, clock.Millis) {
 	latency := math.Exp(random.NormFloat64()*size.Spread) * float64(size.Median)
 	result := health.Good
