--- a/measure/episodes/services.go
+++ b/measure/episodes/services.go
@@ -4,58 +4,62 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Policy says how requests find an upstream.
+// Policy is the way in which requests are routed to upstreams.
 type Policy uint8
 
 // The policies.
 const (
-	// RoundRobin is round robin at each entry, a second try elsewhere after a
-	// failure, and a queue in order of arrival.
+	// RoundRobin is the baseline: round robin at each entry, one retry after a
+	// failure, and a first-in, first-out queue at each upstream.
 	RoundRobin Policy = iota
-	// ShortEpisodes is what entries and gates do at caution brief.
+	// ShortEpisodes is what entries and gates do with the caution "brief".
 	ShortEpisodes
-	// Oracle is one central queue by rank that knows which upstreams fail: what
-	// no fleet without a word between its nodes can reach.
+	// Oracle is one central priority queue that knows which upstreams are failing. No
+	// fleet reaches its results without communication between its nodes.
 	Oracle
 )
 
 // Kind is one kind of request.
 type Kind struct {
 	Name string
-	// PerSecond counts over all entries.
+	// PerSecond is the number of requests per second at all entries together.
 	PerSecond float64
-	// Work is the mean time of a run, Spread the sigma of its log-normal.
+	// Work is the mean time of a run, Spread the sigma of its log-normal
+	// distribution.
 	Work   clock.Millis
 	Spread float64
-	// Target is when an answer is late, Timeout when it is none.
+	// Target is the time within which an answer counts as in target. After Timeout,
+	// the request counts as failed.
 	Target, Timeout clock.Millis
 	Priority        int
 	Repeatable      bool
-	// EntryStride says that one entry in so many sends it, 0 that all do.
+	// EntryStride restricts the kind to one in EntryStride entries; 0 means all
+	// entries.
 	EntryStride int
 }
 
-// Config is one run.
+// Config describes one run.
 type Config struct {
 	Policy    Policy
 	Kinds     []Kind
 	Entries   int
 	Upstreams int
 	Slots     int
-	// Domains is over how many failure domains entries and upstreams are spread, 0
-	// for one; Calling is how many of these have callers, 0 for all.
+	// Domains is the number of failure domains over which entries and upstreams are
+	// spread; 0 means one. CallingDomains is the number of these that have callers;
+	// 0 means all.
 	Domains, CallingDomains int
-	// Hangs says that what fails in an episode hangs until its time is over.
+	// Hangs makes requests that fail in an episode hang until their timeout.
 	Hangs bool
-	// Load multiplies the rates.
+	// Load multiplies the request rates of all kinds.
 	Load float64
-	// Span is the length of the run.
+	// Span is how long new requests arrive.
 	Span clock.Millis
 	Seed uint64
 }
 
-// Squadre is the crew rosters on an ordinary day, with as many confirmations as
-// make requests that run once only measurable.
+// Squadre returns the crew roster service on an ordinary day, with enough confirmations
+// to measure the results of requests that can't be repeated.
 func Squadre() Config {
 	return Config{
 		Kinds: []Kind{
@@ -68,7 +72,8 @@
 	}
 }
 
-// Rosters is the crew rosters of a larger deployment whose upstreams hang in their episodes.
+// Rosters returns the crew roster service of a larger deployment, whose upstreams hang in
+// their episodes.
 func Rosters() Config {
 	return Config{
 		Kinds: []Kind{
@@ -81,8 +86,8 @@
 	}
 }
 
-// Listings is the price lists of the larger deployment: most of its requests may be
-// repeated, and each of many entries sends one in two seconds.
+// Listings returns the price list service of the larger deployment. Most of its requests
+// may be repeated, and each of its many entries sends one in about two seconds.
 func Listings() Config {
 	return Config{
 		Kinds: []Kind{
@@ -93,8 +98,9 @@
 	}
 }
 
-// Revisions is the price revisions of the larger deployment, which run once only, and the
-// checks that price lists make before: few entries send these.
+// Revisions returns the price revision service of the larger deployment. Revisions can't
+// be repeated; the checks that price lists make before them can, and few entries send
+// these.
 func Revisions() Config {
 	return Config{
 		Kinds: []Kind{
@@ -105,8 +111,8 @@
 	}
 }
 
-// Conferme is the confirmations of the larger deployment: most of its requests run
-// once only.
+// Conferme returns the confirmation service of the larger deployment. Most of its
+// requests can't be repeated.
 func Conferme() Config {
 	return Config{
 		Kinds: []Kind{
