--- a/measure/overload/entry.go
+++ b/measure/overload/entry.go
@@ -6,99 +6,100 @@
 	"fuchsiapick.example/fuchsiapick/retry"
 )
 
-// entry routes requests and sends them again.
+// entry routes and retries requests.
 type entry struct {
-	world   *world
-	domain  string
-	chooser *choice.Chooser
-	budget  *retry.Budget
-	all     []choice.Candidate
-	// inFlight counts the entry's outstanding requests by upstream, heard is the
-	// load last heard and at when.
+	sim        *simulation
+	domain     string
+	chooser    *choice.Chooser
+	budget     *retry.Budget
+	candidates []choice.Candidate
+	// inFlight counts the requests in flight from this entry, reportedLoad holds the
+	// load that gates reported last, and reportedAt when they did, all by upstream.
 	inFlight     []int
 	reportedLoad []int
 	reportedAt   []clock.Millis
-	turn         int
+	lastChosen   int
 }
 
-func newEntry(w *world, i int) *entry {
-	n := len(w.gates)
+func newEntry(sim *simulation, i int) *entry {
+	n := len(sim.gates)
 	e := &entry{
-		world:        w,
-		domain:       w.domain(i),
+		sim:          sim,
+		domain:       sim.domain(i),
 		inFlight:     make([]int, n),
 		reportedLoad: make([]int, n),
 		reportedAt:   make([]clock.Millis, n),
-		turn:         w.random.IntN(n),
+		lastChosen:   sim.random.IntN(n),
 	}
-	seed := w.random.Uint64()
+	seed := sim.random.Uint64()
 	e.chooser = choice.New(choice.Config{Domain: e.domain, Seed: seed})
-	e.budget = retry.New(retry.Config{Share: w.config.Share, Seed: seed})
+	e.budget = retry.New(retry.Config{Share: sim.config.Share, Seed: seed})
 	for u := range n {
-		e.all = append(e.all, choice.Candidate{
-			Domain: w.domain(u), Weight: 1, Slots: w.config.Slots, Share: 1, Usable: true,
+		e.candidates = append(e.candidates, choice.Candidate{
+			Domain: sim.domain(u), Weight: 1, Slots: sim.config.Slots, Share: 1, Usable: true,
 		})
 	}
 	return e
 }
 
-// begin sends a request the first time.
+// begin makes the first attempt at a request and schedules its hedge.
 func (e *entry) begin(r *request) {
-	now := e.world.events.now
+	now := e.sim.scheduler.now
 	e.budget.RecordRequest(now)
 	e.send(r)
-	if h := e.world.config.Hedge; h > 0 {
-		e.world.events.after(h, func() { e.retry(r, retry.NoResponse, 0) })
+	if h := e.sim.config.Hedge; h > 0 {
+		e.sim.scheduler.after(h, func() { e.retry(r, retry.NoResponse, 0) })
 	}
 }
 
-// send makes an attempt at an upstream not yet tried.
+// send makes an attempt at an upstream that has not been tried, if there is one.
 func (e *entry) send(r *request) {
 	u, ok := e.pick(r)
 	if !ok {
 		return
 	}
-	w := e.world
-	w.tickets++
-	w.result.Attempts++
-	a := &attempt{request: r, gate: w.gates[u], ticket: w.tickets}
-	if w.domain(u) != e.domain {
-		a.hop = w.config.Hop
+	sim := e.sim
+	sim.tickets++
+	sim.result.Attempts++
+	a := &attempt{request: r, gate: sim.gates[u], ticket: sim.tickets}
+	if sim.domain(u) != e.domain {
+		a.hopDelay = sim.config.Hop
 	}
 	r.tried[u] = true
 	r.tries++
 	e.inFlight[u]++
-	w.events.after(a.hop, func() { a.gate.arrive(a) })
-	if t := w.config.Timeout; t > 0 {
-		w.events.after(t, func() { e.timeout(a) })
+	sim.scheduler.after(a.hopDelay, func() { a.gate.arrive(a) })
+	if t := sim.config.Timeout; t > 0 {
+		sim.scheduler.after(t, func() { e.timeout(a) })
 	}
 }
 
-// pick returns an upstream. With unlimited retries all may be tried anew when
-// none is left.
+// pick returns an upstream that has not been tried, or false if there is none. With
+// unlimited retries, all may be tried again once none is left.
 func (e *entry) pick(r *request) (int, bool) {
-	if e.world.config.Retries == Unlimited && e.untried(r) == 0 {
+	if e.sim.config.Retries == Unlimited && e.untried(r) == 0 {
 		clear(r.tried)
 	}
-	if e.world.config.Routing == RoundRobin {
-		for range e.all {
-			e.turn = (e.turn + 1) % len(e.all)
-			if !r.tried[e.turn] {
-				return e.turn, true
+	if e.sim.config.Routing == RoundRobin {
+		for range e.candidates {
+			e.lastChosen = (e.lastChosen + 1) % len(e.candidates)
+			if !r.tried[e.lastChosen] {
+				return e.lastChosen, true
 			}
 		}
 		return 0, false
 	}
-	now := e.world.events.now
-	if aside := e.world.config.EjectAt; aside > 0 && now >= aside {
-		e.all[0].Usable = false
+	now := e.sim.scheduler.now
+	if ejectAt := e.sim.config.EjectAt; ejectAt > 0 && now >= ejectAt {
+		e.candidates[0].Usable = false
 	}
-	for u := range e.all {
-		e.all[u].InFlight = max(e.inFlight[u], choice.DecayLoad(e.reportedLoad[u], now-e.reportedAt[u]))
+	for u := range e.candidates {
+		e.candidates[u].InFlight = max(e.inFlight[u], choice.DecayLoad(e.reportedLoad[u], now-e.reportedAt[u]))
 	}
-	return e.chooser.Choose(e.all, func(i int) bool { return r.tried[i] })
+	return e.chooser.Choose(e.candidates, func(i int) bool { return r.tried[i] })
 }
 
+// untried returns the number of upstreams that the request has not tried.
 func (e *entry) untried(r *request) int {
 	n := 0
 	for _, tried := range r.tried {
@@ -109,7 +110,7 @@
 	return n
 }
 
-// complete ends an attempt that got no answer yet.
+// complete stops counting an attempt as in flight.
 func (e *entry) complete(a *attempt) {
 	if !a.done {
 		a.done = true
@@ -117,31 +118,33 @@
 	}
 }
 
+// recordLoad completes an attempt and records the load that the gate reported.
 func (e *entry) recordLoad(a *attempt, load int) {
 	e.complete(a)
 	e.reportedLoad[a.gate.index] = load
-	e.reportedAt[a.gate.index] = e.world.events.now
+	e.reportedAt[a.gate.index] = e.sim.scheduler.now
 }
 
-// answered takes an answer; one that isn't whole was cut off at its deadline.
-func (e *entry) answered(a *attempt, load int, whole bool) {
+// answered handles an answer. An attempt that was cancelled at its deadline is not complete.
+func (e *entry) answered(a *attempt, load int, isComplete bool) {
 	e.recordLoad(a, load)
-	e.budget.RecordReply(e.world.events.now, false)
-	if whole && !a.request.done {
-		e.world.serve(a.request)
+	e.budget.RecordReply(e.sim.scheduler.now, false)
+	if isComplete && !a.request.done {
+		e.sim.serve(a.request)
 	}
 }
 
-// refused takes a "not run".
+// refused handles the answer "not run". If the retry rule does not allow a retry, the
+// request ends as refused.
 func (e *entry) refused(a *attempt, load int, after clock.Millis) {
 	e.recordLoad(a, load)
-	e.budget.RecordReply(e.world.events.now, true)
+	e.budget.RecordReply(e.sim.scheduler.now, true)
 	if !e.retry(a.request, retry.NotRun, after) && !a.request.done {
-		e.world.refuse(a.request, after)
+		e.sim.refuse(a.request, after)
 	}
 }
 
-// timeout sends an unanswered request again.
+// timeout retries a request whose attempt has not been answered.
 func (e *entry) timeout(a *attempt) {
 	if !a.done {
 		e.complete(a)
@@ -149,13 +152,13 @@
 	}
 }
 
-// retry sends a request again if the rule allows it, and says whether it did.
+// retry sends a request again if the retry rule allows it, and reports whether it did.
 func (e *entry) retry(r *request, result retry.Result, after clock.Millis) bool {
-	now := e.world.events.now
+	now := e.sim.scheduler.now
 	if r.done {
 		return false
 	}
-	switch e.world.config.Retries {
+	switch e.sim.config.Retries {
 	case NoRetries:
 		return false
 	case Unlimited:
--- a/measure/overload/gate.go
+++ b/measure/overload/gate.go
@@ -5,60 +5,62 @@
 	"fuchsiapick.example/fuchsiapick/limit"
 )
 
-// gate is one upstream and its queue.
+// gate is the gate of one upstream, with its slots and queue.
 type gate struct {
-	world      *world
+	sim        *simulation
 	index      int
 	slowFactor clock.Millis
 	slots      *limit.Slots
 	queued     map[uint64]*attempt
-	// running and line are the state of an Endless queue.
+	// running and unboundedQueue are the state of an Unbounded queue.
 	running        int
 	unboundedQueue []*attempt
 }
 
-func newGate(w *world, i int) *gate {
-	g := &gate{world: w, index: i, slowFactor: 1, queued: make(map[uint64]*attempt)}
+func newGate(sim *simulation, i int) *gate {
+	g := &gate{sim: sim, index: i, slowFactor: 1, queued: make(map[uint64]*attempt)}
 	if i == 0 {
-		g.slowFactor = clock.Millis(w.config.Slow)
+		g.slowFactor = clock.Millis(sim.config.Slow)
 	}
 	g.slots = limit.NewSlots(limit.SlotsConfig{
-		Slots: w.config.Slots, Queue: w.config.Waiting, Seed: w.config.Seed + uint64(i),
+		Slots: sim.config.Slots, Queue: sim.config.Waiting, Seed: sim.config.Seed + uint64(i),
 	})
 	return g
 }
 
-// load is what the gate tells with every answer.
+// load returns the number of requests that run or wait at the gate, which every answer
+// reports.
 func (g *gate) load() int {
-	if g.world.config.Queue == Unbounded {
+	if g.sim.config.Queue == Unbounded {
 		return g.running + len(g.unboundedQueue)
 	}
 	l := g.slots.Load()
 	return l.InFlight + l.Waiting
 }
 
-// arrive takes an attempt off the link.
+// arrive runs, queues or refuses an attempt.
 func (g *gate) arrive(a *attempt) {
-	if g.world.config.Queue == Unbounded {
+	if g.sim.config.Queue == Unbounded {
 		g.unboundedQueue = append(g.unboundedQueue, a)
 		g.startUnbounded()
 		return
 	}
-	now := g.world.events.now
+	now := g.sim.scheduler.now
 	offer := g.slots.AcquireUntil(now, a.ticket, a.request.deadline)
 	switch offer.Result {
 	case limit.Run:
 		g.start(a)
 	case limit.Wait:
 		g.queued[a.ticket] = a
-		g.world.events.after(a.request.deadline-now, g.expire)
+		g.sim.scheduler.after(a.request.deadline-now, g.expire)
 	case limit.Full, limit.Late:
 		g.refuse(a, offer.RetryAfter)
 	}
 }
 
+// startUnbounded starts attempts of the unbounded queue while slots are free.
 func (g *gate) startUnbounded() {
-	for g.running < g.world.config.Slots && len(g.unboundedQueue) > 0 {
+	for g.running < g.sim.config.Slots && len(g.unboundedQueue) > 0 {
 		g.running++
 		a := g.unboundedQueue[0]
 		g.unboundedQueue = g.unboundedQueue[1:]
@@ -66,22 +68,22 @@
 	}
 }
 
-// start runs an attempt to its end, or to its deadline if the gate cancels.
+// start runs an attempt to its end or, if the queue is DeadlineBound, to its deadline.
 func (g *gate) start(a *attempt) {
-	span := a.request.work * g.slowFactor
-	if left := a.request.deadline - g.world.events.now; g.world.config.Queue == DeadlineBound && span > left {
+	span := a.request.serviceTime * g.slowFactor
+	if left := a.request.deadline - g.sim.scheduler.now; g.sim.config.Queue == DeadlineBound && span > left {
 		span = left
 	}
-	g.world.events.after(span, func() { g.end(a, span) })
+	g.sim.scheduler.after(span, func() { g.end(a, span) })
 }
 
-// end frees the slot and answers.
+// end frees the slot of an attempt, starts the next one and sends the answer.
 func (g *gate) end(a *attempt, span clock.Millis) {
-	now := g.world.events.now
+	now := g.sim.scheduler.now
 	r := a.request
-	whole := span == r.work*g.slowFactor
-	g.world.recordSlotTime(span, whole && !r.done && now+a.hop < r.deadline)
-	if g.world.config.Queue == Unbounded {
+	isComplete := span == r.serviceTime*g.slowFactor
+	g.sim.recordSlotTime(span, isComplete && !r.done && now+a.hopDelay < r.deadline)
+	if g.sim.config.Queue == Unbounded {
 		g.running--
 		g.startUnbounded()
 	} else {
@@ -92,12 +94,12 @@
 		g.expire()
 	}
 	load := g.load()
-	g.world.events.after(a.hop, func() { r.entry.answered(a, load, whole) })
+	g.sim.scheduler.after(a.hopDelay, func() { r.entry.answered(a, load, isComplete) })
 }
 
-// expire refuses the waiters whose turn comes too late.
+// expire refuses the waiting attempts that can no longer start in time.
 func (g *gate) expire() {
-	now := g.world.events.now
+	now := g.sim.scheduler.now
 	for _, ticket := range g.slots.Expire(now) {
 		a := g.queued[ticket]
 		delete(g.queued, ticket)
@@ -105,9 +107,9 @@
 	}
 }
 
-// refuse answers "not run".
+// refuse sends the answer "not run".
 func (g *gate) refuse(a *attempt, after clock.Millis) {
 	load := g.load()
-	g.world.result.Refusals++
-	g.world.events.after(a.hop, func() { a.request.entry.refused(a, load, after) })
+	g.sim.result.Refusals++
+	g.sim.scheduler.after(a.hopDelay, func() { a.request.entry.refused(a, load, after) })
 }
--- a/measure/overload/overload.go
+++ b/measure/overload/overload.go
@@ -1,7 +1,7 @@
-// Package overload measures routing, queues and retries of one service under
-// load, in virtual time: entries and gates as plain values that the decision
-// packages drive, beside the usual rules as baselines. One seed gives the same
-// figures on every run.
+// Package overload measures routing, queues and retries of one service under load, in
+// virtual time. Simulated entries and gates use the project's packages choice, retry and
+// limit, or the rules of common proxies as baselines. The same seed gives the same figures
+// on every run.
 package overload
 
 import (
@@ -10,27 +10,27 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// Routing is how an entry picks an upstream.
+// Routing is how an entry chooses an upstream.
 type Routing uint8
 
 // The values of Routing.
 const (
-	// TwoChoices is package choice.
+	// TwoChoices uses package choice.
 	TwoChoices Routing = iota
-	// RoundRobin takes each upstream in turn.
+	// RoundRobin uses the upstreams in turn.
 	RoundRobin
 )
 
-// Retries is when an entry sends a request again.
+// Retries is the rule by which an entry sends a request again.
 type Retries uint8
 
 // The values of Retries.
 const (
-	// Budget is package retry.
+	// Budget uses package retry.
 	Budget Retries = iota
-	// Unlimited sends again after each refusal and each Timeout.
+	// Unlimited sends a request again after each refusal and each Timeout.
 	Unlimited
-	// NoRetries never sends again.
+	// NoRetries never sends a request again.
 	NoRetries
 )
 
@@ -39,26 +39,28 @@
 
 // The values of Queue.
 const (
-	// DeadlineBound is package limit; what runs is cancelled at its deadline.
+	// DeadlineBound uses package limit. Running requests are cancelled at their deadline.
 	DeadlineBound Queue = iota
-	// Unbounded queues everything and runs it to its end, wanted or not.
+	// Unbounded queues all requests and runs them to their end, also when their
+	// callers no longer wait.
 	Unbounded
 )
 
-// RetryAfter is when refused callers come back.
+// RetryAfter is when the caller of a refused request sends it again.
 type RetryAfter uint8
 
-// The values of Comeback.
+// The values of RetryAfter.
 const (
-	// Never means that a refused caller gives up.
+	// Never means that the caller gives up.
 	Never RetryAfter = iota
-	// Computed is the RetryAfter of the refusal.
+	// Computed is the time that the refusal gives as RetryAfter.
 	Computed
-	// Rounded is that in whole seconds, as the HTTP header says it.
+	// Rounded is the computed time rounded up to whole seconds, as in the HTTP
+	// header.
 	Rounded
-	// Jittered is that and up to a second that the caller adds at random.
+	// Jittered is the rounded time plus a random part of a second.
 	Jittered
-	// Constant is one second for all.
+	// Constant is one second for all callers.
 	Constant
 )
 
@@ -70,58 +72,66 @@
 	Domains   int
 	Slots     int
 	Waiting   int
-	// Service is the mean time a request holds a slot; times are exponential.
+	// Service is the mean time that a request holds a slot. Times have an
+	// exponential distribution.
 	Service clock.Millis
-	// Slow multiplies the times of the first upstream; 0 means 1.
+	// Slow multiplies the service times of the first upstream; 0 means 1.
 	Slow int
-	// EjectAt is when all entries set the first upstream aside; 0 means never.
+	// EjectAt is when all entries eject the first upstream; 0 means never.
 	EjectAt clock.Millis
-	// Load is the work offered as a share of the service's capacity.
+	// Load is the offered load as a share of the service's capacity.
 	Load float64
-	// Burst is the requests more that arrive within Service at a fifth of Span.
+	// Burst is the number of additional requests that arrive at a fifth of Span,
+	// within Service.
 	Burst    int
 	Deadline clock.Millis
-	// Hop is the time one way between failure domains.
-	Hop     clock.Millis
+	// Hop is the one-way network delay between failure domains. Within a failure
+	// domain there is none.
+	Hop clock.Millis
+	// Span is how long requests arrive.
 	Span    clock.Millis
 	Routing Routing
 	Queue   Queue
 	Retries Retries
-	// Share is the budget's share of requests.
+	// Share is the share of requests that the retry budget allows as retries.
 	Share float64
-	// Timeout is after how long a baseline sends an unanswered request again;
-	// 0 means never.
+	// Timeout is the time after which an unanswered request is sent again, as
+	// baselines do; 0 means never.
 	Timeout clock.Millis
-	// Hedge is after how long a second copy is sent, from the budget; 0 means
-	// never.
+	// Hedge is the time after which a second copy of an unanswered request is sent,
+	// which counts against the retry budget; 0 means never.
 	Hedge      clock.Millis
 	RetryAfter RetryAfter
 }
 
-// Result is what one run gave. A request that comes back counts once.
+// Result holds the figures of one run. A request that its caller sends again counts
+// once.
 type Result struct {
 	Requests int
 	Served   int
-	// Refused were told "not run" last, Late got no answer in time.
+	// Refused counts requests whose last answer was "not run", Late those that got
+	// no answer before their deadline.
 	Refused int
 	Late    int
-	// Attempts counts messages to gates, Refusals those answered "not run".
+	// Attempts counts the attempts sent to gates, Refusals those that were answered
+	// "not run".
 	Attempts int
 	Refusals int
-	// Useful is the slot time of requests answered in time, Wasted that of all
-	// others, as shares of the capacity over Span.
+	// Useful is the slot time of requests answered before their deadline, Wasted
+	// that of all other attempts, both as shares of the capacity over Span.
 	Useful float64
 	Wasted float64
-	// Waits are the times to the answer beyond the request's own, sorted.
+	// Waits holds the response times without the service times, sorted.
 	Waits []clock.Millis
 }
 
-// PerRequest returns the attempts for each request.
+// PerRequest returns the mean number of attempts per request.
 func (r *Result) PerRequest() float64 {
 	return float64(r.Attempts) / float64(max(r.Requests, 1))
 }
 
-// Wait returns a quantile, from 0 to 1, of the waits of served requests.
+// Wait returns the quantile, from 0 to 1, of the waits of served requests, or 0 if there
+// are none.
 func (r *Result) Wait(quantile float64) clock.Millis {
 	if len(r.Waits) == 0 {
 		return 0
@@ -130,14 +140,14 @@
 	return r.Waits[min(i, len(r.Waits)-1)]
 }
 
-// Run plays one run.
+// Run simulates one run.
 func Run(c Config) Result {
-	w := newWorld(c)
-	w.arrivals()
-	w.events.run()
+	s := newSimulation(c)
+	s.scheduleArrivals()
+	s.scheduler.run()
 	capacity := float64(c.Upstreams*c.Slots) * float64(c.Span)
-	w.result.Useful /= capacity
-	w.result.Wasted /= capacity
-	slices.Sort(w.result.Waits)
-	return w.result
+	s.result.Useful /= capacity
+	s.result.Wasted /= capacity
+	slices.Sort(s.result.Waits)
+	return s.result
 }
--- a/measure/overload/overload_test.go
+++ b/measure/overload/overload_test.go
@@ -6,7 +6,7 @@
 	"fuchsiapick.example/fuchsiapick/measure/overload"
 )
 
-// run plays one scenario by its name.
+// run runs the scenario with that name and returns its result.
 func run(t *testing.T, name string) overload.Result {
 	t.Helper()
 	for _, s := range overload.Scenarios() {
@@ -18,14 +18,14 @@
 	return overload.Result{}
 }
 
-// Twice the work that a service can do arrives for half a minute. By the usual
-// rules the queue grows past what callers wait for, they ask again, and soon
-// every slot runs work that nobody waits for: the service is up and serves no
-// one. Here those refused are told at once, and the slots do useful work.
+// Guards against congestion collapse at twice the capacity of a service: with unbounded
+// queues and retries, as the baseline rules have them, callers time out and retry until the
+// slots run only requests that nobody waits for. Here, excess requests are refused
+// immediately, and the slots do useful work.
 func TestUsefulWorkUnderOverload(t *testing.T) {
-	usual := run(t, "overload/usual")
-	if usual.Useful > 0.2 {
-		t.Errorf("usual rules: got useful work %.3f of capacity, want the collapse, at most 0.2", usual.Useful)
+	baseline := run(t, "overload/usual")
+	if baseline.Useful > 0.2 {
+		t.Errorf("baseline rules: got useful work %.3f of capacity, want it to collapse to at most 0.2", baseline.Useful)
 	}
 	for _, size := range []string{"sicily", "kingston", "planned"} {
 		got := run(t, "overload/"+size)
@@ -42,27 +42,28 @@
 	}
 }
 
-// One of nine upstreams takes ten times as long, before any verdict. In turn,
-// each ninth request goes there and waits behind the others that do.
+// Guards against longer waits or more refusals than with round robin, at normal and high
+// load and with one of nine upstreams ten times as slow and not yet ejected: round robin
+// sends each ninth request there, where it waits behind others.
 func TestTwoChoicesAgainstRoundRobin(t *testing.T) {
 	for _, size := range []string{"sicily", "kingston"} {
 		for _, load := range []string{"", "-high", "-slow"} {
-			got, robin := run(t, "routing/"+size+load), run(t, "routing/"+size+load+"-robin")
-			if got.Wait(0.99) >= robin.Wait(0.99) {
+			got, roundRobin := run(t, "routing/"+size+load), run(t, "routing/"+size+load+"-robin")
+			if got.Wait(0.99) >= roundRobin.Wait(0.99) {
 				t.Errorf("%s%s: got a p99 wait of %v, want less than round robin's %v",
-					size, load, got.Wait(0.99), robin.Wait(0.99))
+					size, load, got.Wait(0.99), roundRobin.Wait(0.99))
 			}
-			if 2*got.Refusals > robin.Refusals {
+			if 2*got.Refusals > roundRobin.Refusals {
 				t.Errorf("%s%s: got %d refusals, want at most half of round robin's %d",
-					size, load, got.Refusals, robin.Refusals)
+					size, load, got.Refusals, roundRobin.Refusals)
 			}
 		}
 	}
 }
 
-// Four hundred callers come at once, and those refused come back when they are
-// told to. Told all the same second, they are refused again together.
-func TestComputedComebacksAreRefusedLess(t *testing.T) {
+// Guards against repeated refusals after a burst of 400 callers: if all refused callers
+// get the same Retry-After of one second, they return together and are refused again.
+func TestComputedRetryAfterReducesRefusals(t *testing.T) {
 	got, constant := run(t, "comeback/computed"), run(t, "comeback/constant")
 	if got.Served != got.Requests {
 		t.Errorf("got %d of %d served, want all", got.Served, got.Requests)
--- a/measure/overload/scenarios.go
+++ b/measure/overload/scenarios.go
@@ -2,13 +2,13 @@
 
 import "fuchsiapick.example/fuchsiapick/clock"
 
-// Scenario is a run with a name.
+// Scenario is a named configuration of a run.
 type Scenario struct {
 	Name   string
 	Config Config
 }
 
-// Sicily is the service conferme of the users' first deployment.
+// Sicily returns the service conferme of the first deployment.
 func Sicily() Config {
 	return Config{
 		Seed: 1, Entries: 9, Upstreams: 9, Domains: 3, Slots: 3, Waiting: 6, Service: 25,
@@ -16,14 +16,15 @@
 	}
 }
 
-// Kingston is the service revisions of the users' second deployment.
+// Kingston returns the service revisions of the second deployment.
 func Kingston() Config {
 	c := Sicily()
 	c.Slots, c.Waiting = 7, 14
 	return c
 }
 
-// Planned is the mean service of the size to design for, before all entries.
+// Planned returns the mean service at the scale that the project is designed for, with
+// requests from all entries.
 func Planned() Config {
 	c := Sicily()
 	c.Entries, c.Upstreams, c.Domains, c.Slots, c.Waiting = 2400, 49, 42, 5, 10
@@ -31,7 +32,7 @@
 	return c
 }
 
-// change turns one run into another to compare it with.
+// change modifies a configuration into a variant to compare.
 type change func(c *Config)
 
 func double(c *Config)     { c.Load = 2 }
@@ -47,16 +48,17 @@
 func jittered(c *Config)   { c.RetryAfter = Jittered }
 func flood(c *Config)      { c.Burst = 4000 }
 
-// unbounded makes the queue the backend server's own, blind to deadlines; what
-// isn't answered in Timeout is sent again.
+// unbounded replaces the gate's queue by an unbounded one that ignores deadlines, as in the
+// backend server itself. Requests not answered within Timeout are sent again.
 func unbounded(c *Config) { c.Queue, c.Timeout = Unbounded, 100 }
 
 func waiting(n int) change         { return func(c *Config) { c.Waiting = n } }
 func retries(share float64) change { return func(c *Config) { c.Share = share } }
 
-// short keeps a run of several hundred attempts a request bearable.
+// short limits the time of a run with several hundred attempts per request.
 func short(c *Config) { c.Span = 2 * clock.Second }
 
+// scenario returns a scenario with the changes applied to c in order.
 func scenario(name string, c Config, changes ...change) Scenario {
 	for _, change := range changes {
 		change(&c)
@@ -64,7 +66,7 @@
 	return Scenario{Name: name, Config: c}
 }
 
-// Scenarios returns the runs that are measured, each beside its baselines.
+// Scenarios returns the scenarios that are measured, together with their baselines.
 func Scenarios() []Scenario {
 	return append(routing(),
 		scenario("overload/sicily", Sicily(), double),
@@ -98,7 +100,7 @@
 	)
 }
 
-// routing returns the runs that compare two choices with round robin.
+// routing returns the scenarios that compare TwoChoices with RoundRobin.
 func routing() []Scenario {
 	sizes := []Scenario{{"sicily", Sicily()}, {"kingston", Kingston()}, {"planned", Planned()}}
 	all := make([]Scenario, 0, 6*len(sizes))
--- a/measure/overload/events.go
+++ b/measure/overload/scheduler.go
@@ -6,14 +6,14 @@
 	"fuchsiapick.example/fuchsiapick/clock"
 )
 
-// event is something that happens at an instant.
+// event is a function that is called at a time.
 type event struct {
 	at    clock.Millis
 	order int
 	do    func()
 }
 
-// queue is a heap of events by instant, then by the order they were added in.
+// queue is a heap of events by time, then by the order in which they were added.
 type queue []event
 
 func (q queue) Len() int { return len(q) }
@@ -43,27 +43,27 @@
 	return e
 }
 
-// events is virtual time.
-type events struct {
+// scheduler is the virtual clock and its pending events.
+type scheduler struct {
 	now   clock.Millis
 	added int
 	queue queue
 }
 
-// after schedules a call.
-func (e *events) after(span clock.Millis, do func()) {
-	e.added++
-	heap.Push(&e.queue, event{at: e.now + span, order: e.added, do: do})
+// after schedules a call of do after span.
+func (s *scheduler) after(span clock.Millis, do func()) {
+	s.added++
+	heap.Push(&s.queue, event{at: s.now + span, order: s.added, do: do})
 }
 
-// run plays all events until none is left.
-func (e *events) run() {
-	for len(e.queue) > 0 {
-		next, ok := heap.Pop(&e.queue).(event)
+// run calls all events in order until none is left.
+func (s *scheduler) run() {
+	for len(s.queue) > 0 {
+		next, ok := heap.Pop(&s.queue).(event)
 		if !ok {
 			return
 		}
-		e.now = next.at
+		s.now = next.at
 		next.do()
 	}
 }
