--- a/measure/page/main.go
+++ b/measure/page/main.go
@@ -1,5 +1,5 @@
-// Command page runs all scenarios of package measure and writes the page of
-// their figures.
+// Command page runs all scenarios of package measure and writes their figures to a
+// Markdown page.
 package main
 
 import (
--- a/measure/page/fill.go
+++ b/measure/page/page.go
@@ -9,13 +9,15 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// The lengths of the runs without a fault.
+// The sizes of the measurements other than detection.
 const (
+	// healthyLength is the length of a run without a fault.
 	healthyLength = 10 * clock.Minute
-	// The outcomes to see: at 0.2 false ejections per million, ten million
-	// give two.
-	mainOutcomes   = 10_000_000
-	otherOutcomes  = 2_000_000
+	// mainOutcomes and otherOutcomes are the least numbers of healthy outcomes to
+	// measure: at 0.2 false ejections per million, ten million give two.
+	mainOutcomes  = 10_000_000
+	otherOutcomes = 2_000_000
+	// noEjectionRuns and flapRuns are the runs for each scenario.
 	noEjectionRuns = 40
 	flapRuns       = 10
 )
@@ -32,7 +34,8 @@
 "fast", "balanced" and "cautious" are this project's rule at the gate.
 `
 
-// writePage writes the whole page.
+// writePage runs all measurements, with runs as the number of seeds for each detection, and
+// writes the page in Markdown.
 func writePage(w io.Writer, runs int) {
 	fmt.Fprint(w, pageHead)
 	main := measure.Sizes()[0]
@@ -52,6 +55,8 @@
 	}
 }
 
+// heading writes the heading of a section and the head of its table, with one column for
+// each rule.
 func heading(w io.Writer, title string, size measure.Size, rules []measure.Rule) {
 	fmt.Fprintf(w, "\n## %s: %s\n\n%d upstreams with %d slots, %d entries, %.0f requests a second to each upstream, median %v.\n\n| |",
 		size.Name, title, size.Upstreams, size.Slots, size.Entries, size.Rate, size.Median)
@@ -65,19 +70,22 @@
 	fmt.Fprintln(w)
 }
 
+// detections writes the section on how fast each rule detects each fault.
 func detections(w io.Writer, size measure.Size, rules []measure.Rule, runs int) {
 	heading(w, "detection in outcomes, and in ms", size, rules)
-	few := size
-	few.Callers = 8
+	fewCallers := size
+	fewCallers.Callers = 8
 	for _, scenario := range measure.Faults() {
 		detection(w, size, scenario, rules, runs)
 	}
 	scenario := measure.ReferenceFault()
 	scenario.Name += ", 8 callers"
-	detection(w, few, scenario, rules, runs)
+	detection(w, fewCallers, scenario, rules, runs)
 	fmt.Fprintf(w, "\n%d seeds. \"missed\": not set aside within 2 minutes, or before the fault was over.\n", runs)
 }
 
+// detection writes the row of one scenario: the median and the 99th percentile of the
+// outcomes and times to the detection, and the number of missed faults.
 func detection(w io.Writer, size measure.Size, scenario measure.Scenario, rules []measure.Rule, runs int) {
 	fmt.Fprintf(w, "| %s |", scenario.Name)
 	for _, rule := range rules {
@@ -94,10 +102,12 @@
 	fmt.Fprintln(w)
 }
 
-func falseEjections(w io.Writer, size measure.Size, rules []measure.Rule, least int, shares ...float64) {
+// falseEjections writes the section on false ejections without a fault, with one row for
+// each share of failed requests. Each figure comes from about minOutcomes outcomes or more.
+func falseEjections(w io.Writer, size measure.Size, rules []measure.Rule, minOutcomes int, shares ...float64) {
 	heading(w, "false ejections per million healthy outcomes, and per upstream and day", size, rules)
-	each := size.Rate * float64(size.Upstreams) * healthyLength.Seconds()
-	runs := 1 + int(float64(least)/each)
+	outcomesPerRun := size.Rate * float64(size.Upstreams) * healthyLength.Seconds()
+	runs := 1 + int(float64(minOutcomes)/outcomesPerRun)
 	var outcomes int
 	for _, failed := range shares {
 		size.Failed = failed
@@ -112,6 +122,7 @@
 	fmt.Fprintf(w, "\n%.1f million outcomes each.\n", float64(outcomes)/1e6)
 }
 
+// noEjection writes the section on scenarios in which no upstream may be ejected.
 func noEjection(w io.Writer, size measure.Size, rules []measure.Rule) {
 	heading(w, "set asides where there should be none", size, rules)
 	runs := noEjectionRuns
@@ -129,6 +140,7 @@
 	fmt.Fprintf(w, "\n%d runs of 75 s. In brackets: set asides for each upstream and run, so that 100%% means that all were set aside once. Those that 1%% of failures cause anyway are counted in.\n", runs)
 }
 
+// flaps writes the section on requests sent to a flapping upstream after its detection.
 func flaps(w io.Writer, size measure.Size, rules []measure.Rule) {
 	heading(w, "requests given to a flapping upstream while it was sick", size, rules)
 	for _, scenario := range measure.Flaps() {
