--- a/gate/backend.go
+++ b/gate/backend.go
@@ -28,8 +28,9 @@
 	// ErrMismatchedReply means a response that isn't the backend server's response to
 	// this request: it has no seal, another request id or a content encoding.
 	ErrMismatchedReply = errors.ConstError("backend server's response doesn't belong to the request")
-	// ErrCancelled means that the caller has disconnected.
-	ErrCancelled = errors.ConstError("the caller has disconnected")
+	// ErrCancelled means that nobody waits for the response: the caller has disconnected, or
+	// the entry has given up a repeatable run that has hung or sent no response in time.
+	ErrCancelled = errors.ConstError("nobody waits for the response")
 )
 
 // Headers between a gate and a backend server that supports this project's headers.
@@ -96,7 +97,7 @@
 //
 // It manages its own connections, because an HTTP client library resends a request
 // when the connection breaks, takes the rest of an earlier response for the next one,
-// and can't be notified that the caller has disconnected.
+// and can't be notified that nobody waits for the response.
 type HTTP struct {
 	config HTTPConfig
 
