--- a/cmd/nodecmd.go
+++ b/cmd/nodecmd.go
@@ -68,7 +68,7 @@
 	return ExitOK
 }
 
-// logCloseTimeout is how long the process waits at its end for the log to be written out.
+// logCloseTimeout is how long the process waits at exit for the log to be written.
 const logCloseTimeout = time.Second
 
 // newLogger returns a logger that writes JSON lines and never blocks, the counters of
--- a/cmd/process_test.go
+++ b/cmd/process_test.go
@@ -44,7 +44,7 @@
 	ts.Defer(func() { p.killAndLog(ts, args[0]) })
 }
 
-// killAndLog kills the process if it still runs, even if it is stopped, and adds its
+// killAndLog kills the process unless it has ended, also while SIGSTOP suspends it, and adds its
 // output to the script's log, which is shown if the script fails.
 func (p *process) killAndLog(ts *testscript.TestScript, name string) {
 	if !p.hasEnded() {
--- a/cmd/session_test.go
+++ b/cmd/session_test.go
@@ -157,8 +157,8 @@
 }
 
 // awaitLedger implements "ledger BACKEND begun=N...": it waits until the totals of a
-// backend server reach the values. "! ledger BACKEND begun=N" fails immediately if they
-// have.
+// backend server reach the values. "! ledger BACKEND begun=N" doesn't wait: it fails if the
+// totals have reached them.
 func awaitLedger(ts *testscript.TestScript, neg bool, args []string) {
 	if !neg {
 		status, body, err := fasthttp.GetTimeout(nil, "http://"+args[0]+"/standin/await?"+strings.Join(args[1:], "&"), waitTimeout)
--- a/cmd/soakplan_test.go
+++ b/cmd/soakplan_test.go
@@ -17,7 +17,7 @@
 	caution     string
 	// version is the version of the last published table.
 	version int
-	// leftOut has the numbers of the faults to leave out.
+	// leftOut lists the numbers of the faults to leave out.
 	leftOut []int
 	lines   []string
 	tables  []string
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,7 +28,7 @@
 // itself.
 type GateClient interface {
 	// Dispatch sends a request. If it returns an error, nothing was sent.
-	Dispatch(d *wire.Dispatch, w link.DispatchObserver) error
+	Dispatch(d *wire.Dispatch, observer link.DispatchObserver) error
 	// Resolve asks the gate for the unknown outcome of a dispatch. The gate revokes a
 	// dispatch that has not begun.
 	Resolve(id wire.RequestID, attempt uint8)
@@ -49,9 +49,9 @@
 	// ReleaseReservation releases a slot that was asked for.
 	ReleaseReservation(r *wire.ReleaseReservation)
 	// RevokeKey asks the node for the status of a resend's idempotency key and revokes
-	// the key there if it has not run. If RevokeKey returns an error, it does not notify
-	// w.
-	RevokeKey(r *wire.KeyRevocation, timeout clock.Millis, w link.RevocationObserver) error
+	// the key there if it has not run. If RevokeKey returns an error, the observer is not
+	// called.
+	RevokeKey(r *wire.KeyRevocation, waitBudget clock.Millis, observer link.RevocationObserver) error
 	// ForgetRevocation drops a key revocation that needs no answer any more.
 	ForgetRevocation(id wire.RequestID)
 }
--- a/fleet/atmostonce_test.go
+++ b/fleet/atmostonce_test.go
@@ -159,8 +159,8 @@
 
 // The path freezes with a request in it and recovers after the request's deadline, as with
 // a gate that was paused. The caller has received the outcome "unknown" and may have
-// corrected the data by hand, so that the late frame must not run.
-func TestStalledFrameIsNotRunLate(t *testing.T) {
+// corrected the data by hand, so the dispatch that arrives late must not run.
+func TestDispatchAfterItsLeaseIsNotRun(t *testing.T) {
 	f, entryNode, gateNode, backend := startTwoNodes(t, 5)
 	recorder := newOutcomeRecorder()
 	recorder.post(t, entryNode.Caller)
--- a/link/reply.go
+++ b/link/reply.go
@@ -1,6 +1,8 @@
 package link
 
 import (
+	"github.com/juju/errors"
+
 	"fuchsiapick.example/fuchsiapick/wire"
 )
 
@@ -87,3 +89,24 @@
 	p.mu.Unlock()
 	pending.observer.Resolved(r.Revoked)
 }
+
+// sendReply splits a long body into several frames, so that a large reply doesn't delay
+// the small ones after it.
+func sendReply(c *Conn, r *wire.Reply) error {
+	if len(r.Body) <= wire.ChunkSize {
+		return c.Send(r)
+	}
+	head := *r
+	head.Body = r.Body[:wire.ChunkSize]
+	if err := c.Send(&head); err != nil {
+		return errors.Trace(err)
+	}
+	for offset := wire.ChunkSize; offset < len(r.Body); offset += wire.ChunkSize {
+		end := min(offset+wire.ChunkSize, len(r.Body))
+		chunk := &wire.Chunk{ID: r.ID, Attempt: r.Attempt, Offset: offset, Data: r.Body[offset:end]}
+		if err := c.Send(chunk); err != nil {
+			return errors.Trace(err)
+		}
+	}
+	return nil
+}
--- a/link/server.go
+++ b/link/server.go
@@ -216,8 +216,7 @@
 	}
 }
 
-// SendResolution sends a resolution to an entry. An entry that doesn't receive it asks
-// again.
+// SendResolution sends a resolution. An entry that doesn't receive it asks again.
 func (s *Server) SendResolution(entry uint64, r *wire.Resolution) {
 	s.sendToEntry(entry, r)
 }
@@ -292,27 +291,6 @@
 	}
 }
 
-// sendReply splits a long body into several frames, so that a large reply doesn't delay
-// the small ones after it.
-func sendReply(c *Conn, r *wire.Reply) error {
-	if len(r.Body) <= wire.ChunkSize {
-		return c.Send(r)
-	}
-	head := *r
-	head.Body = r.Body[:wire.ChunkSize]
-	if err := c.Send(&head); err != nil {
-		return errors.Trace(err)
-	}
-	for offset := wire.ChunkSize; offset < len(r.Body); offset += wire.ChunkSize {
-		end := min(offset+wire.ChunkSize, len(r.Body))
-		chunk := &wire.Chunk{ID: r.ID, Attempt: r.Attempt, Offset: offset, Data: r.Body[offset:end]}
-		if err := c.Send(chunk); err != nil {
-			return errors.Trace(err)
-		}
-	}
-	return nil
-}
-
 // session is an open link at the accepting side, after the handshake.
 type session struct {
 	server *Server
--- a/measure/entry.go
+++ b/measure/entry.go
@@ -6,7 +6,7 @@
 )
 
 // baselineTTL is how long an entry uses a baseline that it received from a gate. Older
-// baselines would outvote the first signs of a fault common to the whole service.
+// baselines would outweigh the first signs of a fault common to the whole service.
 const baselineTTL = 10 * clock.Second
 
 // entry is the state of one entry: the baselines of the gates as of their last replies,
--- a/measure/episodes/services.go
+++ b/measure/episodes/services.go
@@ -99,8 +99,8 @@
 }
 
 // Revisions returns the price revision service of the larger deployment. Revisions can't
-// be repeated; the checks that price lists make before them can, and few entries send
-// these.
+// be repeated. The checks that price lists run before a revision can be repeated, and only a
+// few entries send checks.
 func Revisions() Config {
 	return Config{
 		Kinds: []Kind{
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -76,8 +76,7 @@
 }
 
 // Guards against ejections that take away capacity when it is needed most: in a cold
-// start, under a surge, or when a fault hits all upstreams because something they share
-// is at fault.
+// start, under a surge, or when a dependency that all upstreams share fails.
 func TestEjectionsWithoutUpstreamFaultAreBounded(t *testing.T) {
 	size := measure.Sizes()[0]
 	const runs = 12
--- a/measure/page/page.go
+++ b/measure/page/page.go
@@ -84,8 +84,8 @@
 	fmt.Fprintf(w, "\n%d seeds. \"missed\": not set aside within 2 minutes, or before the fault was over.\n", runs)
 }
 
-// detection writes the row of one scenario: the median and the 99th percentile of the
-// outcomes and times to the detection, and the number of missed faults.
+// detection writes the row of one scenario: the median and the 99th percentile of
+// the number of outcomes and of the time until detection, and the number of missed faults.
 func detection(w io.Writer, size measure.Size, scenario measure.Scenario, rules []measure.Rule, runs int) {
 	fmt.Fprintf(w, "| %s |", scenario.Name)
 	for _, rule := range rules {
--- a/quota/homes.go
+++ b/quota/homes.go
@@ -7,8 +7,9 @@
 	"fuchsiapick.example/fuchsiapick/rendezvous"
 )
 
-// MaxHomes is how many nodes can be the home of an account, one after the other as those
-// before can't be reached. It is unlikely that so many are lost together.
+// MaxHomes is the maximum number of nodes that can be the home of an account. Each is used
+// only if all earlier ones in the list are unreachable. It is unlikely that this many nodes
+// are unreachable at the same time.
 const MaxHomes = 6
 
 // Homes returns the nodes that may grant an account's requests, its home first. Nodes with
--- a/standin/backend_test.go
+++ b/standin/backend_test.go
@@ -155,7 +155,7 @@
 }
 
 // A request waits for a slot and its caller closes the connection. If the request ran later
-// or got an entry, the ledger would show work that no caller waits for.
+// or were recorded, the ledger would show work that no caller waits for.
 func TestBackendQueuedRequestEndsWhenConnectionCloses(t *testing.T) {
 	b := startBackend(t, standin.BackendConfig{Slots: 1})
 	b.SetFault(standin.Fault{Kind: standin.Hangs})
--- a/standin/platformread.go
+++ b/standin/platformread.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// holdsWatch reports whether a watch waits for changes in the mode. In the other modes
-// applyMode ends the watch.
+// holdsWatch reports whether the platform keeps a watch open in the current mode. In the
+// other modes applyMode ends the watch.
 func (v *view) holdsWatch() bool {
 	return v.mode == Up || v.mode == Stale || v.mode == Slow
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -193,7 +193,7 @@
 	}
 	want := slices.Clone(crashes)
 	for i := range want {
-		want[i].At = 0 // an hour ago
+		want[i].At = 0 // the reports carry ages: one hour at time clock.Hour is time 0
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %d crashes, want the %d that were sent, unchanged", len(got), len(want))
