--- a/episode/level.go
+++ b/episode/level.go
@@ -18,7 +18,8 @@
 )
 
 // Thresholds of the levels. One failure raises the probability of a healthy upstream from
-// 0.01 to 0.3, and makes an upstream failing that had no outcome for ten seconds (0.25).
+// 0.01 to 0.3. An upstream without an outcome for ten seconds is at 0.25, and one failure
+// makes it failing.
 const (
 	suspectThreshold = 0.15
 	// EjectThreshold is the probability from which on an upstream gets no requests that
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -343,7 +343,7 @@
 	g.recordState(now)
 }
 
-// probeRecorder is a detector that uses health probes. A probe takes 25 ms of a slot, and is
+// probeRecorder is a detector that uses health checks. A check takes 25 ms of a slot, and is
 // useless where the health endpoint reports success during a failure episode, too.
 type probeRecorder interface {
 	RecordProbe(now clock.Millis, ok bool)
--- a/health/recovery.go
+++ b/health/recovery.go
@@ -209,7 +209,7 @@
 // probesNeeded is the number of good probes without a failed one that can end a hold-off.
 const probesNeeded = 2
 
-// RecordProbe takes the result of a health probe. A failed probe gives the tests a head
+// RecordProbe takes the result of a health check, a probe. A failed one gives the tests a head
 // start, once. Good probes end a hold-off after half of it, but only if a probe has
 // failed during it: a faulty upstream that always answers its probes proves nothing by
 // them. No probe ejects or readmits an upstream by itself.
--- a/health/tuning.go
+++ b/health/tuning.go
@@ -5,7 +5,7 @@
 	"fuchsiapick.example/fuchsiapick/table"
 )
 
-// The hypotheses of the tests. docs/MEASURES.md has the measured detection times.
+// The hypotheses of the statistical tests. docs/MEASURES.md has the detection times.
 const (
 	// minTypicalFailed is the lowest share of failures that counts as typical. Without
 	// it, three failures in an hour would eject an upstream of a service that hardly ever
--- a/measure/run.go
+++ b/measure/run.go
@@ -13,7 +13,7 @@
 	hopDelay clock.Millis = 1
 	// queueFactor is the length of a gate's queue, in requests per slot.
 	queueFactor = 2
-	// probeInterval is the time between two health probes of an upstream.
+	// probeInterval is the time between two health checks of an upstream.
 	probeInterval = clock.Second
 	// repeatableShare is the share of requests that may be sent more than once.
 	repeatableShare = 0.8
@@ -179,7 +179,7 @@
 	}
 }
 
-// probe records the result of one health probe of the upstream i at its gate and
+// probe records the result of one health check of the upstream i at its gate and
 // schedules the next probe.
 func (r *run) probe(i int) {
 	u := r.upstreams[i]
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -51,7 +51,7 @@
 	// they carry the caller's name.
 	Poison float64
 	Victim int
-	// ProbesPass makes health probes succeed during a fault.
+	// ProbesPass makes health checks succeed during a fault.
 	ProbesPass bool
 }
 
--- a/node/services.go
+++ b/node/services.go
@@ -159,11 +159,11 @@
 	tree.Add(service{"probes", every(probeInterval, n.probe)})
 }
 
-// probeInterval is the interval of health probes. A probe may end a hold-off of 5 s or more
+// probeInterval is the interval of health checks, the probes. A probe may end a hold-off of 5 s or more
 // early, and costs an upstream 25 ms.
 const probeInterval = 2 * time.Second
 
-// probe starts a health probe of each upstream beside this node.
+// probe starts a health check of each upstream beside this node.
 func (n *Node) probe() {
 	for _, g := range n.allGates() {
 		_ = n.gatePool.Submit(g.ProbeHealth) // if the pool is full, the next tick probes again
